--- a/keelbridge/base/bounded_ring.h
+++ b/keelbridge/base/bounded_queue.h
@@ -7,8 +7,8 @@
 //   if (!ring.Push(std::move(event))) return Overloaded();
 //   for (Event& e : ring.Drain(64)) Handle(e);
 
-#ifndef KEELBRIDGE_BASE_BOUNDED_RING_H_
-#define KEELBRIDGE_BASE_BOUNDED_RING_H_
+#ifndef KEELBRIDGE_BASE_BOUNDED_QUEUE_H_
+#define KEELBRIDGE_BASE_BOUNDED_QUEUE_H_
 
 #include <boost/circular_buffer.hpp>
 #include <utility>
@@ -83,4 +83,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_BASE_BOUNDED_RING_H_
+#endif  // KEELBRIDGE_BASE_BOUNDED_QUEUE_H_
--- a/keelbridge/base/line_limit.h
+++ b/keelbridge/base/log_rate_limiter.h
@@ -4,8 +4,8 @@
 //   if (const auto left_out = lines.Take(now))
 //     LogEvent(..., {{"lines_left_out", absl::StrCat(*left_out)}});
 
-#ifndef KEELBRIDGE_BASE_LINE_LIMIT_H_
-#define KEELBRIDGE_BASE_LINE_LIMIT_H_
+#ifndef KEELBRIDGE_BASE_LOG_RATE_LIMITER_H_
+#define KEELBRIDGE_BASE_LOG_RATE_LIMITER_H_
 
 #include <cstdint>
 #include <optional>
@@ -50,4 +50,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_BASE_LINE_LIMIT_H_
+#endif  // KEELBRIDGE_BASE_LOG_RATE_LIMITER_H_
--- a/keelbridge/base/line_limit_test.cc
+++ b/keelbridge/base/log_rate_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/base/line_limit.h"
+#include "keelbridge/base/log_rate_limiter.h"
 
 #include <doctest/doctest.h>
 
--- a/keelbridge/cli/job_story.cc
+++ b/keelbridge/cli/job_timeline.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/cli/job_story.h"
+#include "keelbridge/cli/job_timeline.h"
 
 #include <algorithm>
 #include <map>
--- a/keelbridge/cli/job_story.h
+++ b/keelbridge/cli/job_timeline.h
@@ -10,8 +10,8 @@
 //   story.AddLine(line);              // For each line of each log.
 //   out << story.Text();
 
-#ifndef KEELBRIDGE_CLI_JOB_STORY_H_
-#define KEELBRIDGE_CLI_JOB_STORY_H_
+#ifndef KEELBRIDGE_CLI_JOB_TIMELINE_H_
+#define KEELBRIDGE_CLI_JOB_TIMELINE_H_
 
 #include <json/json.h>
 
@@ -51,4 +51,4 @@
 
 }  // namespace keelbridge::cli
 
-#endif  // KEELBRIDGE_CLI_JOB_STORY_H_
+#endif  // KEELBRIDGE_CLI_JOB_TIMELINE_H_
--- a/keelbridge/cli/view_commands.cc
+++ b/keelbridge/cli/view_commands.cc
@@ -8,7 +8,7 @@
 #include "absl/strings/str_format.h"
 #include "absl/time/clock.h"
 #include "keelbridge/cli/command_list.h"
-#include "keelbridge/cli/job_story.h"
+#include "keelbridge/cli/job_timeline.h"
 #include "keelbridge/protocol/job.h"
 
 namespace keelbridge::cli {
--- a/keelbridge/coordination/call_fate.h
+++ b/keelbridge/coordination/call_outcome.h
@@ -13,8 +13,8 @@
 //   fate.EndTry(CallFate::TryEnd::kNoAnswer);  // False: try again.
 //   if (!fate.MayHaveRun()) AnswerNotTaken();
 
-#ifndef KEELBRIDGE_COORDINATION_CALL_FATE_H_
-#define KEELBRIDGE_COORDINATION_CALL_FATE_H_
+#ifndef KEELBRIDGE_COORDINATION_CALL_OUTCOME_H_
+#define KEELBRIDGE_COORDINATION_CALL_OUTCOME_H_
 
 namespace keelbridge {
 
@@ -44,4 +44,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_COORDINATION_CALL_FATE_H_
+#endif  // KEELBRIDGE_COORDINATION_CALL_OUTCOME_H_
--- a/keelbridge/coordination/call_fate_test.cc
+++ b/keelbridge/coordination/call_outcome_test.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/coordination/call_fate.h"
+#include "keelbridge/coordination/call_outcome.h"
 
 #include <doctest/doctest.h>
 
--- a/keelbridge/coordination/room_search.h
+++ b/keelbridge/coordination/capacity_search.h
@@ -9,8 +9,8 @@
 //   std::vector<RoomCandidate> workers = ...;
 //   for (const RoomChoice& choice : ChooseRoom(need, 2, 0.5, workers)) ...
 
-#ifndef KEELBRIDGE_COORDINATION_ROOM_SEARCH_H_
-#define KEELBRIDGE_COORDINATION_ROOM_SEARCH_H_
+#ifndef KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
+#define KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -51,4 +51,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_COORDINATION_ROOM_SEARCH_H_
+#endif  // KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
--- a/keelbridge/coordination/room_search_test.cc
+++ b/keelbridge/coordination/capacity_search_test.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/coordination/room_search.h"
+#include "keelbridge/coordination/capacity_search.h"
 
 #include <doctest/doctest.h>
 
--- a/keelbridge/coordination/once.cc
+++ b/keelbridge/coordination/idempotency.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/coordination/once.h"
+#include "keelbridge/coordination/idempotency.h"
 
 #include <utility>
 #include <vector>
--- a/keelbridge/coordination/once.h
+++ b/keelbridge/coordination/idempotency.h
@@ -14,8 +14,8 @@
 //   std::string ticket = tickets.Issue(now);
 //   if (tickets.Use(ticket, now) == OnceUse::kFirst) Dispatch();
 
-#ifndef KEELBRIDGE_COORDINATION_ONCE_H_
-#define KEELBRIDGE_COORDINATION_ONCE_H_
+#ifndef KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
+#define KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
 
 #include <cstdint>
 #include <deque>
@@ -108,4 +108,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_COORDINATION_ONCE_H_
+#endif  // KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
--- a/keelbridge/coordination/job_scheduler_lives.cc
+++ b/keelbridge/coordination/job_scheduler_incarnations.cc
@@ -15,7 +15,7 @@
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
 #include "keelbridge/coordination/job_scheduler.h"
-#include "keelbridge/protocol/worker_life.h"
+#include "keelbridge/protocol/worker_incarnation.h"
 #include "keelbridge/state/known_workers.h"
 
 namespace keelbridge {
--- a/keelbridge/coordination/job_scheduler_room.cc
+++ b/keelbridge/coordination/job_scheduler_reservations.cc
@@ -5,8 +5,8 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
+#include "keelbridge/coordination/capacity_search.h"
 #include "keelbridge/coordination/job_scheduler.h"
-#include "keelbridge/coordination/room_search.h"
 
 namespace keelbridge {
 namespace {
--- a/keelbridge/coordination/lease_book.cc
+++ b/keelbridge/coordination/lease_tracker.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/coordination/lease_book.h"
+#include "keelbridge/coordination/lease_tracker.h"
 
 #include <algorithm>
 #include <utility>
--- a/keelbridge/coordination/lease_book.h
+++ b/keelbridge/coordination/lease_tracker.h
@@ -14,8 +14,8 @@
 //   for (const LeaseEvent& event : book.OnHoldReply(worker, sent_at, reply,
 //   now)) Handle(event);
 
-#ifndef KEELBRIDGE_COORDINATION_LEASE_BOOK_H_
-#define KEELBRIDGE_COORDINATION_LEASE_BOOK_H_
+#ifndef KEELBRIDGE_COORDINATION_LEASE_TRACKER_H_
+#define KEELBRIDGE_COORDINATION_LEASE_TRACKER_H_
 
 #include <cstdint>
 #include <map>
@@ -197,4 +197,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_COORDINATION_LEASE_BOOK_H_
+#endif  // KEELBRIDGE_COORDINATION_LEASE_TRACKER_H_
--- a/keelbridge/coordination/zone_scheduler.h
+++ b/keelbridge/coordination/zone_scheduler.h
@@ -26,7 +26,7 @@
 #include "keelbridge/base/result.h"
 #include "keelbridge/coordination/decider.h"
 #include "keelbridge/coordination/leadership.h"
-#include "keelbridge/coordination/lease_book.h"
+#include "keelbridge/coordination/lease_tracker.h"
 #include "keelbridge/coordination/log_writer.h"
 #include "keelbridge/coordination/planner.h"
 #include "keelbridge/protocol/configuration.h"
--- a/keelbridge/daemon/claim_desk.cc
+++ b/keelbridge/daemon/claim_service.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/daemon/claim_desk.h"
+#include "keelbridge/daemon/claim_service.h"
 
 #include <optional>
 #include <utility>
--- a/keelbridge/daemon/claim_desk.h
+++ b/keelbridge/daemon/claim_service.h
@@ -6,8 +6,8 @@
 //   thread. desk.Step();                                            // On the
 //   duty's thread.
 
-#ifndef KEELBRIDGE_DAEMON_CLAIM_DESK_H_
-#define KEELBRIDGE_DAEMON_CLAIM_DESK_H_
+#ifndef KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
+#define KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
 
 #include <cstdint>
 #include <functional>
@@ -17,9 +17,9 @@
 #include "absl/base/thread_annotations.h"
 #include "absl/synchronization/mutex.h"
 #include "absl/time/time.h"
-#include "keelbridge/base/bounded_ring.h"
+#include "keelbridge/base/bounded_queue.h"
+#include "keelbridge/coordination/idempotency.h"
 #include "keelbridge/coordination/log_writer.h"
-#include "keelbridge/coordination/once.h"
 #include "keelbridge/protocol/platform_clients.h"
 
 namespace keelbridge {
@@ -69,4 +69,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_DAEMON_CLAIM_DESK_H_
+#endif  // KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
--- a/keelbridge/daemon/leader_session.h
+++ b/keelbridge/daemon/leader_session.h
@@ -23,7 +23,7 @@
 #include <string>
 #include <vector>
 
-#include "keelbridge/base/line_limit.h"
+#include "keelbridge/base/log_rate_limiter.h"
 #include "keelbridge/coordination/job_scheduler.h"
 #include "keelbridge/coordination/worker_list.h"
 #include "keelbridge/daemon/metrics.h"
--- a/keelbridge/daemon/relayed_orders.cc
+++ b/keelbridge/daemon/order_relay_client.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/daemon/relayed_orders.h"
+#include "keelbridge/daemon/order_relay_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/keelbridge/daemon/relayed_orders.h
+++ b/keelbridge/daemon/order_relay_client.h
@@ -14,8 +14,8 @@
 //   orders.SetNodes(nodes, own_capacity);
 //   orders.Start(worker, order, [](OrderReply reply) { ... });
 
-#ifndef KEELBRIDGE_DAEMON_RELAYED_ORDERS_H_
-#define KEELBRIDGE_DAEMON_RELAYED_ORDERS_H_
+#ifndef KEELBRIDGE_DAEMON_ORDER_RELAY_CLIENT_H_
+#define KEELBRIDGE_DAEMON_ORDER_RELAY_CLIENT_H_
 
 #include <json/json.h>
 
@@ -123,4 +123,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_DAEMON_RELAYED_ORDERS_H_
+#endif  // KEELBRIDGE_DAEMON_ORDER_RELAY_CLIENT_H_
--- a/keelbridge/daemon/relayed_orders_test.cc
+++ b/keelbridge/daemon/order_relay_client_test.cc
@@ -1,6 +1,6 @@
 // Orders through a relay, over real connections on loopback.
 
-#include "keelbridge/daemon/relayed_orders.h"
+#include "keelbridge/daemon/order_relay_client.h"
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "keelbridge/daemon/order_relay.h"
+#include "keelbridge/daemon/order_relay_server.h"
 
 namespace keelbridge {
 namespace {
--- a/keelbridge/daemon/order_relay.cc
+++ b/keelbridge/daemon/order_relay_server.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/daemon/order_relay.h"
+#include "keelbridge/daemon/order_relay_server.h"
 
 #include <utility>
 #include <vector>
@@ -7,7 +7,7 @@
 #include "keelbridge/base/clock.h"
 #include "keelbridge/base/json_reader.h"
 #include "keelbridge/base/logging.h"
-#include "keelbridge/daemon/relayed_orders.h"
+#include "keelbridge/daemon/order_relay_client.h"
 #include "keelbridge/transport/event_timer.h"
 
 namespace keelbridge {
--- a/keelbridge/daemon/order_relay.h
+++ b/keelbridge/daemon/order_relay_server.h
@@ -6,8 +6,8 @@
 //   OrderRelay relay(loop, workers, rpc);
 //   relay.Carry(params);  // of `kOrdersMethod`.
 
-#ifndef KEELBRIDGE_DAEMON_ORDER_RELAY_H_
-#define KEELBRIDGE_DAEMON_ORDER_RELAY_H_
+#ifndef KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
+#define KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
 
 #include <json/json.h>
 
@@ -55,4 +55,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_DAEMON_ORDER_RELAY_H_
+#endif  // KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
--- a/keelbridge/daemon/duty.cc
+++ b/keelbridge/daemon/periodic_task.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/daemon/duty.h"
+#include "keelbridge/daemon/periodic_task.h"
 
 #include <atomic>
 #include <caf/all.hpp>
--- a/keelbridge/daemon/duty.h
+++ b/keelbridge/daemon/periodic_task.h
@@ -8,8 +8,8 @@
 //   Duty* reader = host.Start("log_reader", absl::Milliseconds(500), [&] {
 //   ReadLog(); }); reader->Wake();
 
-#ifndef KEELBRIDGE_DAEMON_DUTY_H_
-#define KEELBRIDGE_DAEMON_DUTY_H_
+#ifndef KEELBRIDGE_DAEMON_PERIODIC_TASK_H_
+#define KEELBRIDGE_DAEMON_PERIODIC_TASK_H_
 
 #include <functional>
 #include <memory>
@@ -49,4 +49,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_DAEMON_DUTY_H_
+#endif  // KEELBRIDGE_DAEMON_PERIODIC_TASK_H_
--- a/keelbridge/daemon/site_node.h
+++ b/keelbridge/daemon/site_node.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "keelbridge/coordination/answer_times.h"
-#include "keelbridge/coordination/call_fate.h"
+#include "keelbridge/coordination/call_outcome.h"
 #include "keelbridge/coordination/earlier_leaders.h"
 #include "keelbridge/coordination/freshness.h"
 #include "keelbridge/coordination/site_election.h"
@@ -25,8 +25,8 @@
 #include "keelbridge/daemon/leader_session.h"
 #include "keelbridge/daemon/metrics.h"
 #include "keelbridge/daemon/node_settings.h"
-#include "keelbridge/daemon/order_relay.h"
-#include "keelbridge/daemon/relayed_orders.h"
+#include "keelbridge/daemon/order_relay_client.h"
+#include "keelbridge/daemon/order_relay_server.h"
 #include "keelbridge/daemon/store_failover.h"
 #include "keelbridge/transport/event_http_server.h"
 #include "keelbridge/transport/event_rpc.h"
--- a/keelbridge/daemon/worker_pool.h
+++ b/keelbridge/daemon/worker_pool.h
@@ -23,7 +23,7 @@
 #include "absl/base/thread_annotations.h"
 #include "absl/synchronization/mutex.h"
 #include "absl/time/time.h"
-#include "keelbridge/base/bounded_ring.h"
+#include "keelbridge/base/bounded_queue.h"
 #include "keelbridge/coordination/zone_scheduler.h"
 #include "keelbridge/protocol/platform_clients.h"
 
--- a/keelbridge/protocol/worker_life.cc
+++ b/keelbridge/protocol/worker_incarnation.cc
@@ -1,4 +1,4 @@
-#include "keelbridge/protocol/worker_life.h"
+#include "keelbridge/protocol/worker_incarnation.h"
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
--- a/keelbridge/protocol/worker_life.h
+++ b/keelbridge/protocol/worker_incarnation.h
@@ -8,8 +8,8 @@
 //   std::string id = WorkerLifeId({"i-7f3a", 1791525600123});
 //   WorkerLife life = ParseWorkerLife(id);  // "i-7f3a@1791525600123"
 
-#ifndef KEELBRIDGE_PROTOCOL_WORKER_LIFE_H_
-#define KEELBRIDGE_PROTOCOL_WORKER_LIFE_H_
+#ifndef KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
+#define KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
 
 #include <cstdint>
 #include <string>
@@ -28,4 +28,4 @@
 
 }  // namespace keelbridge
 
-#endif  // KEELBRIDGE_PROTOCOL_WORKER_LIFE_H_
+#endif  // KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
--- a/keelbridge/transport/event_http_client.cc
+++ b/keelbridge/transport/event_http_client.cc
@@ -17,7 +17,7 @@
 #include "keelbridge/base/clock.h"
 #include "keelbridge/base/logging.h"
 #include "keelbridge/transport/event_timer.h"
-#include "keelbridge/transport/read_at_once.h"
+#include "keelbridge/transport/read_available.h"
 
 namespace keelbridge {
 namespace {
--- a/keelbridge/transport/read_at_once.h
+++ b/keelbridge/transport/read_available.h
@@ -7,8 +7,8 @@
 //   beast::error_code error = internal::ReadAtOnce(socket, buffer, parser, 64);
 //   if (!error && !parser.is_done()) ...  // The rest is not there yet.
 
-#ifndef KEELBRIDGE_TRANSPORT_READ_AT_ONCE_H_
-#define KEELBRIDGE_TRANSPORT_READ_AT_ONCE_H_
+#ifndef KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
+#define KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
 
 #include <boost/asio/error.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -36,4 +36,4 @@
 
 }  // namespace keelbridge::internal
 
-#endif  // KEELBRIDGE_TRANSPORT_READ_AT_ONCE_H_
+#endif  // KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
--- a/testing/capacity_benchmark.cc
+++ b/testing/capacity_benchmark.cc
@@ -6,7 +6,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "keelbridge/base/json_reader.h"
-#include "keelbridge/coordination/once.h"
+#include "keelbridge/coordination/idempotency.h"
 #include "keelbridge/protocol/configuration.h"
 #include "keelbridge/protocol/log_messages.h"
 #include "keelbridge/protocol/worker_messages.h"
--- a/testing/fakes/site_platform.cc
+++ b/testing/fakes/site_platform.cc
@@ -8,7 +8,7 @@
 #include "absl/strings/str_cat.h"
 #include "keelbridge/base/clock.h"
 #include "keelbridge/base/json_reader.h"
-#include "keelbridge/protocol/worker_life.h"
+#include "keelbridge/protocol/worker_incarnation.h"
 #include "testing/fakes/foreign_entries.h"
 
 namespace keelbridge::testing {
--- a/testing/fuzz/worker_record_fuzzer.cc
+++ b/testing/fuzz/worker_record_fuzzer.cc
@@ -1,7 +1,7 @@
 // A worker's record, as it stands in the workers' stream: any text is read or
 // refused.
 
-#include "keelbridge/protocol/worker_life.h"
+#include "keelbridge/protocol/worker_incarnation.h"
 #include "platform/dialect.h"
 #include "testing/fuzz/fuzz_check.h"
 
--- a/testing/gateway_hop_main.cc
+++ b/testing/gateway_hop_main.cc
@@ -11,7 +11,7 @@
 #include "absl/flags/parse.h"
 #include "absl/strings/str_cat.h"
 #include "absl/time/clock.h"
-#include "testing/support/small_cell.h"
+#include "testing/support/zone_test_cluster.h"
 
 ABSL_FLAG(int, requests, 2000, "requests each way");
 
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -18,7 +18,7 @@
 #include "absl/strings/str_cat.h"
 #include "absl/time/clock.h"
 #include "keelbridge/protocol/verdict.h"
-#include "testing/support/small_cell.h"
+#include "testing/support/zone_test_cluster.h"
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/site_cut_test.cc
+++ b/testing/site_cut_test.cc
@@ -12,7 +12,7 @@
 #include "absl/time/clock.h"
 #include "keelbridge/protocol/job.h"
 #include "testing/support/configuration_check.h"
-#include "testing/support/site_cell.h"
+#include "testing/support/site_test_cluster.h"
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/site_process_test.cc
+++ b/testing/site_process_test.cc
@@ -11,8 +11,8 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_join.h"
 #include "absl/time/clock.h"
-#include "testing/support/site_cell.h"
-#include "testing/support/small_cell.h"
+#include "testing/support/site_test_cluster.h"
+#include "testing/support/zone_test_cluster.h"
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/site_restart_test.cc
+++ b/testing/site_restart_test.cc
@@ -7,7 +7,7 @@
 
 #include "absl/strings/str_join.h"
 #include "absl/time/clock.h"
-#include "testing/support/site_cell.h"
+#include "testing/support/site_test_cluster.h"
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/site_silence_test.cc
+++ b/testing/site_silence_test.cc
@@ -12,7 +12,7 @@
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
 #include "absl/time/clock.h"
-#include "testing/support/site_cell.h"
+#include "testing/support/site_test_cluster.h"
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/support/configuration_check.h
+++ b/testing/support/configuration_check.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "absl/time/time.h"
-#include "testing/support/node_touch.h"
+#include "testing/support/node_disturbances.h"
 
 namespace keelbridge::testing {
 
--- a/testing/support/node_touch.cc
+++ b/testing/support/node_disturbances.cc
@@ -1,4 +1,4 @@
-#include "testing/support/node_touch.h"
+#include "testing/support/node_disturbances.h"
 
 #include "absl/time/clock.h"
 
--- a/testing/support/node_touch.h
+++ b/testing/support/node_disturbances.h
@@ -5,8 +5,8 @@
 //   touch.Disturb(2);
 //   touch.Restore(2);  // In touch from now on.
 
-#ifndef KEELBRIDGE_TESTING_SUPPORT_NODE_TOUCH_H_
-#define KEELBRIDGE_TESTING_SUPPORT_NODE_TOUCH_H_
+#ifndef KEELBRIDGE_TESTING_SUPPORT_NODE_DISTURBANCES_H_
+#define KEELBRIDGE_TESTING_SUPPORT_NODE_DISTURBANCES_H_
 
 #include <cstdint>
 #include <mutex>
@@ -45,4 +45,4 @@
 
 }  // namespace keelbridge::testing
 
-#endif  // KEELBRIDGE_TESTING_SUPPORT_NODE_TOUCH_H_
+#endif  // KEELBRIDGE_TESTING_SUPPORT_NODE_DISTURBANCES_H_
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "absl/strings/str_cat.h"
-#include "keelbridge/protocol/worker_life.h"
+#include "keelbridge/protocol/worker_incarnation.h"
 #include "keelbridge/state/known_workers.h"
 
 namespace keelbridge::testing {
--- a/testing/support/site_soak.cc
+++ b/testing/support/site_soak.cc
@@ -9,12 +9,12 @@
 #include "absl/time/clock.h"
 #include "keelbridge/protocol/job.h"
 #include "testing/support/configuration_check.h"
-#include "testing/support/node_touch.h"
-#include "testing/support/site_cell.h"
+#include "testing/support/node_disturbances.h"
+#include "testing/support/site_test_cluster.h"
+#include "testing/support/soak_fault_injector.h"
 #include "testing/support/soak_jobs.h"
+#include "testing/support/soak_monitor.h"
 #include "testing/support/soak_record.h"
-#include "testing/support/soak_troubles.h"
-#include "testing/support/soak_watch.h"
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/support/site_cell.cc
+++ b/testing/support/site_test_cluster.cc
@@ -1,4 +1,4 @@
-#include "testing/support/site_cell.h"
+#include "testing/support/site_test_cluster.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/testing/support/site_cell.h
+++ b/testing/support/site_test_cluster.h
@@ -6,8 +6,8 @@
 //   CHECK(cell.SubmitAnywhere(1, SiteCell::OneStep(2, 300)));
 //   CHECK(cell.AwaitState(1, "completed"));
 
-#ifndef KEELBRIDGE_TESTING_SUPPORT_SITE_CELL_H_
-#define KEELBRIDGE_TESTING_SUPPORT_SITE_CELL_H_
+#ifndef KEELBRIDGE_TESTING_SUPPORT_SITE_TEST_CLUSTER_H_
+#define KEELBRIDGE_TESTING_SUPPORT_SITE_TEST_CLUSTER_H_
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
@@ -133,4 +133,4 @@
 
 }  // namespace keelbridge::testing
 
-#endif  // KEELBRIDGE_TESTING_SUPPORT_SITE_CELL_H_
+#endif  // KEELBRIDGE_TESTING_SUPPORT_SITE_TEST_CLUSTER_H_
--- a/testing/support/soak_troubles.cc
+++ b/testing/support/soak_fault_injector.cc
@@ -1,4 +1,4 @@
-#include "testing/support/soak_troubles.h"
+#include "testing/support/soak_fault_injector.h"
 
 #include <algorithm>
 #include <csignal>
--- a/testing/support/soak_troubles.h
+++ b/testing/support/soak_fault_injector.h
@@ -4,8 +4,8 @@
 //   SoakTroubles troubles(cell, touch, configurations, record, options);
 //   troubles.Play();  // Takes about `options.length`.
 
-#ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_TROUBLES_H_
-#define KEELBRIDGE_TESTING_SUPPORT_SOAK_TROUBLES_H_
+#ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_FAULT_INJECTOR_H_
+#define KEELBRIDGE_TESTING_SUPPORT_SOAK_FAULT_INJECTOR_H_
 
 #include <functional>
 #include <mutex>
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "testing/support/configuration_check.h"
-#include "testing/support/node_touch.h"
-#include "testing/support/site_cell.h"
+#include "testing/support/node_disturbances.h"
 #include "testing/support/site_soak.h"
+#include "testing/support/site_test_cluster.h"
 #include "testing/support/soak_jobs.h"
 #include "testing/support/soak_record.h"
 
@@ -154,4 +154,4 @@
 
 }  // namespace keelbridge::testing
 
-#endif  // KEELBRIDGE_TESTING_SUPPORT_SOAK_TROUBLES_H_
+#endif  // KEELBRIDGE_TESTING_SUPPORT_SOAK_FAULT_INJECTOR_H_
--- a/testing/support/soak_watch.cc
+++ b/testing/support/soak_monitor.cc
@@ -1,4 +1,4 @@
-#include "testing/support/soak_watch.h"
+#include "testing/support/soak_monitor.h"
 
 #include <algorithm>
 #include <memory>
--- a/testing/support/soak_watch.h
+++ b/testing/support/soak_monitor.h
@@ -8,8 +8,8 @@
 //   ...
 //   watch.Stop();
 
-#ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_WATCH_H_
-#define KEELBRIDGE_TESTING_SUPPORT_SOAK_WATCH_H_
+#ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_MONITOR_H_
+#define KEELBRIDGE_TESTING_SUPPORT_SOAK_MONITOR_H_
 
 #include <atomic>
 #include <cstdint>
@@ -19,8 +19,8 @@
 #include <vector>
 
 #include "testing/support/configuration_check.h"
-#include "testing/support/node_touch.h"
-#include "testing/support/site_cell.h"
+#include "testing/support/node_disturbances.h"
+#include "testing/support/site_test_cluster.h"
 #include "testing/support/soak_jobs.h"
 #include "testing/support/soak_record.h"
 
@@ -68,4 +68,4 @@
 
 }  // namespace keelbridge::testing
 
-#endif  // KEELBRIDGE_TESTING_SUPPORT_SOAK_WATCH_H_
+#endif  // KEELBRIDGE_TESTING_SUPPORT_SOAK_MONITOR_H_
--- a/testing/support/soak_state_test.cc
+++ b/testing/support/soak_state_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "absl/time/clock.h"
-#include "testing/support/node_touch.h"
+#include "testing/support/node_disturbances.h"
 #include "testing/support/soak_jobs.h"
 #include "testing/support/soak_record.h"
 
--- a/testing/support/small_cell.cc
+++ b/testing/support/zone_test_cluster.cc
@@ -1,4 +1,4 @@
-#include "testing/support/small_cell.h"
+#include "testing/support/zone_test_cluster.h"
 
 #include <csignal>
 #include <cstdlib>
--- a/testing/support/small_cell.h
+++ b/testing/support/zone_test_cluster.h
@@ -5,8 +5,8 @@
 //   cell.Publish();
 //   cell.AwaitLeader();
 
-#ifndef KEELBRIDGE_TESTING_SUPPORT_SMALL_CELL_H_
-#define KEELBRIDGE_TESTING_SUPPORT_SMALL_CELL_H_
+#ifndef KEELBRIDGE_TESTING_SUPPORT_ZONE_TEST_CLUSTER_H_
+#define KEELBRIDGE_TESTING_SUPPORT_ZONE_TEST_CLUSTER_H_
 
 #include <functional>
 #include <memory>
@@ -93,4 +93,4 @@
 
 }  // namespace keelbridge::testing
 
-#endif  // KEELBRIDGE_TESTING_SUPPORT_SMALL_CELL_H_
+#endif  // KEELBRIDGE_TESTING_SUPPORT_ZONE_TEST_CLUSTER_H_
