--- a/cmd/keelbridge_main.cc
+++ b/cmd/keelbridge_main.cc
@@ -31,7 +31,7 @@
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(keelbridge::cli::Usage());
-  const std::vector<char*> rest = absl::ParseCommandLine(argc, argv);
+  const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
   keelbridge::cli::Options options;
   options.json = absl::GetFlag(FLAGS_json);
   options.log = absl::GetFlag(FLAGS_log);
@@ -47,6 +47,7 @@
   options.timeout = absl::GetFlag(FLAGS_timeout);
   options.follow = absl::GetFlag(FLAGS_follow);
   options.yes = absl::GetFlag(FLAGS_yes);
-  const std::vector<std::string> words(rest.begin() + 1, rest.end());
-  return keelbridge::cli::RunCommand(words, options, std::cout, std::cerr);
+  const std::vector<std::string> arguments(positional.begin() + 1,
+                                           positional.end());
+  return keelbridge::cli::RunCommand(arguments, options, std::cout, std::cerr);
 }
--- a/cmd/keelbridge_node_main.cc
+++ b/cmd/keelbridge_node_main.cc
@@ -70,15 +70,15 @@
   boost::asio::signal_set stop(loop, SIGTERM, SIGINT);
   boost::asio::signal_set reload(loop, SIGHUP);
   keelbridge::EventRpcClient rpc(loop);
-  keelbridge::StoreFailover carrier(loop, settings.value().store, rpc);
+  keelbridge::StoreFailover store_failover(loop, settings.value().store, rpc);
   keelbridge::StoreLongPolls long_polls(loop, settings.value().store);
-  platform::LogStore store(carrier, long_polls);
-  platform::Workers workers(loop);
-  platform::Advice advice(loop, settings.value().advice);
+  platform::LogStore store(store_failover, long_polls);
+  platform::HttpWorkerOrders workers(loop);
+  platform::HttpAdviceService advice(loop, settings.value().advice);
   const platform::Dialect dialect;
   keelbridge::SiteNode node(loop, settings.value(),
-                            {&store, &workers, &advice, &dialect}, carrier,
-                            rpc);
+                            {&store, &workers, &advice, &dialect},
+                            store_failover, rpc);
   if (auto started = node.Start(); !started) {
     std::cerr << started.error().message << "\n";
     return keelbridge::kExitFailed;
--- a/keelbridge/base/bounded_queue.h
+++ b/keelbridge/base/bounded_queue.h
@@ -3,7 +3,7 @@
 // `Push` never waits: a full ring answers false, and the caller gives a verdict
 // at once in place of holding work that nobody will reach in time.
 //
-//   BoundedRing<Event> ring(1024);
+//   BoundedQueue<Event> ring(1024);
 //   if (!ring.Push(std::move(event))) return Overloaded();
 //   for (Event& e : ring.Drain(64)) Handle(e);
 
@@ -22,9 +22,9 @@
 
 // Any number of producers and consumers. Thread-safe.
 template <typename T>
-class BoundedRing {
+class BoundedQueue {
  public:
-  explicit BoundedRing(size_t capacity) : items_(capacity) {}
+  explicit BoundedQueue(size_t capacity) : items_(capacity) {}
 
   // False when the ring is full or closed; `item` is then dropped.
   bool Push(T item) ABSL_LOCKS_EXCLUDED(mutex_) {
@@ -35,19 +35,19 @@
   }
 
   // Takes up to `most` items without waiting.
-  std::vector<T> Drain(size_t most) ABSL_LOCKS_EXCLUDED(mutex_) {
+  std::vector<T> Drain(size_t max_items) ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
-    return TakeLocked(most);
+    return TakeLocked(max_items);
   }
 
   // Waits up to `wait` for the first item, then takes up to `most`. Empty when
   // time ran out or the ring closed.
-  std::vector<T> WaitAndDrain(size_t most, absl::Duration wait)
+  std::vector<T> WaitAndDrain(size_t max_items, absl::Duration wait)
       ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
-    mutex_.AwaitWithTimeout(absl::Condition(this, &BoundedRing::ReadyLocked),
+    mutex_.AwaitWithTimeout(absl::Condition(this, &BoundedQueue::ReadyLocked),
                             wait);
-    return TakeLocked(most);
+    return TakeLocked(max_items);
   }
 
   // Refuses further items and wakes all that wait; what is inside can still be
@@ -57,7 +57,7 @@
     closed_ = true;
   }
 
-  bool Closed() const ABSL_LOCKS_EXCLUDED(mutex_) {
+  bool ClosedAndEmpty() const ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
     return closed_ && items_.empty();
   }
@@ -67,9 +67,10 @@
     return closed_ || !items_.empty();
   }
 
-  std::vector<T> TakeLocked(size_t most) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+  std::vector<T> TakeLocked(size_t max_items)
+      ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     std::vector<T> out;
-    while (!items_.empty() && out.size() < most) {
+    while (!items_.empty() && out.size() < max_items) {
       out.push_back(std::move(items_.front()));
       items_.pop_front();
     }
--- a/keelbridge/base/clock.cc
+++ b/keelbridge/base/clock.cc
@@ -21,7 +21,7 @@
                         suspended_for_test_ns.load(std::memory_order_relaxed)));
 }
 
-void BootClock::SuspendForTest(absl::Duration time) {
+void BootClock::SimulateSuspensionForTest(absl::Duration time) {
   suspended_for_test_ns += absl::ToInt64Nanoseconds(time);
 }
 
--- a/keelbridge/base/clock.h
+++ b/keelbridge/base/clock.h
@@ -29,7 +29,7 @@
 
   // As if the machine were suspended for `time`: what std::chrono::steady_clock
   // tells stays as it is. For tests.
-  static void SuspendForTest(absl::Duration time);
+  static void SimulateSuspensionForTest(absl::Duration time);
 };
 
 struct Now {
--- a/keelbridge/base/clock_test.cc
+++ b/keelbridge/base/clock_test.cc
@@ -15,10 +15,10 @@
   timespec after{};
   clock_gettime(CLOCK_BOOTTIME, &after);
   // Other tests may have played suspensions: the process is some of them ahead.
-  BootClock::SuspendForTest(absl::Seconds(3));
-  const absl::Duration moved = SystemNow().mono - read;
-  CHECK(moved >= absl::Seconds(3));
-  CHECK(moved < absl::Seconds(4));
+  BootClock::SimulateSuspensionForTest(absl::Seconds(3));
+  const absl::Duration elapsed = SystemNow().mono - read;
+  CHECK(elapsed >= absl::Seconds(3));
+  CHECK(elapsed < absl::Seconds(4));
   CHECK(read >= absl::TimeFromTimespec(before));
   CHECK(SystemNow().mono >= absl::TimeFromTimespec(after));
 }
--- a/keelbridge/base/json_reader.cc
+++ b/keelbridge/base/json_reader.cc
@@ -13,17 +13,17 @@
 namespace {
 
 // Deeper texts are refused before they cost stack.
-constexpr int kDeepestNesting = 32;
-constexpr size_t kLongestValueShown = 60;
+constexpr int kMaxNesting = 32;
+constexpr size_t kMaxShownValueBytes = 60;
 
-std::string Shown(const Json::Value& value) {
+std::string Abbreviate(const Json::Value& value) {
   std::string text = ToJsonText(value);
-  if (text.size() > kLongestValueShown)
-    text = text.substr(0, kLongestValueShown) + "...";
+  if (text.size() > kMaxShownValueBytes)
+    text = text.substr(0, kMaxShownValueBytes) + "...";
   return text;
 }
 
-std::string OneLine(std::string text) {
+std::string JoinLines(std::string text) {
   std::replace(text.begin(), text.end(), '\n', ' ');
   return text;
 }
@@ -36,7 +36,7 @@
   builder["failIfExtra"] = true;
   builder["rejectDupKeys"] = true;
   builder["allowSpecialFloats"] = false;
-  builder["stackLimit"] = kDeepestNesting;
+  builder["stackLimit"] = kMaxNesting;
   return std::unique_ptr<Json::CharReader>(builder.newCharReader());
 }
 
@@ -67,12 +67,12 @@
     const char* begin = document.text_.data();
     ok = reader->parse(begin, begin + document.text_.size(), &root, &errors);
   } catch (const Json::Exception& e) {
-    errors = absl::StrCat(e.what(), " (deeper than ", kDeepestNesting,
+    errors = absl::StrCat(e.what(), " (deeper than ", kMaxNesting,
                           " levels, or a number out of range)");
   }
   if (!ok) {
-    document.faults_.push_back(
-        absl::StrCat(document.source_, ": not valid JSON: ", OneLine(errors)));
+    document.faults_.push_back(absl::StrCat(
+        document.source_, ": not valid JSON: ", JoinLines(errors)));
   } else if (!root.isObject()) {
     document.faults_.push_back(
         absl::StrCat(document.source_, ": line 1: must be an object {...}"));
@@ -86,7 +86,7 @@
   return MakeError(ErrorCode::kInvalid, absl::StrJoin(faults_, "\n"));
 }
 
-int JsonDocument::LineOf(ptrdiff_t offset) const {
+int JsonDocument::LineNumberAt(ptrdiff_t offset) const {
   const auto end =
       std::min<ptrdiff_t>(offset, static_cast<ptrdiff_t>(text_.size()));
   return 1 +
@@ -95,8 +95,9 @@
 
 void JsonDocument::AddFault(const Json::Value& at, const std::string& key,
                             const std::string& what) {
-  faults_.push_back(absl::StrCat(
-      source_, ": line ", LineOf(at.getOffsetStart()), ": ", key, ": ", what));
+  faults_.push_back(absl::StrCat(source_, ": line ",
+                                 LineNumberAt(at.getOffsetStart()), ": ", key,
+                                 ": ", what));
 }
 
 JsonReader::JsonReader(JsonDocument& document, const Json::Value& object,
@@ -105,7 +106,7 @@
 
 const Json::Value* JsonReader::Find(const std::string& key,
                                     const char* allowed) {
-  known_.insert(key);
+  requested_keys_.insert(key);
   const Json::Value* value = object_.find(key.data(), key.data() + key.size());
   if (value == nullptr)
     document_.AddFault(object_, path_ + key,
@@ -113,95 +114,95 @@
   return value;
 }
 
-void JsonReader::Fault(const std::string& key, const std::string& what) {
+void JsonReader::ReportFault(const std::string& key, const std::string& what) {
   const Json::Value* value = object_.find(key.data(), key.data() + key.size());
   const Json::Value& at = value == nullptr ? object_ : *value;
   const std::string shown =
-      value == nullptr ? "" : absl::StrCat("is ", Shown(*value), "; ");
+      value == nullptr ? "" : absl::StrCat("is ", Abbreviate(*value), "; ");
   document_.AddFault(at, path_ + key, shown + what);
 }
 
-void JsonReader::Text(const std::string& key, std::string* out) {
+void JsonReader::String(const std::string& key, std::string* out) {
   const Json::Value* value = Find(key, "a text that is not empty");
   if (value == nullptr) return;
   if (!value->isString() || value->asString().empty())
-    return Fault(key, "must be a text that is not empty");
+    return ReportFault(key, "must be a text that is not empty");
   *out = value->asString();
 }
 
-void JsonReader::Choice(const std::string& key,
-                        const std::vector<std::string>& allowed,
-                        std::string* out) {
+void JsonReader::OneOf(const std::string& key,
+                       const std::vector<std::string>& allowed,
+                       std::string* out) {
   const std::string list = absl::StrJoin(allowed, ", ");
   const Json::Value* value = Find(key, absl::StrCat("one of ", list).c_str());
   if (value == nullptr) return;
   if (!value->isString() || std::find(allowed.begin(), allowed.end(),
                                       value->asString()) == allowed.end()) {
-    return Fault(key, absl::StrCat("must be one of ", list));
+    return ReportFault(key, absl::StrCat("must be one of ", list));
   }
   *out = value->asString();
 }
 
-void JsonReader::Integer(const std::string& key, int64_t least, int64_t most,
-                         int64_t* out) {
+void JsonReader::Integer(const std::string& key, int64_t min_value,
+                         int64_t max_value, int64_t* out) {
   const std::string allowed =
-      absl::StrCat("a whole number from ", least, " to ", most);
+      absl::StrCat("a whole number from ", min_value, " to ", max_value);
   const Json::Value* value = Find(key, allowed.c_str());
   if (value == nullptr) return;
-  if (!value->isInt64() || value->asInt64() < least ||
-      value->asInt64() > most) {
-    return Fault(key, "must be " + allowed);
+  if (!value->isInt64() || value->asInt64() < min_value ||
+      value->asInt64() > max_value) {
+    return ReportFault(key, "must be " + allowed);
   }
   *out = value->asInt64();
 }
 
-void JsonReader::Number(const std::string& key, double least, double most,
-                        double* out) {
+void JsonReader::Number(const std::string& key, double min_value,
+                        double max_value, double* out) {
   const std::string allowed =
-      absl::StrCat("a number from ", least, " to ", most);
+      absl::StrCat("a number from ", min_value, " to ", max_value);
   const Json::Value* value = Find(key, allowed.c_str());
   if (value == nullptr) return;
-  const bool in_range = value->isNumeric() &&
-                        std::isfinite(value->asDouble()) &&
-                        value->asDouble() >= least && value->asDouble() <= most;
-  if (!in_range) return Fault(key, "must be " + allowed);
+  const bool in_range =
+      value->isNumeric() && std::isfinite(value->asDouble()) &&
+      value->asDouble() >= min_value && value->asDouble() <= max_value;
+  if (!in_range) return ReportFault(key, "must be " + allowed);
   *out = value->asDouble();
 }
 
-void JsonReader::Flag(const std::string& key, bool* out) {
+void JsonReader::Bool(const std::string& key, bool* out) {
   const Json::Value* value = Find(key, "true or false");
   if (value == nullptr) return;
-  if (!value->isBool()) return Fault(key, "must be true or false");
+  if (!value->isBool()) return ReportFault(key, "must be true or false");
   *out = value->asBool();
 }
 
-void JsonReader::Each(const std::string& key,
-                      const std::function<void(JsonReader&)>& read) {
-  EachObject(key, [&read](JsonReader& reader) {
+void JsonReader::ObjectList(const std::string& key,
+                            const std::function<void(JsonReader&)>& read) {
+  ReadObjects(key, [&read](JsonReader& reader) {
     read(reader);
     reader.Finish();
   });
 }
 
-void JsonReader::OpenEach(const std::string& key,
-                          const std::function<void(JsonReader&)>& read) {
-  EachObject(key, read);
+void JsonReader::ExtensibleObjectList(
+    const std::string& key, const std::function<void(JsonReader&)>& read) {
+  ReadObjects(key, read);
 }
 
-void JsonReader::OpenObject(const std::string& key,
-                            const std::function<void(JsonReader&)>& read) {
+void JsonReader::ExtensibleObject(
+    const std::string& key, const std::function<void(JsonReader&)>& read) {
   const Json::Value* value = Find(key, "an object");
   if (value == nullptr) return;
-  if (!value->isObject()) return Fault(key, "must be an object");
+  if (!value->isObject()) return ReportFault(key, "must be an object");
   JsonReader reader(document_, *value, absl::StrCat(path_, key, "."));
   read(reader);
 }
 
-void JsonReader::EachObject(const std::string& key,
-                            const std::function<void(JsonReader&)>& read) {
+void JsonReader::ReadObjects(const std::string& key,
+                             const std::function<void(JsonReader&)>& read) {
   const Json::Value* value = Find(key, "a list of objects");
   if (value == nullptr) return;
-  if (!value->isArray()) return Fault(key, "must be a list of objects");
+  if (!value->isArray()) return ReportFault(key, "must be a list of objects");
   for (Json::ArrayIndex i = 0; i < value->size(); ++i) {
     const std::string path = absl::StrCat(path_, key, "[", i, "].");
     if (!(*value)[i].isObject()) {
@@ -213,52 +214,55 @@
   }
 }
 
-void JsonReader::Texts(const std::string& key, std::vector<std::string>* out) {
+void JsonReader::StringList(const std::string& key,
+                            std::vector<std::string>* out) {
   const Json::Value* value = Find(key, "a list of texts");
   if (value == nullptr) return;
-  if (!value->isArray()) return Fault(key, "must be a list of texts");
+  if (!value->isArray()) return ReportFault(key, "must be a list of texts");
   out->clear();
   for (const Json::Value& item : *value) {
     if (!item.isString() || item.asString().empty())
-      return Fault(key, "must hold only texts that are not empty");
+      return ReportFault(key, "must hold only texts that are not empty");
     out->push_back(item.asString());
   }
 }
 
-void JsonReader::OptionalText(const std::string& key, std::string* out) {
-  known_.insert(key);
-  if (Has(key)) Text(key, out);
+void JsonReader::OptionalString(const std::string& key, std::string* out) {
+  requested_keys_.insert(key);
+  if (Has(key)) String(key, out);
 }
 
-void JsonReader::OptionalInteger(const std::string& key, int64_t least,
-                                 int64_t most, int64_t* out) {
-  known_.insert(key);
-  if (Has(key)) Integer(key, least, most, out);
+void JsonReader::OptionalInteger(const std::string& key, int64_t min_value,
+                                 int64_t max_value, int64_t* out) {
+  requested_keys_.insert(key);
+  if (Has(key)) Integer(key, min_value, max_value, out);
 }
 
-void JsonReader::OptionalNumber(const std::string& key, double least,
-                                double most, double* out) {
-  known_.insert(key);
-  if (Has(key)) Number(key, least, most, out);
+void JsonReader::OptionalNumber(const std::string& key, double min_value,
+                                double max_value, double* out) {
+  requested_keys_.insert(key);
+  if (Has(key)) Number(key, min_value, max_value, out);
 }
 
-void JsonReader::OptionalFlag(const std::string& key, bool* out) {
-  known_.insert(key);
-  if (Has(key)) Flag(key, out);
+void JsonReader::OptionalBool(const std::string& key, bool* out) {
+  requested_keys_.insert(key);
+  if (Has(key)) Bool(key, out);
 }
 
-void JsonReader::OptionalMillis(const std::string& key, int64_t least,
-                                int64_t most, absl::Duration* out) {
+void JsonReader::OptionalMillis(const std::string& key, int64_t min_value,
+                                int64_t max_value, absl::Duration* out) {
   int64_t millis = absl::ToInt64Milliseconds(*out);
-  OptionalInteger(key, least, most, &millis);
+  OptionalInteger(key, min_value, max_value, &millis);
   *out = absl::Milliseconds(millis);
 }
 
 void JsonReader::Finish() {
-  std::vector<std::string> known(known_.begin(), known_.end());
+  std::vector<std::string> known(requested_keys_.begin(),
+                                 requested_keys_.end());
   for (const std::string& key : object_.getMemberNames()) {
-    if (known_.count(key) == 0)
-      Fault(key, "unknown key; known here: " + absl::StrJoin(known, ", "));
+    if (requested_keys_.count(key) == 0)
+      ReportFault(key,
+                  "unknown key; known here: " + absl::StrJoin(known, ", "));
   }
 }
 
--- a/keelbridge/base/json_reader.h
+++ b/keelbridge/base/json_reader.h
@@ -43,7 +43,7 @@
                 const std::string& what);
 
  private:
-  int LineOf(ptrdiff_t offset) const;
+  int LineNumberAt(ptrdiff_t offset) const;
 
   std::string text_;
   std::string source_;
@@ -59,51 +59,52 @@
              std::string path);
 
   // Required members. `out` keeps its value when the member is at fault.
-  void Text(const std::string& key, std::string* out);
-  void Choice(const std::string& key, const std::vector<std::string>& allowed,
-              std::string* out);
-  void Integer(const std::string& key, int64_t least, int64_t most,
+  void String(const std::string& key, std::string* out);
+  void OneOf(const std::string& key, const std::vector<std::string>& allowed,
+             std::string* out);
+  void Integer(const std::string& key, int64_t min_value, int64_t max_value,
                int64_t* out);
-  void Number(const std::string& key, double least, double most, double* out);
-  void Flag(const std::string& key, bool* out);
-  void Each(const std::string& key,
-            const std::function<void(JsonReader&)>& read);
-  void Texts(const std::string& key, std::vector<std::string>* out);
+  void Number(const std::string& key, double min_value, double max_value,
+              double* out);
+  void Bool(const std::string& key, bool* out);
+  void ObjectList(const std::string& key,
+                  const std::function<void(JsonReader&)>& read);
+  void StringList(const std::string& key, std::vector<std::string>* out);
   // The same of what others write, who may add members: unknown ones are no
   // faults.
-  void OpenObject(const std::string& key,
-                  const std::function<void(JsonReader&)>& read);
-  void OpenEach(const std::string& key,
-                const std::function<void(JsonReader&)>& read);
+  void ExtensibleObject(const std::string& key,
+                        const std::function<void(JsonReader&)>& read);
+  void ExtensibleObjectList(const std::string& key,
+                            const std::function<void(JsonReader&)>& read);
 
   // True when the member is there; the calls above may then read it.
   bool Has(const std::string& key) const { return object_.isMember(key); }
 
-  void OptionalText(const std::string& key, std::string* out);
-  void OptionalInteger(const std::string& key, int64_t least, int64_t most,
-                       int64_t* out);
-  void OptionalNumber(const std::string& key, double least, double most,
-                      double* out);
-  void OptionalFlag(const std::string& key, bool* out);
+  void OptionalString(const std::string& key, std::string* out);
+  void OptionalInteger(const std::string& key, int64_t min_value,
+                       int64_t max_value, int64_t* out);
+  void OptionalNumber(const std::string& key, double min_value,
+                      double max_value, double* out);
+  void OptionalBool(const std::string& key, bool* out);
   // The key must end in `_ms`.
-  void OptionalMillis(const std::string& key, int64_t least, int64_t most,
-                      absl::Duration* out);
+  void OptionalMillis(const std::string& key, int64_t min_value,
+                      int64_t max_value, absl::Duration* out);
 
   // Reports a fault of a member that was read but makes no sense.
-  void Fault(const std::string& key, const std::string& what);
+  void ReportFault(const std::string& key, const std::string& what);
 
   // Reports every member that nobody asked for. Call last.
   void Finish();
 
  private:
   const Json::Value* Find(const std::string& key, const char* allowed);
-  void EachObject(const std::string& key,
-                  const std::function<void(JsonReader&)>& read);
+  void ReadObjects(const std::string& key,
+                   const std::function<void(JsonReader&)>& read);
 
   JsonDocument& document_;
   const Json::Value& object_;
   std::string path_;
-  std::set<std::string> known_;
+  std::set<std::string> requested_keys_;
 };
 
 // The shortest text of `value`, keys in order, so that equal values give equal
--- a/keelbridge/base/line_writer.cc
+++ b/keelbridge/base/line_writer.cc
@@ -11,20 +11,21 @@
 namespace {
 
 // A pipe takes up to so many bytes whole or not at all (POSIX: PIPE_BUF).
-constexpr size_t kMostAtOnce = 4096;
-constexpr int kForever = -1;
+constexpr size_t kMaxAtomicWrite = 4096;
+constexpr int kNoTimeout = -1;
 
 // How much of `text` to write at once: whole lines where they fit.
-size_t PartLength(std::string_view text) {
-  if (text.size() <= kMostAtOnce) return text.size();
-  const size_t end = text.rfind('\n', kMostAtOnce - 1);
-  return end == std::string_view::npos ? kMostAtOnce : end + 1;
+size_t NextWriteLength(std::string_view text) {
+  if (text.size() <= kMaxAtomicWrite) return text.size();
+  const size_t end = text.rfind('\n', kMaxAtomicWrite - 1);
+  return end == std::string_view::npos ? kMaxAtomicWrite : end + 1;
 }
 
 // Writes all of `text`; gives up on a descriptor that is closed.
 void WriteAll(int descriptor, std::string_view text) {
   while (!text.empty()) {
-    const ssize_t written = write(descriptor, text.data(), PartLength(text));
+    const ssize_t written =
+        write(descriptor, text.data(), NextWriteLength(text));
     if (written > 0) {
       text.remove_prefix(static_cast<size_t>(written));
       continue;
@@ -32,7 +33,7 @@
     if (written < 0 && errno == EINTR) continue;
     if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       pollfd writable{descriptor, POLLOUT, 0};
-      poll(&writable, 1, kForever);
+      poll(&writable, 1, kNoTimeout);
       continue;
     }
     return;
@@ -43,18 +44,18 @@
 
 LineWriter::LineWriter(int descriptor, Options options)
     : options_(options), state_(std::make_shared<State>()) {
-  std::thread(Run, state_, descriptor, options.pause).detach();
+  std::thread(Run, state_, descriptor, options.flush_interval).detach();
 }
 
 LineWriter::~LineWriter() { Stop(absl::ZeroDuration()); }
 
 void LineWriter::Run(const std::shared_ptr<State>& state, int descriptor,
-                     absl::Duration pause) {
+                     absl::Duration flush_interval) {
   std::unique_lock<std::mutex> lock(state->mutex);
   for (;;) {
     state->changed.wait(
         lock, [&] { return state->stopping || !state->buffer.empty(); });
-    state->changed.wait_for(lock, absl::ToChronoNanoseconds(pause),
+    state->changed.wait_for(lock, absl::ToChronoNanoseconds(flush_interval),
                             [&] { return state->stopping; });
     const std::string lines = std::exchange(state->buffer, std::string());
     if (lines.empty() && state->stopping) break;
@@ -62,13 +63,13 @@
     WriteAll(descriptor, lines);
     lock.lock();
   }
-  state->ended = true;
+  state->thread_finished = true;
   state->changed.notify_all();
 }
 
 bool LineWriter::Add(std::string_view line) {
   const std::lock_guard<std::mutex> lock(state_->mutex);
-  if (state_->buffer.size() + line.size() + 1 > options_.most_bytes) {
+  if (state_->buffer.size() + line.size() + 1 > options_.max_buffer_bytes) {
     ++state_->dropped;
     return false;
   }
@@ -84,12 +85,12 @@
   return state_->dropped;
 }
 
-bool LineWriter::Stop(absl::Duration patience) {
+bool LineWriter::Stop(absl::Duration timeout) {
   std::unique_lock<std::mutex> lock(state_->mutex);
   state_->stopping = true;
   state_->changed.notify_all();
-  return state_->changed.wait_for(lock, absl::ToChronoNanoseconds(patience),
-                                  [&] { return state_->ended; });
+  return state_->changed.wait_for(lock, absl::ToChronoNanoseconds(timeout),
+                                  [&] { return state_->thread_finished; });
 }
 
 }  // namespace keelbridge
--- a/keelbridge/base/line_writer.h
+++ b/keelbridge/base/line_writer.h
@@ -26,8 +26,9 @@
 class LineWriter {
  public:
   struct Options {
-    size_t most_bytes = 256 << 10;  // About half a second of a busy leader.
-    absl::Duration pause = absl::Milliseconds(20);
+    size_t max_buffer_bytes = 256
+                              << 10;  // About half a second of a busy leader.
+    absl::Duration flush_interval = absl::Milliseconds(20);
   };
 
   // The descriptor must stay open for the process's life.
@@ -42,7 +43,7 @@
   int64_t dropped() const;
   // Writes what is left and ends the thread; false when that took longer than
   // `patience`, as nobody reads.
-  bool Stop(absl::Duration patience);
+  bool Stop(absl::Duration timeout);
 
  private:
   // Outlives the writer when its thread hangs in a write.
@@ -52,10 +53,10 @@
     std::string buffer;
     int64_t dropped = 0;
     bool stopping = false;
-    bool ended = false;
+    bool thread_finished = false;
   };
   static void Run(const std::shared_ptr<State>& state, int descriptor,
-                  absl::Duration pause);
+                  absl::Duration flush_interval);
 
   const Options options_;
   std::shared_ptr<State> state_;
--- a/keelbridge/base/line_writer_test.cc
+++ b/keelbridge/base/line_writer_test.cc
@@ -16,35 +16,35 @@
 
 std::string ReadAll(int descriptor) {
   std::string text;
-  std::array<char, 4096> part{};
+  std::array<char, 4096> buffer{};
   for (;;) {
-    const ssize_t got = read(descriptor, part.data(), part.size());
-    if (got <= 0) return text;
-    text.append(part.data(), static_cast<size_t>(got));
+    const ssize_t bytes_read = read(descriptor, buffer.data(), buffer.size());
+    if (bytes_read <= 0) return text;
+    text.append(buffer.data(), static_cast<size_t>(bytes_read));
   }
 }
 
 TEST_CASE("line writer: lines arrive whole and in order, the last ones too") {
-  std::array<int, 2> ends{};
-  REQUIRE(pipe(ends.data()) == 0);
-  LineWriter writer(ends[1], LineWriter::Options());
+  std::array<int, 2> pipe_fds{};
+  REQUIRE(pipe(pipe_fds.data()) == 0);
+  LineWriter writer(pipe_fds[1], LineWriter::Options());
   std::string expected;
   for (int i = 0; i < 100; ++i) {
     CHECK(writer.Add("line " + std::to_string(i)));
     expected += "line " + std::to_string(i) + "\n";
   }
   CHECK(writer.Stop(absl::Seconds(5)));
-  close(ends[1]);
-  CHECK(ReadAll(ends[0]) == expected);
-  close(ends[0]);
+  close(pipe_fds[1]);
+  CHECK(ReadAll(pipe_fds[0]) == expected);
+  close(pipe_fds[0]);
 }
 
 TEST_CASE("line writer: a descriptor that does not block loses nothing") {
-  std::array<int, 2> ends{};
-  REQUIRE(pipe2(ends.data(), O_NONBLOCK) == 0);
+  std::array<int, 2> pipe_fds{};
+  REQUIRE(pipe2(pipe_fds.data(), O_NONBLOCK) == 0);
   LineWriter::Options options;
-  options.most_bytes = 1 << 20;
-  LineWriter writer(ends[1], options);
+  options.max_buffer_bytes = 1 << 20;
+  LineWriter writer(pipe_fds[1], options);
   const std::string line(100, 'x');
   // More than the pipe takes at once.
   constexpr size_t kLines = 5000;
@@ -52,37 +52,37 @@
   std::string text;
   const absl::Time until = absl::Now() + absl::Seconds(10);
   while (text.size() < kLines * (line.size() + 1) && absl::Now() < until) {
-    text += ReadAll(ends[0]);
+    text += ReadAll(pipe_fds[0]);
     absl::SleepFor(absl::Milliseconds(1));
   }
   CHECK(text.size() == kLines * (line.size() + 1));
   CHECK(writer.Stop(absl::Seconds(5)));
-  close(ends[0]);
-  close(ends[1]);
+  close(pipe_fds[0]);
+  close(pipe_fds[1]);
 }
 
 TEST_CASE("line writer: a reader that stands still costs lines, never time") {
-  std::array<int, 2> ends{};
-  REQUIRE(pipe(ends.data()) == 0);
+  std::array<int, 2> pipe_fds{};
+  REQUIRE(pipe(pipe_fds.data()) == 0);
   LineWriter::Options options;
-  options.most_bytes = 8192;
-  options.pause = absl::ZeroDuration();
-  LineWriter writer(ends[1], options);
+  options.max_buffer_bytes = 8192;
+  options.flush_interval = absl::ZeroDuration();
+  LineWriter writer(pipe_fds[1], options);
   const std::string line(100, 'x');
-  absl::Duration longest;
+  absl::Duration max_add_duration;
   // The pipe and the buffer hold far less than this.
   for (int round = 0; round < 200; ++round) {
-    const absl::Time begun = absl::Now();
+    const absl::Time start_time = absl::Now();
     for (int i = 0; i < 50; ++i) writer.Add(line);
-    longest = std::max(longest, absl::Now() - begun);
+    max_add_duration = std::max(max_add_duration, absl::Now() - start_time);
     absl::SleepFor(absl::Milliseconds(1));
   }
-  CHECK(longest < absl::Seconds(1));
+  CHECK(max_add_duration < absl::Seconds(1));
   CHECK(writer.dropped() > 0);
   CHECK(!writer.Stop(absl::Milliseconds(50)));
   // The thread hangs in its write; closing the reader's end lets it go.
   signal(SIGPIPE, SIG_IGN);
-  close(ends[0]);
+  close(pipe_fds[0]);
 }
 
 }  // namespace
--- a/keelbridge/base/log_rate_limiter.h
+++ b/keelbridge/base/log_rate_limiter.h
@@ -1,6 +1,6 @@
 // Bounds the lines that are logged of one kind of event in a period.
 //
-//   LineLimit lines({.most = 5, .period = absl::Seconds(1)});
+//   LogRateLimiter lines({.most = 5, .period = absl::Seconds(1)});
 //   if (const auto left_out = lines.Take(now))
 //     LogEvent(..., {{"lines_left_out", absl::StrCat(*left_out)}});
 
@@ -16,24 +16,24 @@
 namespace keelbridge {
 
 // Of one thread.
-class LineLimit {
+class LogRateLimiter {
  public:
   struct Options {
-    int most = 5;  // Lines in a period.
+    int max_lines = 5;  // Lines in a period.
     absl::Duration period = absl::Seconds(1);
   };
 
-  LineLimit() : LineLimit(Options()) {}
-  explicit LineLimit(Options options) : options_(options) {}
+  LogRateLimiter() : LogRateLimiter(Options()) {}
+  explicit LogRateLimiter(Options options) : options_(options) {}
 
   // How many lines were left out since the last one that was not; none: this
   // one is left out, too.
   std::optional<int64_t> Take(absl::Time now) {
-    if (now - begun_ >= options_.period) {
-      begun_ = now;
+    if (now - period_start_ >= options_.period) {
+      period_start_ = now;
       written_ = 0;
     }
-    if (written_ >= options_.most) {
+    if (written_ >= options_.max_lines) {
       ++left_out_;
       return std::nullopt;
     }
@@ -43,7 +43,7 @@
 
  private:
   const Options options_;
-  absl::Time begun_ = absl::InfinitePast();
+  absl::Time period_start_ = absl::InfinitePast();
   int written_ = 0;
   int64_t left_out_ = 0;
 };
--- a/keelbridge/base/log_rate_limiter_test.cc
+++ b/keelbridge/base/log_rate_limiter_test.cc
@@ -7,10 +7,10 @@
 
 TEST_CASE("line limit: so many in a period, then the count left out") {
   const absl::Time begin = absl::UnixEpoch() + absl::Hours(1);
-  LineLimit::Options options;
-  options.most = 2;
+  LogRateLimiter::Options options;
+  options.max_lines = 2;
   options.period = absl::Seconds(1);
-  LineLimit lines(options);
+  LogRateLimiter lines(options);
   CHECK(lines.Take(begin) == 0);
   CHECK(lines.Take(begin) == 0);
   CHECK_FALSE(lines.Take(begin).has_value());
--- a/keelbridge/base/logging.cc
+++ b/keelbridge/base/logging.cc
@@ -30,7 +30,7 @@
 }
 
 // How long a process that ends waits for its last lines to be read.
-constexpr absl::Duration kStopPatience = absl::Milliseconds(200);
+constexpr absl::Duration kStopTimeout = absl::Milliseconds(200);
 
 LineWriter*& Writer() {
   static LineWriter* writer = nullptr;
@@ -64,7 +64,7 @@
 }  // namespace
 
 void InitLogging(const std::string& program, const std::string& name,
-                 Severity least) {
+                 Severity min_severity) {
   ProcessName() = program + "/" + name;
   logging::add_console_log(
       std::clog,
@@ -72,7 +72,8 @@
                                   << logging::expressions::smessage,
       logging::keywords::auto_flush = true);
   logging::core::get()->set_filter(
-      logging::expressions::attr<int>("Severity") >= static_cast<int>(least));
+      logging::expressions::attr<int>("Severity") >=
+      static_cast<int>(min_severity));
 }
 
 Severity SeverityFromName(const std::string& name) {
@@ -82,7 +83,7 @@
 }
 
 void InitBoundedLogging(const std::string& program, const std::string& name,
-                        Severity least) {
+                        Severity min_severity) {
   ProcessName() = program + "/" + name;
   Writer() = new LineWriter(STDOUT_FILENO, LineWriter::Options());
   auto sink =
@@ -91,7 +92,8 @@
                       << logging::expressions::smessage);
   logging::core::get()->add_sink(sink);
   logging::core::get()->set_filter(
-      logging::expressions::attr<int>("Severity") >= static_cast<int>(least));
+      logging::expressions::attr<int>("Severity") >=
+      static_cast<int>(min_severity));
 }
 
 int64_t DroppedLogLines() {
@@ -99,7 +101,7 @@
 }
 
 void StopLogging() {
-  if (Writer() != nullptr) Writer()->Stop(kStopPatience);
+  if (Writer() != nullptr) Writer()->Stop(kStopTimeout);
 }
 
 void LogEvent(Severity severity, const std::string& event,
--- a/keelbridge/base/logging.h
+++ b/keelbridge/base/logging.h
@@ -26,13 +26,13 @@
 // Names the process in each line and drops events below `least`. Call once,
 // before the first event.
 void InitLogging(const std::string& program, const std::string& name,
-                 Severity least);
+                 Severity min_severity);
 
 // Like `InitLogging`, for processes that must never wait for whoever reads
 // their log: lines go through a bounded ring to a writer of their own, on
 // standard output. What does not fit is dropped and counted.
 void InitBoundedLogging(const std::string& program, const std::string& name,
-                        Severity least);
+                        Severity min_severity);
 
 // Lines dropped so far because the ring was full.
 int64_t DroppedLogLines();
--- a/keelbridge/cli/command_context.cc
+++ b/keelbridge/cli/command_context.cc
@@ -15,11 +15,11 @@
 
 // Between two rounds of the schedulers: one that just took over needs about
 // that long.
-constexpr absl::Duration kAskAgain = absl::Milliseconds(200);
+constexpr absl::Duration kRetryDelay = absl::Milliseconds(200);
 
 }  // namespace
 
-int ExitCodeOf(const Error& error) {
+int ExitCodeFor(const Error& error) {
   switch (error.code) {
     case ErrorCode::kInvalid:
     case ErrorCode::kNotFound:
@@ -34,16 +34,16 @@
   }
 }
 
-int Fail(const Context& context, const Error& error) {
+int ReportError(const Context& context, const Error& error) {
   context.err << error.message << "\n";
   if (error.retry_after > absl::ZeroDuration()) {
     context.err << "try again in " << absl::FormatDuration(error.retry_after)
                 << "\n";
   }
-  return ExitCodeOf(error);
+  return ExitCodeFor(error);
 }
 
-int UsageFault(const Context& context, const std::string& what) {
+int ReportUsageError(const Context& context, const std::string& what) {
   context.err << what << "\nSee keelbridge --help.\n";
   return kExitBadInput;
 }
@@ -52,9 +52,10 @@
   context.out << ToJsonText(value) << "\n";
 }
 
-Result<Json::Value> CallOne(const std::string& address,
-                            const std::string& method,
-                            const Json::Value& params, absl::Duration timeout) {
+Result<Json::Value> CallDaemon(const std::string& address,
+                               const std::string& method,
+                               const Json::Value& params,
+                               absl::Duration timeout) {
   Result<Address> parsed = ParseAddress(address);
   if (!parsed) return parsed.error();
   RpcClient client(parsed.value());
@@ -70,18 +71,18 @@
                      "no scheduler given; name those of the zone with "
                      "--scheduler=IP:PORT,IP:PORT");
   }
-  const absl::Time most = SystemNow().mono + context.options.timeout;
+  const absl::Time deadline = SystemNow().mono + context.options.timeout;
   Error last;
   while (true) {
     for (const std::string& address : context.options.schedulers) {
       Result<Json::Value> answer =
-          CallOne(address, method, params, context.options.timeout);
+          CallDaemon(address, method, params, context.options.timeout);
       if (answer || answer.error().code != ErrorCode::kUnavailable)
         return answer;
       last = answer.error();
     }
-    if (SystemNow().mono >= most) return last;
-    absl::SleepFor(kAskAgain);
+    if (SystemNow().mono >= deadline) return last;
+    absl::SleepFor(kRetryDelay);
   }
 }
 
--- a/keelbridge/cli/command_context.h
+++ b/keelbridge/cli/command_context.h
@@ -26,17 +26,18 @@
 };
 
 // The exit code that tells of `error`.
-int ExitCodeOf(const Error& error);
+int ExitCodeFor(const Error& error);
 // Prints `error`, with when to come back if it says so; returns its exit code.
-int Fail(const Context& context, const Error& error);
+int ReportError(const Context& context, const Error& error);
 // Prints how the command is used; returns `kExitBadInput`.
-int UsageFault(const Context& context, const std::string& what);
+int ReportUsageError(const Context& context, const std::string& what);
 void PrintJson(const Context& context, const Json::Value& value);
 
 // Calls a method of the daemon at `address`, as a span of its own.
-Result<Json::Value> CallOne(const std::string& address,
-                            const std::string& method,
-                            const Json::Value& params, absl::Duration timeout);
+Result<Json::Value> CallDaemon(const std::string& address,
+                               const std::string& method,
+                               const Json::Value& params,
+                               absl::Duration timeout);
 // Asks the schedulers in turn until one can answer, for as long as the options
 // say. Anything but "cannot now" is an answer.
 Result<Json::Value> CallScheduler(const Context& context,
--- a/keelbridge/cli/command_list.h
+++ b/keelbridge/cli/command_list.h
@@ -13,25 +13,25 @@
 
 namespace keelbridge::cli {
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
 // configuration_commands.cc
-int Check(const Context& context, const Words& files);
-int Publish(const Context& context, const Words& files);
+int Check(const Context& context, const Arguments& files);
+int Publish(const Context& context, const Arguments& files);
 
 // plan_commands.cc
-int MakeAndShowPlan(const Context& context, const Words& files);
-int Confirm(const Context& context, const Words& files);
-int Drain(const Context& context, const Words& words);
+int MakeAndShowPlan(const Context& context, const Arguments& files);
+int Confirm(const Context& context, const Arguments& files);
+int Drain(const Context& context, const Arguments& arguments);
 
 // view_commands.cc
-int Explain(const Context& context, const Words& words);
-int Watch(const Context& context, const Words& words);
-int Status(const Context& context, const Words& words);
-int Top(const Context& context, const Words& words);
+int Explain(const Context& context, const Arguments& arguments);
+int Watch(const Context& context, const Arguments& arguments);
+int Status(const Context& context, const Arguments& arguments);
+int Top(const Context& context, const Arguments& arguments);
 
 // request_command.cc
-int Request(const Context& context, const Words& words);
+int Request(const Context& context, const Arguments& arguments);
 
 }  // namespace keelbridge::cli
 
--- a/keelbridge/cli/commands.cc
+++ b/keelbridge/cli/commands.cc
@@ -29,8 +29,8 @@
 --json prints for programs. --scheduler takes all schedulers of a zone, separated by commas.)";
 }
 
-int RunCommand(const std::vector<std::string>& words, const Options& options,
-               std::ostream& out, std::ostream& err) {
+int RunCommand(const std::vector<std::string>& arguments,
+               const Options& options, std::ostream& out, std::ostream& err) {
   using Command =
       std::function<int(const Context&, const std::vector<std::string>&)>;
   static const auto* commands = new std::map<std::string, Command>{
@@ -40,21 +40,21 @@
       {"request", Request},
   };
   const Context context{options, out, err};
-  if (words.empty()) return UsageFault(context, "no command given");
-  if (words[0] == "version") {
+  if (arguments.empty()) return ReportUsageError(context, "no command given");
+  if (arguments[0] == "version") {
     out << "keelbridge " << KEELBRIDGE_VERSION << "\n";
     return kExitOk;
   }
-  if (words[0] == "help") {
+  if (arguments[0] == "help") {
     out << Usage() << "\n";
     return kExitOk;
   }
-  const auto command = commands->find(words[0]);
+  const auto command = commands->find(arguments[0]);
   if (command == commands->end())
-    return UsageFault(context,
-                      absl::StrCat("there is no command \"", words[0], "\""));
-  return command->second(
-      context, std::vector<std::string>(words.begin() + 1, words.end()));
+    return ReportUsageError(
+        context, absl::StrCat("there is no command \"", arguments[0], "\""));
+  return command->second(context, std::vector<std::string>(
+                                      arguments.begin() + 1, arguments.end()));
 }
 
 }  // namespace keelbridge::cli
--- a/keelbridge/cli/commands.h
+++ b/keelbridge/cli/commands.h
@@ -44,8 +44,8 @@
 };
 
 // Runs one command and returns its exit code.
-int RunCommand(const std::vector<std::string>& words, const Options& options,
-               std::ostream& out, std::ostream& err);
+int RunCommand(const std::vector<std::string>& arguments,
+               const Options& options, std::ostream& out, std::ostream& err);
 
 // What `--help` says.
 const char* Usage();
--- a/keelbridge/cli/configuration_commands.cc
+++ b/keelbridge/cli/configuration_commands.cc
@@ -27,24 +27,24 @@
     Result<LogBatch> batch =
         log.Read(kConfigurationStream, state.next(), timeout);
     if (!batch) return false;
-    const bool end = batch.value().records.empty();
+    const bool at_end = batch.value().records.empty();
     state.OnBatch(batch.value());
-    if (state.CaughtUp() || end) return true;
+    if (state.CaughtUp() || at_end) return true;
   }
 }
 
 // The slowest of the configuration's entry hosts to have `version` in force, or
 // nothing when time ran out.
-std::optional<absl::Duration> WaitInForce(const Context& context,
-                                          const Configuration& configuration,
-                                          int64_t version) {
+std::optional<absl::Duration> WaitUntilInForce(
+    const Context& context, const Configuration& configuration,
+    int64_t version) {
   const absl::Time start = SystemNow().mono;
-  const Json::Value none(Json::objectValue);
+  const Json::Value no_params(Json::objectValue);
   for (const EntryHostConfig& host : configuration.entry_hosts) {
     for (const std::string& address : {host.gateway, host.scheduler}) {
       while (true) {
         Result<Json::Value> status =
-            CallOne(address, "status", none, absl::Seconds(1));
+            CallDaemon(address, "status", no_params, absl::Seconds(1));
         if (status &&
             status.value()["configuration_version"].asInt64() >= version)
           break;
@@ -59,15 +59,15 @@
 
 }  // namespace
 
-int Check(const Context& context, const Words& files) {
+int Check(const Context& context, const Arguments& files) {
   if (files.empty())
-    return UsageFault(context,
-                      "check FILE...: settings, configurations and intents");
+    return ReportUsageError(
+        context, "check FILE...: settings, configurations and intents");
   int exit_code = kExitOk;
   for (const std::string& file : files) {
     Result<std::string> text = ReadFile(file);
     if (!text) {
-      exit_code = Fail(context, text.error());
+      exit_code = ReportError(context, text.error());
       continue;
     }
     const JsonDocument document = JsonDocument::Parse(text.value(), file);
@@ -75,23 +75,23 @@
     std::string kind;
     if (document.root().isMember("intents")) {
       kind = "intents";
-      if (auto read = ParseIntents(text.value(), file); !read)
-        error = read.error();
+      if (auto parsed = ParseIntents(text.value(), file); !parsed)
+        error = parsed.error();
     } else if (document.root().isMember("deployment")) {
       kind = "configuration";
-      if (auto read = ParseConfiguration(text.value(), file); !read)
-        error = read.error();
+      if (auto parsed = ParseConfiguration(text.value(), file); !parsed)
+        error = parsed.error();
     } else if (document.root().isMember("client_listen")) {
       kind = "node settings";
-      if (auto read = ParseNodeSettings(text.value(), file); !read)
-        error = read.error();
+      if (auto parsed = ParseNodeSettings(text.value(), file); !parsed)
+        error = parsed.error();
     } else {
       kind = "settings";
-      if (auto read = ParseSettings(text.value(), file); !read)
-        error = read.error();
+      if (auto parsed = ParseSettings(text.value(), file); !parsed)
+        error = parsed.error();
     }
     if (error) {
-      exit_code = Fail(context, *error);
+      exit_code = ReportError(context, *error);
     } else {
       context.out << file << ": good " << kind << "\n";
     }
@@ -99,27 +99,27 @@
   return exit_code;
 }
 
-int Publish(const Context& context, const Words& files) {
-  if (files.size() != 1) return UsageFault(context, "publish FILE");
+int Publish(const Context& context, const Arguments& files) {
+  if (files.size() != 1) return ReportUsageError(context, "publish FILE");
   Result<std::string> text = ReadFile(files[0]);
-  if (!text) return Fail(context, text.error());
+  if (!text) return ReportError(context, text.error());
   Result<Configuration> configuration =
       ParseConfiguration(text.value(), files[0]);
-  if (!configuration) return Fail(context, configuration.error());
+  if (!configuration) return ReportError(context, configuration.error());
   Result<Address> address = ParseAddress(context.options.log);
-  if (!address) return Fail(context, address.error());
+  if (!address) return ReportError(context, address.error());
   LogClient log(address.value());
   ConfigurationState state;
   if (!ReadConfiguration(log, context.options.timeout, state)) {
-    return Fail(context,
-                MakeError(ErrorCode::kUnavailable,
-                          "the log does not answer; nothing was published",
-                          absl::Seconds(5)));
+    return ReportError(
+        context, MakeError(ErrorCode::kUnavailable,
+                           "the log does not answer; nothing was published",
+                           absl::Seconds(5)));
   }
-  std::string why;
+  std::string conflict;
   if (state.current().version >= 0 &&
-      !MajoritiesOverlap(state.current(), configuration.value(), &why)) {
-    return Fail(context, MakeError(ErrorCode::kInvalid, why));
+      !MajoritiesOverlap(state.current(), configuration.value(), &conflict)) {
+    return ReportError(context, MakeError(ErrorCode::kInvalid, conflict));
   }
   const Envelope envelope{
       {RandomId() >> 1, 1},
@@ -131,7 +131,7 @@
   for (int i = 0; !offset && i < 3; ++i)
     offset = log.Append(kConfigurationStream, record, context.options.timeout);
   if (!offset) {
-    return Fail(
+    return ReportError(
         context,
         MakeError(
             ErrorCode::kUnknown,
@@ -140,14 +140,14 @@
             absl::Seconds(5)));
   }
   if (!ReadConfiguration(log, context.options.timeout, state)) {
-    return Fail(
+    return ReportError(
         context,
         MakeError(
             ErrorCode::kUnknown,
             "appended, but the log does not answer a read; ask with status"));
   }
   if (state.current().text != text.value()) {
-    return Fail(
+    return ReportError(
         context,
         MakeError(ErrorCode::kStale,
                   absl::StrCat("another operator published first: version ",
@@ -158,7 +158,7 @@
   const int64_t version = state.current().version;
   context.out << "accepted as version " << version << "\n";
   const std::optional<absl::Duration> wait =
-      WaitInForce(context, configuration.value(), version);
+      WaitUntilInForce(context, configuration.value(), version);
   if (!wait) {
     context.out << "not yet in force on every entry host; see status\n";
     return kExitUnavailable;
--- a/keelbridge/cli/job_timeline.cc
+++ b/keelbridge/cli/job_timeline.cc
@@ -45,7 +45,7 @@
 }
 
 // The fields beyond those that every line has.
-std::string Rest(const Json::Value& fields) {
+std::string FormatOtherFields(const Json::Value& fields) {
   static const auto* common =
       new std::set<std::string>{"time", "severity", "process", "event", "job"};
   std::string out;
@@ -57,9 +57,9 @@
   return out;
 }
 
-std::string Sentence(const Json::Value& fields) {
+std::string DescribeEvent(const Json::Value& fields) {
   const std::string event = Field(fields, "event");
-  static const auto* words = new std::map<std::string, std::string>{
+  static const auto* descriptions = new std::map<std::string, std::string>{
       {"job_taken", "handed in"},
       {"job_refused", "refused"},
       {"call_given_up", "a call was given up"},
@@ -95,25 +95,25 @@
       {"worker_back", "the worker answers again"},
       {"worker_capacity", "a worker tells another capacity"},
       {"worker_suspected", "a worker gets no work for a while"}};
-  const auto found = words->find(event);
-  return found == words->end() ? event : found->second;
+  const auto found = descriptions->find(event);
+  return found == descriptions->end() ? event : found->second;
 }
 
-int64_t Number(const std::string& text) {
+int64_t ParseNumberOrZero(const std::string& text) {
   int64_t value = 0;
   return absl::SimpleAtoi(text, &value) ? value : 0;
 }
 
 }  // namespace
 
-JobStory::JobStory(JobId job) : job_(JobIdText(job)) {}
+JobTimeline::JobTimeline(JobId job) : job_(JobIdText(job)) {}
 
-void JobStory::AddLine(const std::string& line) {
+void JobTimeline::AddLine(const std::string& line) {
   const size_t begin = line.find('{');
   if (begin == std::string::npos) return;
   const bool names_job = absl::StrContains(line, job_);
-  const bool may_matter = names_job || absl::StrContains(line, "\"event\"");
-  if (!may_matter) return;
+  const bool may_be_event = names_job || absl::StrContains(line, "\"event\"");
+  if (!may_be_event) return;
   const JsonDocument document =
       JsonDocument::Parse(line.substr(begin), "log line");
   if (!document.faults().empty()) return;
@@ -123,14 +123,14 @@
   if (Field(fields, "job") == job_ ||
       absl::StartsWith(Field(fields, "task"), job_)) {
     if (fields.isMember("worker")) workers_.insert(Field(fields, "worker"));
-    lines_.push_back(std::move(out));
+    job_lines_.push_back(std::move(out));
   } else if (SiteEvents().count(event) + WorkerEvents().count(event) > 0) {
-    site_.push_back(std::move(out));
+    site_lines_.push_back(std::move(out));
   }
 }
 
-std::vector<JobStory::Line> JobStory::Relevant() const {
-  std::vector<Line> out = lines_;
+std::vector<JobTimeline::Line> JobTimeline::RelevantLines() const {
+  std::vector<Line> out = job_lines_;
   const auto by_time = [](const Line& a, const Line& b) {
     return a.time < b.time;
   };
@@ -138,11 +138,11 @@
   if (out.empty()) return out;
   const std::string from = out.front().time;
   const std::string to = out.back().time;
-  for (const Line& line : site_) {
+  for (const Line& line : site_lines_) {
     if (line.time < from || line.time > to) continue;
-    const bool of_worker =
+    const bool concerns_worker =
         WorkerEvents().count(Field(line.fields, "event")) > 0;
-    if (of_worker && workers_.count(Field(line.fields, "worker")) == 0)
+    if (concerns_worker && workers_.count(Field(line.fields, "worker")) == 0)
       continue;
     out.push_back(line);
   }
@@ -150,14 +150,14 @@
   return out;
 }
 
-std::vector<std::string> JobStory::Causes() const {
+std::vector<std::string> JobTimeline::Causes() const {
   std::vector<std::string> out;
   const auto add = [&out](std::string cause) {
     if (std::find(out.begin(), out.end(), cause) == out.end())
       out.push_back(std::move(cause));
   };
   std::string blocked;
-  for (const Line& line : Relevant()) {
+  for (const Line& line : RelevantLines()) {
     const Json::Value& f = line.fields;
     const std::string event = Field(f, "event");
     if (event == "job_ended" && Field(f, "end") == "failed")
@@ -189,18 +189,19 @@
                              " might still run it for an earlier leader");
     if (event == "recovered_work_free") blocked.clear();
     const bool start = event == "start_sent" || event == "start_kept";
-    if (start && Number(Field(f, "waited_ms")) >= 500)
+    if (start && ParseNumberOrZero(Field(f, "waited_ms")) >= 500)
       add(absl::StrCat("a task waited ", Field(f, "waited_ms"), " ms: ",
                        blocked.empty() ? "no cause was logged" : blocked));
   }
   return out;
 }
 
-std::string JobStory::Text() const {
+std::string JobTimeline::Text() const {
   std::string out;
-  for (const Line& line : Relevant())
+  for (const Line& line : RelevantLines())
     absl::StrAppend(&out, line.time, "  ", line.process, "  ",
-                    Sentence(line.fields), "  (", Rest(line.fields), ")\n");
+                    DescribeEvent(line.fields), "  (",
+                    FormatOtherFields(line.fields), ")\n");
   const std::vector<std::string> causes = Causes();
   absl::StrAppend(&out, causes.empty()
                             ? "Nothing went wrong that the logs tell of.\n"
--- a/keelbridge/cli/job_timeline.h
+++ b/keelbridge/cli/job_timeline.h
@@ -6,7 +6,7 @@
 // what the site went through meanwhile: changes of leader, lost stores, silent
 // workers.
 //
-//   JobStory story(job);
+//   JobTimeline story(job);
 //   story.AddLine(line);              // For each line of each log.
 //   out << story.Text();
 
@@ -23,13 +23,13 @@
 
 namespace keelbridge::cli {
 
-class JobStory {
+class JobTimeline {
  public:
-  explicit JobStory(JobId job);
+  explicit JobTimeline(JobId job);
 
   void AddLine(const std::string& line);
   // Whether any line named the job.
-  bool found() const { return !lines_.empty(); }
+  bool found() const { return !job_lines_.empty(); }
   // The way and, last, the causes that the lines name.
   std::string Text() const;
   // Only the causes, most telling first.
@@ -41,11 +41,11 @@
     std::string process;
     Json::Value fields;
   };
-  std::vector<Line> Relevant() const;
+  std::vector<Line> RelevantLines() const;
 
   const std::string job_;
-  std::vector<Line> lines_;  // That name the job.
-  std::vector<Line> site_;   // That tell of the site.
+  std::vector<Line> job_lines_;   // That name the job.
+  std::vector<Line> site_lines_;  // That tell of the site.
   std::set<std::string> workers_;
 };
 
--- a/keelbridge/cli/job_timeline_test.cc
+++ b/keelbridge/cli/job_timeline_test.cc
@@ -10,21 +10,21 @@
 constexpr JobId kJob = 0x5c0e7a21d94b36f8;
 
 TEST_CASE("job story: lines of many nodes are told in order, with causes") {
-  JobStory story(kJob);
+  JobTimeline timeline(kJob);
   // Out of order, one with a collector's prefix, one about another job.
-  story.AddLine(
+  timeline.AddLine(
       R"(node-b | {"time":"2026-01-01T00:00:05.000Z","process":"node/b","event":"job_ended","job":"5c0e7a21d94b36f8","end":"failed","why":"task 0 failed 3 times"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:01.000Z","process":"node/a","event":"job_taken","job":"5c0e7a21d94b36f8"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:03.000Z","process":"node/b","event":"term_active","epoch":"2"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:04.000Z","process":"node/b","event":"run_ended","task":"5c0e7a21d94b36f8.0.0.1","worker":"i-1","how":"failed"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:02.000Z","process":"node/a","event":"job_taken","job":"0000000000000001"})");
-  story.AddLine("not a log line {");
-  REQUIRE(story.found());
-  const std::string text = story.Text();
+  timeline.AddLine("not a log line {");
+  REQUIRE(timeline.found());
+  const std::string text = timeline.Text();
   CHECK(text.find("handed in") < text.find("the new leader serves"));
   CHECK(text.find("the new leader serves") < text.find("the job ended"));
   CHECK_FALSE(absl::StrContains(text, "0000000000000001"));
@@ -34,52 +34,52 @@
 }
 
 TEST_CASE("job story: only workers of the job's runs are told of") {
-  JobStory story(kJob);
-  story.AddLine(
+  JobTimeline timeline(kJob);
+  timeline.AddLine(
       R"({"time":"1","process":"a","event":"start_sent","task":"5c0e7a21d94b36f8.0.0.0","worker":"i-1","waited_ms":"900"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2","process":"a","event":"runs_lost","worker":"i-1","why":"its lease has passed"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2","process":"a","event":"runs_lost","worker":"i-2","why":"its lease has passed"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"3","process":"a","event":"run_ended","task":"5c0e7a21d94b36f8.0.0.0","worker":"i-3","how":"done"})");
-  const std::string text = story.Text();
+  const std::string text = timeline.Text();
   CHECK(absl::StrContains(text, "lost with worker i-1"));
   CHECK_FALSE(absl::StrContains(text, "i-2"));
   CHECK(absl::StrContains(text, "waited 900 ms"));
 }
 
 TEST_CASE("job story: a job that no line names is not found") {
-  JobStory story(kJob);
-  story.AddLine(R"({"time":"1","process":"a","event":"term_active"})");
-  CHECK_FALSE(story.found());
+  JobTimeline timeline(kJob);
+  timeline.AddLine(R"({"time":"1","process":"a","event":"term_active"})");
+  CHECK_FALSE(timeline.found());
 }
 
 TEST_CASE("job story: what was recovered waited for a silent worker") {
-  JobStory story(kJob);
-  story.AddLine(
+  JobTimeline timeline(kJob);
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:01.000Z","process":"node/a","event":"job_taken","job":"5c0e7a21d94b36f8"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:03.000Z","process":"node/b","event":"recovered_work_waits","tasks":"2","first":"0000000000000001.0.0.0","last_worker":"i-9"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:09.000Z","process":"node/b","event":"start_kept","task":"5c0e7a21d94b36f8.0.0.1","worker":"i-1","waited_ms":"8000"})");
   CHECK(absl::StrContains(
-      story.Text(),
+      timeline.Text(),
       "a task waited 8000 ms: worker i-9 might still run it for an earlier "
       "leader"));
 }
 
 TEST_CASE("job story: a wait after recovered work is free has other causes") {
-  JobStory story(kJob);
-  story.AddLine(
+  JobTimeline timeline(kJob);
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:01.000Z","process":"node/a","event":"job_taken","job":"5c0e7a21d94b36f8"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:03.000Z","process":"node/b","event":"recovered_work_waits","last_worker":"i-9"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:04.000Z","process":"node/b","event":"recovered_work_free"})");
-  story.AddLine(
+  timeline.AddLine(
       R"({"time":"2026-01-01T00:00:09.000Z","process":"node/b","event":"start_sent","task":"5c0e7a21d94b36f8.0.0.1","worker":"i-1","waited_ms":"700"})");
-  CHECK(absl::StrContains(story.Text(),
+  CHECK(absl::StrContains(timeline.Text(),
                           "a task waited 700 ms: no cause was logged"));
 }
 
--- a/keelbridge/cli/plan_commands.cc
+++ b/keelbridge/cli/plan_commands.cc
@@ -25,15 +25,15 @@
   }
   for (const std::string& line : plan.risks)
     context.out << "  at risk: " << line << "\n";
-  for (const std::string& line : plan.weighed)
+  for (const std::string& line : plan.rejected_alternatives)
     context.out << "  weighed: " << line << "\n";
   for (const std::string& line : plan.quotas)
     context.out << "  share:   " << line << "\n";
   context.out << "Nothing has changed yet.\n";
 }
 
-Result<Plan> AskForPlan(const Context& context,
-                        const std::vector<Intent>& intents) {
+Result<Plan> RequestPlan(const Context& context,
+                         const std::vector<Intent>& intents) {
   Json::Value params;
   params["intents"] = Json::Value(Json::arrayValue);
   for (const Intent& intent : intents) params["intents"].append(ToJson(intent));
@@ -61,7 +61,7 @@
   Json::Value params;
   params["plan"] = plan;
   Result<Json::Value> answer = CallScheduler(context, "confirm", params);
-  if (!answer) return Fail(context, answer.error());
+  if (!answer) return ReportError(context, answer.error());
   if (context.options.json) PrintJson(context, answer.value());
   if (answer.value().isMember("confirmed")) {
     if (!context.options.json)
@@ -82,41 +82,46 @@
 
 }  // namespace
 
-int MakeAndShowPlan(const Context& context, const Words& files) {
-  if (files.size() != 1) return UsageFault(context, "plan FILE [--out=PLAN]");
+int MakeAndShowPlan(const Context& context, const Arguments& files) {
+  if (files.size() != 1)
+    return ReportUsageError(context, "plan FILE [--out=PLAN]");
   Result<std::string> text = ReadFile(files[0]);
-  if (!text) return Fail(context, text.error());
+  if (!text) return ReportError(context, text.error());
   Result<std::vector<Intent>> intents = ParseIntents(text.value(), files[0]);
-  if (!intents) return Fail(context, intents.error());
-  Result<Plan> plan = AskForPlan(context, intents.value());
-  if (!plan) return Fail(context, plan.error());
+  if (!intents) return ReportError(context, intents.error());
+  Result<Plan> plan = RequestPlan(context, intents.value());
+  if (!plan) return ReportError(context, plan.error());
   return ShowPlan(context, plan.value());
 }
 
-int Confirm(const Context& context, const Words& files) {
+int Confirm(const Context& context, const Arguments& files) {
   if (files.size() != 1)
-    return UsageFault(context, "confirm PLAN, a file that `plan --out` wrote");
+    return ReportUsageError(context,
+                            "confirm PLAN, a file that `plan --out` wrote");
   Result<std::string> text = ReadFile(files[0]);
-  if (!text) return Fail(context, text.error());
+  if (!text) return ReportError(context, text.error());
   const JsonDocument document = JsonDocument::Parse(text.value(), files[0]);
-  if (!document.faults().empty()) return Fail(context, document.FaultError());
+  if (!document.faults().empty())
+    return ReportError(context, document.FaultError());
   if (!document.root().isMember("base"))
-    return UsageFault(context, files[0] + " holds no plan");
+    return ReportUsageError(context, files[0] + " holds no plan");
   return ConfirmPlan(context, document.root());
 }
 
-int Drain(const Context& context, const Words& words) {
-  if (words.size() != 2 || (words[0] != "host" && words[0] != "target")) {
-    return UsageFault(context, "drain host|target NAME --zone=ZONE [--yes]");
+int Drain(const Context& context, const Arguments& arguments) {
+  if (arguments.size() != 2 ||
+      (arguments[0] != "host" && arguments[0] != "target")) {
+    return ReportUsageError(context,
+                            "drain host|target NAME --zone=ZONE [--yes]");
   }
   Intent intent;
-  intent.id = "drain-" + words[1];
-  intent.kind =
-      words[0] == "host" ? IntentKind::kDrainHost : IntentKind::kDrainTarget;
+  intent.id = "drain-" + arguments[1];
+  intent.kind = arguments[0] == "host" ? IntentKind::kDrainHost
+                                       : IntentKind::kDrainTarget;
   intent.zone = context.options.zone;
-  intent.subject = words[1];
-  Result<Plan> plan = AskForPlan(context, {intent});
-  if (!plan) return Fail(context, plan.error());
+  intent.subject = arguments[1];
+  Result<Plan> plan = RequestPlan(context, {intent});
+  if (!plan) return ReportError(context, plan.error());
   ShowPlan(context, plan.value());
   return context.options.yes ? ConfirmPlan(context, ToJson(plan.value()))
                              : kExitOk;
--- a/keelbridge/cli/request_command.cc
+++ b/keelbridge/cli/request_command.cc
@@ -12,7 +12,7 @@
 namespace keelbridge::cli {
 namespace {
 
-Result<std::string> NewTicket(HttpClient& gateway, absl::Duration timeout) {
+Result<std::string> RequestTicket(HttpClient& gateway, absl::Duration timeout) {
   const HttpOutcome outcome = gateway.Send(
       {"POST", "/keelbridge/ticket", {}, "", "application/json"}, timeout);
   if (!outcome.response || outcome.response->status != 201) {
@@ -26,28 +26,32 @@
 
 }  // namespace
 
-int Request(const Context& context, const Words& words) {
-  if (words.size() != 1 || words[0][0] != '/')
-    return UsageFault(context, "request /SERVICE/PATH --gateway=IP:PORT");
+int Request(const Context& context, const Arguments& arguments) {
+  if (arguments.size() != 1 || arguments[0][0] != '/')
+    return ReportUsageError(context, "request /SERVICE/PATH --gateway=IP:PORT");
   Result<Address> address = ParseAddress(context.options.gateway);
-  if (!address) return Fail(context, address.error());
+  if (!address) return ReportError(context, address.error());
   HttpClient gateway(address.value(), HttpClient::Options());
   const Span span("cli.request", TraceContext());
-  HttpRequest request{
-      context.options.method, words[0], {}, context.options.body, "text/plain"};
+  HttpRequest request{context.options.method,
+                      arguments[0],
+                      {},
+                      context.options.body,
+                      "text/plain"};
   request.headers.emplace_back("traceparent", span.context().ToHeader());
   if (!context.options.key.empty())
     request.headers.emplace_back(kIdempotencyKeyHeader, context.options.key);
   std::string ticket = context.options.ticket;
   if (ticket == "new") {
-    Result<std::string> fresh = NewTicket(gateway, context.options.timeout);
-    if (!fresh) return Fail(context, fresh.error());
-    ticket = fresh.value();
+    Result<std::string> new_ticket =
+        RequestTicket(gateway, context.options.timeout);
+    if (!new_ticket) return ReportError(context, new_ticket.error());
+    ticket = new_ticket.value();
   }
   if (!ticket.empty()) request.headers.emplace_back(kTicketHeader, ticket);
   const HttpOutcome outcome = gateway.Send(request, context.options.timeout);
   if (!outcome.response) {
-    const Verdict verdict = VerdictOfFailure(outcome.failure);
+    const Verdict verdict = VerdictFromFailure(outcome.failure);
     context.out << "no answer: " << VerdictName(verdict) << " ("
                 << outcome.message << ")\n";
     return verdict == Verdict::kDidNotRun ? kExitUnavailable : kExitMayHaveRun;
--- a/keelbridge/cli/view_commands.cc
+++ b/keelbridge/cli/view_commands.cc
@@ -17,15 +17,15 @@
 constexpr int kMilliPerCore = 1000;
 constexpr int kMibPerGib = 1024;
 // Between two looks of `watch --follow`.
-constexpr absl::Duration kWatchEvery = absl::Milliseconds(500);
+constexpr absl::Duration kWatchInterval = absl::Milliseconds(500);
 
 // One job's way, from log files or standard input.
 int ExplainJob(const Context& context, JobId job,
                const std::vector<std::string>& files) {
-  JobStory story(job);
-  const auto add_all = [&story](std::istream& in) {
+  JobTimeline timeline(job);
+  const auto add_all = [&timeline](std::istream& in) {
     std::string line;
-    while (std::getline(in, line)) story.AddLine(line);
+    while (std::getline(in, line)) timeline.AddLine(line);
   };
   for (const std::string& file : files) {
     std::ifstream in(file);
@@ -36,12 +36,12 @@
     add_all(in);
   }
   if (files.empty()) add_all(std::cin);
-  if (!story.found()) {
+  if (!timeline.found()) {
     context.err << "no line names job " << JobIdText(job)
                 << "; give the logs of all nodes\n";
     return kExitBadInput;
   }
-  context.out << story.Text();
+  context.out << timeline.Text();
   return kExitOk;
 }
 
@@ -70,57 +70,58 @@
 
 }  // namespace
 
-int Explain(const Context& context, const Words& words) {
+int Explain(const Context& context, const Arguments& arguments) {
   JobId job = 0;
-  if (!words.empty() && ParseJobId(words[0], &job))
-    return ExplainJob(context, job,
-                      std::vector<std::string>(words.begin() + 1, words.end()));
-  if (words.size() != 1)
-    return UsageFault(context,
-                      "explain INTENT/NUMBER, or explain JOB [LOG...]");
+  if (!arguments.empty() && ParseJobId(arguments[0], &job))
+    return ExplainJob(
+        context, job,
+        std::vector<std::string>(arguments.begin() + 1, arguments.end()));
+  if (arguments.size() != 1)
+    return ReportUsageError(context,
+                            "explain INTENT/NUMBER, or explain JOB [LOG...]");
   Json::Value params;
-  params["task"] = words[0];
+  params["task"] = arguments[0];
   Result<Json::Value> answer = CallScheduler(context, "explain", params);
-  if (!answer) return Fail(context, answer.error());
+  if (!answer) return ReportError(context, answer.error());
   if (context.options.json) {
     PrintJson(context, answer.value());
   } else {
-    context.out << words[0] << ": " << answer.value()["text"].asString()
+    context.out << arguments[0] << ": " << answer.value()["text"].asString()
                 << "\n";
   }
   return kExitOk;
 }
 
-int Watch(const Context& context, const Words& words) {
-  if (!words.empty()) return UsageFault(context, "watch [--follow]");
+int Watch(const Context& context, const Arguments& arguments) {
+  if (!arguments.empty()) return ReportUsageError(context, "watch [--follow]");
   Json::Value params;
   params["after"] = 0;
   do {
     Result<Json::Value> answer = CallScheduler(context, "watch", params);
-    if (!answer) return Fail(context, answer.error());
+    if (!answer) return ReportError(context, answer.error());
     for (const Json::Value& line : answer.value()["lines"])
       context.out << line.asString() << "\n";
     context.out.flush();
     params["after"] = answer.value()["next"];
-    if (context.options.follow) absl::SleepFor(kWatchEvery);
+    if (context.options.follow) absl::SleepFor(kWatchInterval);
   } while (context.options.follow);
   return kExitOk;
 }
 
-int Status(const Context& context, const Words& words) {
+int Status(const Context& context, const Arguments& arguments) {
   std::vector<std::string> addresses =
-      words.empty() ? context.options.schedulers : words;
-  if (words.empty() && !context.options.gateway.empty())
+      arguments.empty() ? context.options.schedulers : arguments;
+  if (arguments.empty() && !context.options.gateway.empty())
     addresses.push_back(context.options.gateway);
   if (addresses.empty())
-    return UsageFault(context,
-                      "status [ADDRESS...], or with --scheduler or --gateway");
+    return ReportUsageError(
+        context, "status [ADDRESS...], or with --scheduler or --gateway");
   int exit_code = kExitOk;
   for (const std::string& address : addresses) {
-    Result<Json::Value> status =
-        CallOne(address, "status", Json::objectValue, context.options.timeout);
+    Result<Json::Value> status = CallDaemon(
+        address, "status", Json::objectValue, context.options.timeout);
     if (!status) {
-      exit_code = Fail(context, status.error());
+      exit_code = ReportError(context, status.error());
       continue;
     }
     if (context.options.json) {
@@ -132,10 +133,10 @@
   return exit_code;
 }
 
-int Top(const Context& context, const Words& words) {
-  if (!words.empty()) return UsageFault(context, "top");
+int Top(const Context& context, const Arguments& arguments) {
+  if (!arguments.empty()) return ReportUsageError(context, "top");
   Result<Json::Value> answer = CallScheduler(context, "top", Json::objectValue);
-  if (!answer) return Fail(context, answer.error());
+  if (!answer) return ReportError(context, answer.error());
   if (context.options.json) {
     PrintJson(context, answer.value());
     return kExitOk;
--- a/keelbridge/coordination/admission.cc
+++ b/keelbridge/coordination/admission.cc
@@ -5,32 +5,33 @@
 
 namespace keelbridge {
 
-void Admission::OnLook(Backlog backlog, int64_t started, absl::Time now) {
+void Admission::OnPlacementPass(Backlog backlog, int64_t started,
+                                absl::Time now) {
   backlog_ = std::move(backlog);
-  if (backlog_.all < options_.small_backlog) {
-    looks_.clear();
+  if (backlog_.all < options_.min_backlog) {
+    passes_.clear();
     started_ = 0;
     return;
   }
-  looks_.push_back({now, started});
+  passes_.push_back({now, started});
   started_ += started;
-  while (now - looks_.front().at > options_.window && looks_.size() > 1 &&
-         now - looks_[1].at >= options_.window) {
-    started_ -= looks_.front().started;
-    looks_.pop_front();
+  while (now - passes_.front().at > options_.window && passes_.size() > 1 &&
+         now - passes_[1].at >= options_.window) {
+    started_ -= passes_.front().started;
+    passes_.pop_front();
   }
 }
 
 bool Admission::known() const {
-  return !looks_.empty() &&
-         looks_.back().at - looks_.front().at >= options_.window;
+  return !passes_.empty() &&
+         passes_.back().at - passes_.front().at >= options_.window;
 }
 
 double Admission::StartsPerSecond() const {
   if (!known()) return 0;
-  const absl::Duration span = looks_.back().at - looks_.front().at;
+  const absl::Duration span = passes_.back().at - passes_.front().at;
   // What the first look started came before the span.
-  return static_cast<double>(started_ - looks_.front().started) /
+  return static_cast<double>(started_ - passes_.front().started) /
          absl::ToDoubleSeconds(span);
 }
 
@@ -40,16 +41,16 @@
   verdict.backlog = backlog_.all;
   if (!known()) return verdict;
   const double rate = std::max(StartsPerSecond(), 1.0);
-  int64_t ahead = tasks;
+  int64_t tasks_ahead = tasks;
   for (const auto& [its_priority, count] : backlog_.timely) {
-    if (its_priority <= priority) ahead += count;
+    if (its_priority <= priority) tasks_ahead += count;
   }
-  verdict.wait = absl::Seconds(static_cast<double>(ahead) / rate);
-  const absl::Duration over = verdict.wait - patience;
-  verdict.accept = over <= absl::ZeroDuration();
+  verdict.wait = absl::Seconds(static_cast<double>(tasks_ahead) / rate);
+  const absl::Duration excess_wait = verdict.wait - patience;
+  verdict.accept = excess_wait <= absl::ZeroDuration();
   if (!verdict.accept)
-    verdict.retry_after =
-        std::clamp(over, options_.shortest_retry, options_.longest_retry);
+    verdict.retry_after = std::clamp(excess_wait, options_.min_retry_after,
+                                     options_.max_retry_after);
   return verdict;
 }
 
--- a/keelbridge/coordination/admission.h
+++ b/keelbridge/coordination/admission.h
@@ -15,7 +15,7 @@
 // Pure: backlogs and starts in, verdicts out.
 //
 //   Admission admission(options);
-//   admission.OnLook(backlog, started_since, now);  // At each look.
+//   admission.OnPlacementPass(backlog, started_since, now);  // At each look.
 //   const Admission::Verdict verdict = admission.Decide(priority, 4, patience);
 //   if (!verdict.accept) RefuseFor(verdict.retry_after);
 
@@ -43,9 +43,9 @@
     absl::Duration window = absl::Seconds(2);
     // A backlog of so many tasks is no overload, however slowly it starts: they
     // may wait for advice or for one that ends.
-    int64_t small_backlog = 1000;
-    absl::Duration shortest_retry = absl::Seconds(1);
-    absl::Duration longest_retry = absl::Seconds(5);
+    int64_t min_backlog = 1000;
+    absl::Duration min_retry_after = absl::Seconds(1);
+    absl::Duration max_retry_after = absl::Seconds(5);
   };
   struct Verdict {
     bool accept = true;
@@ -57,7 +57,7 @@
   explicit Admission(Options options) : options_(options) {}
 
   // `started`: tasks started since the last look.
-  void OnLook(Backlog backlog, int64_t started, absl::Time now);
+  void OnPlacementPass(Backlog backlog, int64_t started, absl::Time now);
   // A job of `tasks` whose result is worth nothing after it waited `patience`.
   Verdict Decide(int32_t priority, int64_t tasks,
                  absl::Duration patience) const;
@@ -66,7 +66,7 @@
   bool known() const;
 
  private:
-  struct Look {
+  struct PlacementPass {
     absl::Time at;
     int64_t started;
   };
@@ -75,8 +75,8 @@
   Backlog backlog_;
   // Of the window, the oldest first. Begins anew whenever nothing waits: what
   // is started then is what comes, not what can be.
-  std::deque<Look> looks_;
-  int64_t started_ = 0;  // Of `looks_`.
+  std::deque<PlacementPass> passes_;
+  int64_t started_ = 0;  // Of `passes_`.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/admission_test.cc
+++ b/keelbridge/coordination/admission_test.cc
@@ -8,25 +8,27 @@
 const absl::Time kBegin = absl::UnixEpoch() + absl::Hours(1);
 
 // Two looks a second for `length`, each starting 100 tasks.
-Admission Behind(const Backlog& backlog, absl::Duration length) {
+Admission AdmissionWithBacklog(const Backlog& backlog, absl::Duration length) {
   Admission admission{Admission::Options()};
   for (absl::Duration at; at <= length; at += absl::Milliseconds(500))
-    admission.OnLook(backlog, 100, kBegin + at);
+    admission.OnPlacementPass(backlog, 100, kBegin + at);
   return admission;
 }
 
 TEST_CASE("admission: nothing is refused before the rate is known") {
   const Backlog backlog{{{0, 9000}}, 9000};
-  const Admission young = Behind(backlog, absl::Seconds(1));
-  CHECK(young.Decide(0, 10, absl::Seconds(1)).accept);
-  const Admission old = Behind(backlog, absl::Seconds(5));
-  CHECK(old.StartsPerSecond() == doctest::Approx(200));
-  CHECK_FALSE(old.Decide(0, 10, absl::Seconds(1)).accept);
+  const Admission before_window =
+      AdmissionWithBacklog(backlog, absl::Seconds(1));
+  CHECK(before_window.Decide(0, 10, absl::Seconds(1)).accept);
+  const Admission after_window =
+      AdmissionWithBacklog(backlog, absl::Seconds(5));
+  CHECK(after_window.StartsPerSecond() == doctest::Approx(200));
+  CHECK_FALSE(after_window.Decide(0, 10, absl::Seconds(1)).accept);
 }
 
 TEST_CASE("admission: a job waits for timely work of its priority and before") {
-  const Admission admission =
-      Behind({{{0, 100}, {1, 300}, {2, 1000}}, 1500}, absl::Seconds(5));
+  const Admission admission = AdmissionWithBacklog(
+      {{{0, 100}, {1, 300}, {2, 1000}}, 1500}, absl::Seconds(5));
   const absl::Duration patience = absl::Seconds(3);
   CHECK(admission.Decide(0, 4, patience).accept);
   CHECK(admission.Decide(1, 4, patience).accept);  // 404 tasks: 2.02 s.
@@ -41,20 +43,23 @@
 // What is late already goes behind all that is timely: after an outage a new
 // leader finds much of it, and still serves whom it can.
 TEST_CASE("admission: late work refuses nobody whom it does not delay") {
-  const Admission admission = Behind({{{0, 10}}, 19000}, absl::Seconds(5));
+  const Admission admission =
+      AdmissionWithBacklog({{{0, 10}}, 19000}, absl::Seconds(5));
   CHECK(admission.Decide(0, 4, absl::Seconds(1)).accept);
   CHECK_FALSE(admission.Decide(0, 4000, absl::Seconds(1)).accept);
 }
 
 TEST_CASE("admission: a small backlog is no overload") {
-  const Admission admission = Behind({{{0, 999}}, 999}, absl::Seconds(5));
+  const Admission admission =
+      AdmissionWithBacklog({{{0, 999}}, 999}, absl::Seconds(5));
   CHECK(admission.Decide(0, 1000, absl::Milliseconds(1)).accept);
 }
 
 TEST_CASE("admission: the load's end is noticed at once") {
-  Admission admission = Behind({{{0, 9000}}, 9000}, absl::Seconds(5));
+  Admission admission =
+      AdmissionWithBacklog({{{0, 9000}}, 9000}, absl::Seconds(5));
   CHECK_FALSE(admission.Decide(0, 1, absl::Seconds(1)).accept);
-  admission.OnLook({{{0, 10}}, 10}, 100, kBegin + absl::Seconds(6));
+  admission.OnPlacementPass({{{0, 10}}, 10}, 100, kBegin + absl::Seconds(6));
   CHECK(admission.Decide(0, 1, absl::Seconds(1)).accept);
 }
 
--- a/keelbridge/coordination/answer_times.cc
+++ b/keelbridge/coordination/answer_times.cc
@@ -9,7 +9,7 @@
 // for, as TCP's retransmission timer has them.
 constexpr double kMeanWeight = 1.0 / 8;
 constexpr double kDeviationWeight = 1.0 / 4;
-constexpr double kDeviations = 4;
+constexpr double kTimeoutDeviations = 4;
 
 }  // namespace
 
@@ -26,18 +26,18 @@
 }
 
 void AnswerTimes::OnLost(const std::string& worker, absl::Time now) {
-  const bool others_too =
-      worker != last_loser_ && now - last_loss_ < options_.apart;
-  if (others_too || AnswersGetLost(now))
-    lossy_until_ = now + options_.remembered;
-  last_loser_ = worker;
+  const bool several_workers = worker != last_lossy_worker_ &&
+                               now - last_loss_ < options_.correlation_window;
+  if (several_workers || AnswersAreLossy(now))
+    lossy_until_ = now + options_.loss_memory;
+  last_lossy_worker_ = worker;
   last_loss_ = now;
 }
 
-absl::Duration AnswerTimes::Patience() const {
-  if (!measured_) return options_.longest;
-  return std::clamp(mean_ + kDeviations * deviation_, options_.shortest,
-                    options_.longest);
+absl::Duration AnswerTimes::AnswerTimeout() const {
+  if (!measured_) return options_.max_timeout;
+  return std::clamp(mean_ + kTimeoutDeviations * deviation_,
+                    options_.min_timeout, options_.max_timeout);
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/answer_times.h
+++ b/keelbridge/coordination/answer_times.h
@@ -11,7 +11,7 @@
 //   times.OnAnswer(absl::Milliseconds(3));
 //   order.timeout = times.Patience();
 //   times.OnLost("worker-a", now);
-//   if (times.AnswersGetLost(now)) ...
+//   if (times.AnswersAreLossy(now)) ...
 
 #ifndef KEELBRIDGE_COORDINATION_ANSWER_TIMES_H_
 #define KEELBRIDGE_COORDINATION_ANSWER_TIMES_H_
@@ -27,13 +27,13 @@
   struct Options {
     // A leader of a large site comes to its sockets up to 75 ms late in bursts
     // while no answer is lost.
-    absl::Duration shortest = absl::Milliseconds(100);
-    absl::Duration longest = absl::Milliseconds(300);
+    absl::Duration min_timeout = absl::Milliseconds(100);
+    absl::Duration max_timeout = absl::Milliseconds(300);
     // Answers of two workers within `apart` tell of lossy answers; one worker
     // alone may be gone.
-    absl::Duration apart = absl::Seconds(2);
+    absl::Duration correlation_window = absl::Seconds(2);
     // Losses come in spells of seconds; each loss prolongs the spell.
-    absl::Duration remembered = absl::Seconds(5);
+    absl::Duration loss_memory = absl::Seconds(5);
   };
 
   explicit AnswerTimes(Options options) : options_(options) {}
@@ -44,16 +44,16 @@
   void OnLost(const std::string& worker, absl::Time now);
 
   // After this an order counts as unanswered.
-  absl::Duration Patience() const;
+  absl::Duration AnswerTimeout() const;
   // Several workers left something unanswered lately.
-  bool AnswersGetLost(absl::Time now) const { return now < lossy_until_; }
+  bool AnswersAreLossy(absl::Time now) const { return now < lossy_until_; }
 
  private:
   const Options options_;
   bool measured_ = false;
   absl::Duration mean_;
   absl::Duration deviation_;
-  std::string last_loser_;
+  std::string last_lossy_worker_;
   absl::Time last_loss_ = absl::InfinitePast();
   absl::Time lossy_until_ = absl::InfinitePast();
 };
--- a/keelbridge/coordination/call_outcome.cc
+++ b/keelbridge/coordination/call_outcome.cc
@@ -2,20 +2,20 @@
 
 namespace keelbridge {
 
-bool CallFate::EndTry(TryEnd end) {
-  under_way_ = false;
+bool CallOutcome::EndTry(TryResult end) {
+  try_in_flight_ = false;
   switch (end) {
-    case TryEnd::kNothingSent:
-    case TryEnd::kNotLed:
+    case TryResult::kNothingSent:
+    case TryResult::kNotLeader:
       return false;
-    case TryEnd::kNoAnswer:
-    case TryEnd::kTermEnded:
-      uncertain_ = true;
+    case TryResult::kNoAnswer:
+    case TryResult::kTermEnded:
+      earlier_try_may_run_ = true;
       return false;
-    case TryEnd::kNotTaken:
+    case TryResult::kRejected:
       // It is this try that was not taken; an earlier one may have been.
-      return !uncertain_;
-    case TryEnd::kAnswered:
+      return !earlier_try_may_run_;
+    case TryResult::kAnswered:
       return true;
   }
   return false;
--- a/keelbridge/coordination/call_outcome.h
+++ b/keelbridge/coordination/call_outcome.h
@@ -7,10 +7,10 @@
 //
 // Pure: no time, no I/O.
 //
-//   CallFate fate;
+//   CallOutcome fate;
 //   fate.BeginTry();
 //   ... the leader's answer is lost ...
-//   fate.EndTry(CallFate::TryEnd::kNoAnswer);  // False: try again.
+//   fate.EndTry(CallOutcome::TryResult::kNoAnswer);  // False: try again.
 //   if (!fate.MayHaveRun()) AnswerNotTaken();
 
 #ifndef KEELBRIDGE_COORDINATION_CALL_OUTCOME_H_
@@ -18,28 +18,29 @@
 
 namespace keelbridge {
 
-class CallFate {
+class CallOutcome {
  public:
-  enum class TryEnd {
+  enum class TryResult {
     kNothingSent,  // No byte of it left.
-    kNotLed,       // Who was asked does not lead, and has not run it.
+    kNotLeader,    // Who was asked does not lead, and has not run it.
     kNoAnswer,     // It was sent, and nothing came back.
     kTermEnded,    // The leader had it when its term ended.
-    kNotTaken,     // The leader says that it does not take it.
+    kRejected,     // The leader says that it does not take it.
     kAnswered,     // Any other answer of the leader's.
   };
 
   // A try is with the leader, or on its way there.
-  void BeginTry() { under_way_ = true; }
+  void BeginTry() { try_in_flight_ = true; }
   // Whether the leader's answer is the client's; if not, the call is to be
   // tried again.
-  bool EndTry(TryEnd end);
+  bool EndTry(TryResult end);
   // Whether a try may have run or may still do so.
-  bool MayHaveRun() const { return under_way_ || uncertain_; }
+  bool MayHaveRun() const { return try_in_flight_ || earlier_try_may_run_; }
 
  private:
-  bool under_way_ = false;
-  bool uncertain_ = false;  // An ended try may have run, or may still.
+  bool try_in_flight_ = false;
+  bool earlier_try_may_run_ =
+      false;  // An ended try may have run, or may still.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/call_outcome_test.cc
+++ b/keelbridge/coordination/call_outcome_test.cc
@@ -10,39 +10,41 @@
 namespace keelbridge {
 namespace {
 
-using TryEnd = CallFate::TryEnd;
+using TryResult = CallOutcome::TryResult;
 
 TEST_CASE("call fate: what reached no leader has not run") {
-  CallFate fate;
-  CHECK(!fate.MayHaveRun());
-  for (const TryEnd end : {TryEnd::kNothingSent, TryEnd::kNotLed}) {
-    fate.BeginTry();
-    CHECK(!fate.EndTry(end));
-    CHECK(!fate.MayHaveRun());
+  CallOutcome outcome;
+  CHECK(!outcome.MayHaveRun());
+  for (const TryResult end : {TryResult::kNothingSent, TryResult::kNotLeader}) {
+    outcome.BeginTry();
+    CHECK(!outcome.EndTry(end));
+    CHECK(!outcome.MayHaveRun());
   }
-  fate.BeginTry();
-  CHECK(fate.EndTry(TryEnd::kNotTaken));
+  outcome.BeginTry();
+  CHECK(outcome.EndTry(TryResult::kRejected));
 }
 
 TEST_CASE("call fate: a try that is under way may run") {
-  CallFate fate;
-  fate.BeginTry();
-  CHECK(fate.MayHaveRun());
+  CallOutcome outcome;
+  outcome.BeginTry();
+  CHECK(outcome.MayHaveRun());
 }
 
 TEST_CASE("call fate: a refusal does not undo an earlier try") {
-  for (const TryEnd earlier : {TryEnd::kNoAnswer, TryEnd::kTermEnded}) {
-    CallFate fate;
-    fate.BeginTry();
-    CHECK(!fate.EndTry(earlier));
-    for (const TryEnd later :
-         {TryEnd::kNothingSent, TryEnd::kNotLed, TryEnd::kNotTaken}) {
-      fate.BeginTry();
-      CHECK(!fate.EndTry(later));
-      CHECK(fate.MayHaveRun());
+  for (const TryResult earlier :
+       {TryResult::kNoAnswer, TryResult::kTermEnded}) {
+    CallOutcome outcome;
+    outcome.BeginTry();
+    CHECK(!outcome.EndTry(earlier));
+    for (const TryResult later :
+         {TryResult::kNothingSent, TryResult::kNotLeader,
+          TryResult::kRejected}) {
+      outcome.BeginTry();
+      CHECK(!outcome.EndTry(later));
+      CHECK(outcome.MayHaveRun());
     }
-    fate.BeginTry();
-    CHECK(fate.EndTry(TryEnd::kAnswered));
+    outcome.BeginTry();
+    CHECK(outcome.EndTry(TryResult::kAnswered));
   }
 }
 
@@ -51,8 +53,9 @@
   bool fenced = false;  // Those before it, in the store.
   bool active = false;
   bool knows_job = false;
-  std::vector<int> early;    // Tries that wait for the term to be active.
-  std::vector<int> waiting;  // Tries that wait for the job to be durable.
+  std::vector<int> awaiting_term;  // Tries that wait for the term to be active.
+  std::vector<int>
+      awaiting_append;  // Tries that wait for the job to be durable.
 };
 struct Node {
   int64_t claimed = 0;  // An epoch whose claim it has not heard of yet.
@@ -64,7 +67,7 @@
 };
 struct Reply {
   int number;
-  TryEnd end;
+  TryResult end;
 };
 
 // A site that one client hands one job to, one attempt after the other, each at
@@ -74,12 +77,12 @@
 class Site {
  public:
   static constexpr int kNodes = 3;
-  static constexpr int kMostAttempts = 3;
+  static constexpr int kMaxAttempts = 3;
 
   explicit Site(uint64_t seed) : random_(seed) {
-    most_attempts_ = 1 + Draw(kMostAttempts);
+    max_attempts_ = 1 + Draw(kMaxAttempts);
     nodes_[0].claimed = ++last_epoch_;
-    TakeOffice(0);
+    BeginTerm(0);
     BeginAttempt();
   }
 
@@ -89,19 +92,19 @@
     switch (std::discrete_distribution<>({2, 4, 4, 1, 4, 3, 8, 6, 8, 2, 1})(
         random_)) {
       case 0:
-        nodes_[At(node)].claimed = ++last_epoch_;
+        nodes_[Index(node)].claimed = ++last_epoch_;
         return;
       case 1:
-        return TakeOffice(node);
+        return BeginTerm(node);
       case 2:
         return Advance(node);
       case 3:
         return EndTerm(node);
       case 4:
-        store_takes_ = !store_takes_;
+        store_writable_ = !store_writable_;
         return;
       case 5:
-        return LandAppend();
+        return DeliverAppend();
       case 6:
         return Try();
       case 7:
@@ -110,7 +113,7 @@
         return DeliverReply();
       case 9:
         // The node stops waiting for an answer; the call may still arrive.
-        if (remote_) OnTryEnd(try_, TryEnd::kNoAnswer);
+        if (remote_) OnTryEnd(current_try_, TryResult::kNoAnswer);
         return;
       default:
         return GiveUp();
@@ -120,15 +123,15 @@
   // Everything that is still on its way arrives; the store is back.
   void Settle() {
     while (attempt_) GiveUp();
-    store_takes_ = true;
-    for (int round = 0; round < 3; ++round) {
+    store_writable_ = true;
+    for (int pass = 0; pass < 3; ++pass) {
       for (int node = 0; node < kNodes; ++node) {
-        TakeOffice(node);
+        BeginTerm(node);
         Advance(node);
         Advance(node);
       }
       while (!calls_.empty()) DeliverCall();
-      while (!appends_.empty()) LandAppend();
+      while (!appends_.empty()) DeliverAppend();
     }
   }
 
@@ -137,30 +140,30 @@
   int attempts() const { return attempts_; }
 
  private:
-  size_t At(int node) const { return static_cast<size_t>(node); }
+  size_t Index(int node) const { return static_cast<size_t>(node); }
   int Draw(int below) {
     return std::uniform_int_distribution<>(0, below - 1)(random_);
   }
   template <typename T>
-  T TakeOne(std::vector<T>& from) {
+  T RemoveRandom(std::vector<T>& from) {
     const auto at = from.begin() + Draw(static_cast<int>(from.size()));
-    const T one = *at;
+    const T removed = *at;
     from.erase(at);
-    return one;
+    return removed;
   }
 
   // --- Leaders ---
-  void TakeOffice(int node) {
-    Node& it = nodes_[At(node)];
-    if (it.claimed == 0 || it.session) return;
-    it.session.emplace();
-    it.session->epoch = it.claimed;
-    it.claimed = 0;
+  void BeginTerm(int node) {
+    Node& node_state = nodes_[Index(node)];
+    if (node_state.claimed == 0 || node_state.session) return;
+    node_state.session.emplace();
+    node_state.session->epoch = node_state.claimed;
+    node_state.claimed = 0;
   }
   void Advance(int node) {
-    Node& it = nodes_[At(node)];
-    if (!it.session || it.session->active) return;
-    Session& session = *it.session;
+    Node& node_state = nodes_[Index(node)];
+    if (!node_state.session || node_state.session->active) return;
+    Session& session = *node_state.session;
     if (!session.fenced) {
       if (session.epoch < fence_) return EndTerm(node);
       fence_ = session.epoch;
@@ -169,110 +172,112 @@
     }
     session.knows_job = durable_;
     session.active = true;
-    for (const int number : std::exchange(session.early, {}))
+    for (const int number : std::exchange(session.awaiting_term, {}))
       Handle(node, number);
   }
   void EndTerm(int node) {
-    if (!nodes_[At(node)].session) return;
-    const Session ended = *nodes_[At(node)].session;
-    nodes_[At(node)].session.reset();
-    for (const int number : ended.early) Answer(node, number, TryEnd::kNotLed);
-    for (const int number : ended.waiting)
-      Answer(node, number, TryEnd::kTermEnded);
+    if (!nodes_[Index(node)].session) return;
+    const Session ended = *nodes_[Index(node)].session;
+    nodes_[Index(node)].session.reset();
+    for (const int number : ended.awaiting_term)
+      Answer(node, number, TryResult::kNotLeader);
+    for (const int number : ended.awaiting_append)
+      Answer(node, number, TryResult::kTermEnded);
   }
   void Handle(int node, int number) {
-    Session& session = *nodes_[At(node)].session;
-    if (!session.knows_job && !store_takes_)
-      return Answer(node, number, TryEnd::kNotTaken);
+    Session& session = *nodes_[Index(node)].session;
+    if (!session.knows_job && !store_writable_)
+      return Answer(node, number, TryResult::kRejected);
     if (!session.knows_job) appends_.push_back(session.epoch);
     session.knows_job = true;
-    session.waiting.push_back(number);
+    session.awaiting_append.push_back(number);
   }
-  void LandAppend() {
+  void DeliverAppend() {
     if (appends_.empty()) return;
-    const int64_t epoch = TakeOne(appends_);
+    const int64_t epoch = RemoveRandom(appends_);
     const bool fenced = epoch < fence_;
     durable_ = durable_ || !fenced;
     for (int node = 0; node < kNodes; ++node) {
-      auto& session = nodes_[At(node)].session;
+      auto& session = nodes_[Index(node)].session;
       if (!session || session->epoch != epoch) continue;
       if (fenced) return EndTerm(node);
-      for (const int number : std::exchange(session->waiting, {}))
-        Answer(node, number, TryEnd::kAnswered);
+      for (const int number : std::exchange(session->awaiting_append, {}))
+        Answer(node, number, TryResult::kAnswered);
       return;
     }
   }
 
   // --- The node that carries the attempt ---
-  void Answer(int node, int number, TryEnd end) {
+  void Answer(int node, int number, TryResult end) {
     // At once when the leader is the node itself.
-    if (number == try_ && !remote_ && node == at_) return OnTryEnd(number, end);
+    if (number == current_try_ && !remote_ && node == attempt_node_)
+      return OnTryEnd(number, end);
     replies_.push_back({number, end});
   }
   void BeginAttempt() {
     ++attempts_;
-    at_ = Draw(kNodes);
+    attempt_node_ = Draw(kNodes);
     attempt_.emplace();
   }
   void Try() {
-    if (!attempt_ || try_ != 0) return;
-    const auto& session = nodes_[At(at_)].session;
+    if (!attempt_ || current_try_ != 0) return;
+    const auto& session = nodes_[Index(attempt_node_)].session;
     if (session && !session->active) return;
     attempt_->BeginTry();
-    try_ = ++last_try_;
+    current_try_ = ++last_try_;
     remote_ = !session;
-    if (!remote_) return Handle(at_, try_);
-    if (Draw(2) == 0) return OnTryEnd(try_, TryEnd::kNothingSent);
-    const int other = (at_ + 1 + Draw(kNodes - 1)) % kNodes;
-    calls_.push_back({other, try_});
+    if (!remote_) return Handle(attempt_node_, current_try_);
+    if (Draw(2) == 0) return OnTryEnd(current_try_, TryResult::kNothingSent);
+    const int other = (attempt_node_ + 1 + Draw(kNodes - 1)) % kNodes;
+    calls_.push_back({other, current_try_});
   }
   void DeliverCall() {
     if (calls_.empty()) return;
-    const Call call = TakeOne(calls_);
-    auto& session = nodes_[At(call.node)].session;
-    if (!session) return Answer(call.node, call.number, TryEnd::kNotLed);
+    const Call call = RemoveRandom(calls_);
+    auto& session = nodes_[Index(call.node)].session;
+    if (!session) return Answer(call.node, call.number, TryResult::kNotLeader);
     if (session->active) return Handle(call.node, call.number);
-    session->early.push_back(call.number);
+    session->awaiting_term.push_back(call.number);
   }
   void DeliverReply() {
     if (replies_.empty()) return;
-    const Reply reply = TakeOne(replies_);
+    const Reply reply = RemoveRandom(replies_);
     if (Draw(8) != 0) OnTryEnd(reply.number, reply.end);
   }
-  void OnTryEnd(int number, TryEnd end) {
-    if (!attempt_ || number != try_) return;
-    try_ = 0;
+  void OnTryEnd(int number, TryResult end) {
+    if (!attempt_ || number != current_try_) return;
+    current_try_ = 0;
     remote_ = false;
     if (!attempt_->EndTry(end)) return;
-    EndAttempt(end != TryEnd::kAnswered);
+    EndAttempt(end != TryResult::kAnswered);
   }
   void GiveUp() {
     if (attempt_) EndAttempt(!attempt_->MayHaveRun());
   }
   void EndAttempt(bool rejected) {
     if (rejected) ++rejected_;
-    try_ = 0;
+    current_try_ = 0;
     remote_ = false;
     attempt_.reset();
-    if (rejected && attempts_ < most_attempts_) BeginAttempt();
+    if (rejected && attempts_ < max_attempts_) BeginAttempt();
   }
 
   std::mt19937_64 random_;
   std::vector<Node> nodes_ = std::vector<Node>(kNodes);
   int64_t last_epoch_ = 0;
   int64_t fence_ = 0;
-  bool store_takes_ = true;
+  bool store_writable_ = true;
   bool durable_ = false;
   std::vector<int64_t> appends_;  // By the epoch of who sent them.
   std::vector<Call> calls_;
   std::vector<Reply> replies_;
 
-  std::optional<CallFate> attempt_;
-  int at_ = 0;           // The node of the attempt.
-  int try_ = 0;          // The number of the try under way; 0: none.
-  bool remote_ = false;  // It is with another node.
+  std::optional<CallOutcome> attempt_;
+  int attempt_node_ = 0;  // The node of the attempt.
+  int current_try_ = 0;   // The number of the try under way; 0: none.
+  bool remote_ = false;   // It is with another node.
   int last_try_ = 0;
-  int most_attempts_ = 1;
+  int max_attempts_ = 1;
   int attempts_ = 0;
   int rejected_ = 0;
 };
--- a/keelbridge/coordination/capacity_search.h
+++ b/keelbridge/coordination/capacity_search.h
@@ -6,8 +6,9 @@
 //
 // Pure: a step's need and the workers that may run it in, choices out.
 //
-//   std::vector<RoomCandidate> workers = ...;
-//   for (const RoomChoice& choice : ChooseRoom(need, 2, 0.5, workers)) ...
+//   std::vector<CapacityCandidate> workers = ...;
+//   for (const CapacityChoice& choice : ChooseCapacity(need, 2, 0.5, workers))
+//   ...
 
 #ifndef KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
 #define KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
@@ -21,33 +22,34 @@
 namespace keelbridge {
 
 // A run that may be stopped for the step.
-struct Yielder {
+struct PreemptibleRun {
   Resources need;
   double cost = 0;  // Of stopping it; the unit is the caller's.
 };
 
 // A worker that may run the step.
-struct RoomCandidate {
-  Resources room;             // Without stopping anything.
-  int32_t most = 0;           // Tasks of the step that it may get at most.
-  std::vector<Yielder> runs;  // That may be stopped there.
+struct CapacityCandidate {
+  Resources free_capacity;  // Without stopping anything.
+  int32_t max_tasks = 0;    // Tasks of the step that it may get at most.
+  std::vector<PreemptibleRun> runs;  // That may be stopped there.
 };
 
-struct RoomChoice {
-  size_t candidate = 0;          // Its position.
-  int32_t tasks = 0;             // That get room there.
-  std::vector<size_t> yielding;  // Positions in `runs`.
+struct CapacityChoice {
+  size_t candidate = 0;           // Its position.
+  int32_t tasks = 0;              // That get room there.
+  std::vector<size_t> preempted;  // Positions in `runs`.
 };
 
 // How many times `need` fits into `room`, at most `most`.
-int32_t TimesFits(const Resources& need, const Resources& room, int32_t most);
+int32_t CountFits(const Resources& need, const Resources& free_capacity,
+                  int32_t max_tasks);
 
 // Room for up to `count` tasks, the cheapest first; each candidate is named
 // once at most. Fewer when there is no room for all even so, or when what
-// yields for one task would cost more than `most_cost`.
-std::vector<RoomChoice> ChooseRoom(const Resources& need, int32_t count,
-                                   double most_cost,
-                                   const std::vector<RoomCandidate>& workers);
+// yields for one task would cost more than `max_cost`.
+std::vector<CapacityChoice> ChooseCapacity(
+    const Resources& need, int32_t count, double max_cost,
+    const std::vector<CapacityCandidate>& workers);
 
 }  // namespace keelbridge
 
--- a/keelbridge/coordination/capacity_search_test.cc
+++ b/keelbridge/coordination/capacity_search_test.cc
@@ -9,52 +9,52 @@
 const Resources kSmall{5600, 11000, 1};
 
 TEST_CASE("room search: free room is taken before anything yields") {
-  std::vector<RoomCandidate> workers(2);
+  std::vector<CapacityCandidate> workers(2);
   workers[0] = {{64000, 128000, 7}, 9, {{kSmall, 0.1}}};
   workers[1] = {{64000, 128000, 8}, 9, {}};
-  const auto choices = ChooseRoom(kLarge, 1, 2, workers);
+  const auto choices = ChooseCapacity(kLarge, 1, 2, workers);
   REQUIRE(choices.size() == 1);
   CHECK(choices[0].candidate == 1);
-  CHECK(choices[0].yielding.empty());
+  CHECK(choices[0].preempted.empty());
 }
 
 TEST_CASE("room search: no run yields whose room is not needed") {
   // The processors of the dear run are enough, and the cheap ones then are not.
-  std::vector<RoomCandidate> workers(1);
+  std::vector<CapacityCandidate> workers(1);
   workers[0] = {{20000, 128000, 8},
                 9,
                 {{{4000, 0, 0}, 0.1}, {{6000, 0, 0}, 0.2}, {{12000, 0, 0}, 1}}};
-  const auto choices = ChooseRoom(kLarge, 1, 2, workers);
+  const auto choices = ChooseCapacity(kLarge, 1, 2, workers);
   REQUIRE(choices.size() == 1);
-  CHECK(choices[0].yielding == std::vector<size_t>{2});
+  CHECK(choices[0].preempted == std::vector<size_t>{2});
 }
 
 TEST_CASE("room search: the cheapest worker is cleared, and only as needed") {
-  std::vector<RoomCandidate> workers(2);
+  std::vector<CapacityCandidate> workers(2);
   workers[0] = {{36000, 60000, 4},
                 9,
                 {{kSmall, 0.2}, {kSmall, 0.2}, {kSmall, 0.2}, {kSmall, 0.2}}};
   workers[1] = {{50000, 100000, 6}, 9, {{kSmall, 0.2}, {kSmall, 0.2}}};
-  const auto one = ChooseRoom(kLarge, 1, 2, workers);
+  const auto one = ChooseCapacity(kLarge, 1, 2, workers);
   REQUIRE(one.size() == 1);
   CHECK(one[0].candidate == 1);
-  CHECK(one[0].yielding.size() == 2);
-  const auto two = ChooseRoom(kLarge, 2, 2, workers);
+  CHECK(one[0].preempted.size() == 2);
+  const auto two = ChooseCapacity(kLarge, 2, 2, workers);
   REQUIRE(two.size() == 2);
-  CHECK(two[0].yielding.size() == 4);
+  CHECK(two[0].preempted.size() == 4);
 }
 
 TEST_CASE("room search: what does not fit even so is not cleared for") {
-  std::vector<RoomCandidate> workers(1);
+  std::vector<CapacityCandidate> workers(1);
   workers[0] = {{36000, 60000, 4}, 9, {{kSmall, 0.2}}};
-  CHECK(ChooseRoom(kLarge, 1, 2, workers).empty());
+  CHECK(ChooseCapacity(kLarge, 1, 2, workers).empty());
   // Nor is it where clearing costs more than the work is worth.
   workers[0].runs.assign(4, {kSmall, 0.2});
-  CHECK(ChooseRoom(kLarge, 1, 0.7, workers).empty());
-  CHECK(ChooseRoom(kLarge, 1, 0.9, workers).size() == 1);
+  CHECK(ChooseCapacity(kLarge, 1, 0.7, workers).empty());
+  CHECK(ChooseCapacity(kLarge, 1, 0.9, workers).size() == 1);
   // Nor where the step may have no more tasks.
   workers[0] = {{64000, 128000, 8}, 0, {}};
-  CHECK(ChooseRoom(kLarge, 1, 2, workers).empty());
+  CHECK(ChooseCapacity(kLarge, 1, 2, workers).empty());
 }
 
 }  // namespace
--- a/keelbridge/coordination/crash_verdict.h
+++ b/keelbridge/coordination/crash_verdict.h
@@ -6,11 +6,11 @@
 // again, a sound one only by chance. Pure arithmetic on what is on record of
 // one task.
 //
-//   CrashSurroundings around;
+//   CrashContext around;
 //   around.site_workers = 48;
-//   double chance = ChanceOfCrash(absl::Milliseconds(50), around);
+//   double chance = ChanceCrashProbability(absl::Milliseconds(50), around);
 //   task.crashes.push_back({run, 50, chance, /*begun=*/true});
-//   if (GivesUpAfter(task.crashes)) ...
+//   if (ShouldGiveUp(task.crashes)) ...
 
 #ifndef KEELBRIDGE_COORDINATION_CRASH_VERDICT_H_
 #define KEELBRIDGE_COORDINATION_CRASH_VERDICT_H_
@@ -25,41 +25,41 @@
 
 // A run that went on for this long did not crash its worker by being started:
 // nothing that came before counts against its task any more.
-constexpr absl::Duration kSoundRun = absl::Seconds(10);
+constexpr absl::Duration kSoundRunDuration = absl::Seconds(10);
 // A crash that comes this soon after a start makes that task a suspect, which
 // is started by itself.
-constexpr absl::Duration kSuspectWithin = absl::Seconds(2);
+constexpr absl::Duration kSuspectCrashWindow = absl::Seconds(2);
 // How long a crash counts in the history of its machine, and of the site.
-constexpr absl::Duration kCrashesRemembered = absl::Seconds(60);
-constexpr absl::Duration kCrashesLately = absl::Seconds(10);
+constexpr absl::Duration kMachineCrashWindow = absl::Seconds(60);
+constexpr absl::Duration kSiteCrashWindow = absl::Seconds(10);
 
 // What else is known of a crash.
-struct CrashSurroundings {
-  // Crashes of the same machine within `kCrashesRemembered`, without this one:
+struct CrashContext {
+  // Crashes of the same machine within `kMachineCrashWindow`, without this one:
   // a worn machine crashes whatever runs there.
-  int earlier_on_machine = 0;
-  // Crashes of other machines within `kCrashesLately` that ran nothing of the
+  int earlier_machine_crashes = 0;
+  // Crashes of other machines within `kSiteCrashWindow` that ran nothing of the
   // task's step: beside tasks that crash their workers, or on a bad day, sound
   // ones lose theirs often.
-  int others_lately = 0;
+  int recent_other_crashes = 0;
   // Workers that were lost at about the same moment and ran nothing of the
   // task's step: what takes many at once is not one task's doing.
-  int others_at_once = 0;
+  int concurrent_other_losses = 0;
   int site_workers = 1;
 };
 
 // The chance that a sound task loses its worker within `ran` of its start.
-double ChanceOfCrash(absl::Duration ran, const CrashSurroundings& around);
+double ChanceCrashProbability(absl::Duration ran, const CrashContext& context);
 
 // The chance that a sound task meets as many crashes as `crashes` by chance.
-double ChanceOfAll(const std::vector<CrashedRun>& crashes);
+double ChanceCrashesProbability(const std::vector<CrashedRun>& crashes);
 
 // Whether the crashes under a task's runs, in a row, are held to be its own
 // doing.
-bool GivesUpAfter(const std::vector<CrashedRun>& crashes);
+bool ShouldGiveUp(const std::vector<CrashedRun>& crashes);
 
 // "3 workers crashed under it, 54, 31 and 40 ms after its starts; ...".
-std::string CrashEvidence(const std::vector<CrashedRun>& crashes);
+std::string DescribeCrashes(const std::vector<CrashedRun>& crashes);
 
 }  // namespace keelbridge
 
--- a/keelbridge/coordination/decider.cc
+++ b/keelbridge/coordination/decider.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // A team without quota is last among equals, but not infinitely so.
-constexpr double kLeastQuota = 0.001;
+constexpr double kMinQuota = 0.001;
 // How many tasks are promoted in one call, to bound its work.
-constexpr int kMostPromotions = 200;
+constexpr int kMaxPromotions = 200;
 
 template <typename T>
 void Erase(std::vector<T>& items, const T& item) {
@@ -26,10 +26,10 @@
   DeciderOptions options;
   if (policy == PolicyKind::kWaitingFirst) {
     options.headroom = 0.04;
-    options.interactive_yields = true;
+    options.interactive_preempts = true;
   } else {
     options.headroom = 0;
-    options.interactive_yields = false;
+    options.interactive_preempts = false;
     // Taking room back by stopping others costs 1 to 2% of the cell here; a
     // team below its quota gets its turn when work ends instead.
     options.reclaim = false;
@@ -49,7 +49,7 @@
     shares_.push_back(0);
   }
   teams_[it->second].quota = quota;
-  RefreshShare(it->second);
+  UpdateShare(it->second);
   return it->second;
 }
 
@@ -61,22 +61,22 @@
 WorkerId Decider::AddWorker(const std::string& name, const std::string& rack,
                             const Resources& total) {
   on_worker_.emplace_back();
-  held_.emplace_back();
+  reserved_.emplace_back();
   const WorkerId worker = cell_.Add(name, rack, total);
-  RoomAppeared(worker);
+  OnCapacityFreed(worker);
   return worker;
 }
 
 void Decider::SetSchedulable(WorkerId worker, bool schedulable) {
   if (cell_.Schedulable(worker) == schedulable) return;
   cell_.SetSchedulable(worker, schedulable);
-  RoomAppeared(worker);
+  OnCapacityFreed(worker);
 }
 
 void Decider::SetTotal(WorkerId worker, const Resources& total) {
   if (cell_.Total(worker) == total) return;
   cell_.SetTotal(worker, total);
-  RoomAppeared(worker);
+  OnCapacityFreed(worker);
 }
 
 int32_t Decider::ShapeOf(const TaskRow& row) {
@@ -96,17 +96,18 @@
   row.checkpoints = spec.checkpoints;
   row.spread = spec.spread && spec.group >= 0;
   row.service = spec.duration_ms == 0;
-  row.pinned = spec.pinned;
+  row.non_preemptible = spec.non_preemptible;
   row.sequence = sequence_++;
   row.submitted_ms = now_ms;
-  row.done_ms = spec.done_ms;
+  row.saved_progress_ms = spec.saved_progress_ms;
   row.shape = ShapeOf(row);
   if (!row.service) {
-    row.duration_ms = std::max<int64_t>(1, spec.duration_ms - spec.done_ms);
-    row.longest_ms = static_cast<int64_t>(static_cast<double>(row.duration_ms) *
-                                          (1 + spec.estimate_error));
+    row.duration_ms =
+        std::max<int64_t>(1, spec.duration_ms - spec.saved_progress_ms);
+    row.max_duration_ms = static_cast<int64_t>(
+        static_cast<double>(row.duration_ms) * (1 + spec.estimate_error));
     if (spec.deadline_ms != kNever)
-      row.latest_start_ms = spec.deadline_ms - row.longest_ms;
+      row.latest_start_ms = spec.deadline_ms - row.max_duration_ms;
   }
   if (row.group >= 0) ++group_size_[row.group];
   return tasks_.Add(row);
@@ -121,7 +122,7 @@
 TaskId Decider::Adopt(const TaskSpec& spec, WorkerId worker, int64_t started_ms,
                       int64_t now_ms) {
   const TaskId id = AddRow(spec, now_ms);
-  TakeRoom(id, worker, started_ms);
+  AllocateCapacity(id, worker, started_ms);
   Decision record;
   record.task = id;
   record.at_ms = now_ms;
@@ -133,12 +134,12 @@
 
 // Accounts of room.
 
-void Decider::Charge(const TaskRow& row, int sign) {
+void Decider::AddUsage(const TaskRow& row, int sign) {
   Team& team = teams_[row.team];
   team.used[0] += int64_t{sign} * row.need.cpu_milli;
   team.used[1] += int64_t{sign} * row.need.memory_mib;
   team.used[2] += int64_t{sign} * row.need.accelerators;
-  RefreshShare(row.team);
+  UpdateShare(row.team);
 }
 
 double Decider::ShareOf(int16_t team) const {
@@ -151,39 +152,39 @@
   return share;
 }
 
-void Decider::RefreshShare(int16_t team) {
-  shares_[team] = ShareOf(team) / std::max(teams_[team].quota, kLeastQuota);
+void Decider::UpdateShare(int16_t team) {
+  shares_[team] = ShareOf(team) / std::max(teams_[team].quota, kMinQuota);
 }
 
-void Decider::TakeRoom(TaskId id, WorkerId worker, int64_t now_ms) {
+void Decider::AllocateCapacity(TaskId id, WorkerId worker, int64_t now_ms) {
   TaskRow& row = tasks_[id];
   // Who others yield for is charged from then on.
-  if (row.state != TaskState::kHeld) Charge(row, 1);
+  if (row.state != TaskState::kAwaitingPreemption) AddUsage(row, 1);
   row.state = TaskState::kPlaced;
   row.worker = worker;
   row.started_ms = now_ms;
-  cell_.Take(worker, row.need);
+  cell_.Allocate(worker, row.need);
   on_worker_[worker].push_back(id);
   if (!row.spread) return;
   std::vector<int32_t>& racks = group_by_rack_[row.group];
-  if (racks.size() < static_cast<size_t>(cell_.Racks()))
-    racks.resize(cell_.Racks());
+  if (racks.size() < static_cast<size_t>(cell_.RackCount()))
+    racks.resize(cell_.RackCount());
   ++racks[cell_.Rack(worker)];
 }
 
-void Decider::GiveRoom(TaskId id) {
+void Decider::ReleaseCapacity(TaskId id) {
   TaskRow& row = tasks_[id];
-  cell_.Give(row.worker, row.need);
+  cell_.Release(row.worker, row.need);
   Erase(on_worker_[row.worker], id);
   // What yields was taken off its team's account when it was asked to.
-  if (row.state != TaskState::kYielding) Charge(row, -1);
+  if (row.state != TaskState::kBeingPreempted) AddUsage(row, -1);
   if (row.spread) --group_by_rack_[row.group][cell_.Rack(row.worker)];
-  RoomAppeared(row.worker);
+  OnCapacityFreed(row.worker);
 }
 
 // What really happened.
 
-void Decider::Leave(TaskId id, int64_t now_ms) {
+void Decider::Detach(TaskId id, int64_t now_ms) {
   TaskRow& row = tasks_[id];
   switch (row.state) {
     case TaskState::kWaiting:
@@ -191,24 +192,24 @@
       DropReservation(id);
       break;
     case TaskState::kPlaced:
-      GiveRoom(id);
+      ReleaseCapacity(id);
       // A task may end by itself while others yield beside it.
       break;
-    case TaskState::kYielding: {
-      GiveRoom(id);
-      OnVictimGone(id, now_ms);
+    case TaskState::kBeingPreempted: {
+      ReleaseCapacity(id);
+      OnVictimStopped(id, now_ms);
       break;
     }
-    case TaskState::kHeld: {
-      const auto it = std::find_if(yields_.begin(), yields_.end(),
-                                   [id](const YieldInProgress& yield) {
-                                     return yield.beneficiary == id;
+    case TaskState::kAwaitingPreemption: {
+      const auto it = std::find_if(preemptions_.begin(), preemptions_.end(),
+                                   [id](const Preemption& preemption) {
+                                     return preemption.preemptor == id;
                                    });
-      if (it == yields_.end()) break;
-      Charge(row, -1);
-      it->beneficiary = kNoTask;
+      if (it == preemptions_.end()) break;
+      AddUsage(row, -1);
+      it->preemptor = kNoTask;
       it->need = Resources();
-      RefreshHeld(row.worker);
+      UpdateReserved(row.worker);
       break;
     }
     case TaskState::kGone:
@@ -216,73 +217,78 @@
   }
 }
 
-void Decider::RefreshHeld(WorkerId worker) {
-  Resources held;
-  for (const YieldInProgress& yield : yields_) {
-    if (yield.worker != worker) continue;
-    Resources coming;
-    for (const TaskId victim : yield.victims) coming += tasks_[victim].need;
-    held += Shortfall(yield.need, coming);
+void Decider::UpdateReserved(WorkerId worker) {
+  Resources reserved;
+  for (const Preemption& preemption : preemptions_) {
+    if (preemption.worker != worker) continue;
+    Resources releasing;
+    for (const TaskId victim : preemption.victims)
+      releasing += tasks_[victim].need;
+    reserved += Shortfall(preemption.need, releasing);
   }
-  held_[worker] = held;
+  reserved_[worker] = reserved;
 }
 
-void Decider::OnVictimGone(TaskId victim, int64_t now_ms) {
+void Decider::OnVictimStopped(TaskId victim, int64_t now_ms) {
   const auto it = std::find_if(
-      yields_.begin(), yields_.end(), [victim](const YieldInProgress& yield) {
-        return std::find(yield.victims.begin(), yield.victims.end(), victim) !=
-               yield.victims.end();
+      preemptions_.begin(), preemptions_.end(),
+      [victim](const Preemption& preemption) {
+        return std::find(preemption.victims.begin(), preemption.victims.end(),
+                         victim) != preemption.victims.end();
       });
-  if (it == yields_.end()) return;
+  if (it == preemptions_.end()) return;
   const WorkerId worker = it->worker;
   Erase(it->victims, victim);
-  if (!it->victims.empty()) return RefreshHeld(worker);
-  const TaskId id = it->beneficiary;
-  yields_.erase(it);
-  RefreshHeld(worker);
-  RoomAppeared(worker);
+  if (!it->victims.empty()) return UpdateReserved(worker);
+  const TaskId id = it->preemptor;
+  preemptions_.erase(it);
+  UpdateReserved(worker);
+  OnCapacityFreed(worker);
   if (id == kNoTask) return;
   TaskRow& row = tasks_[id];
-  if (!row.need.FitsIn(Room(worker)) || !cell_.Schedulable(worker)) {
-    Charge(row, -1);
+  if (!row.need.FitsIn(UnreservedCapacity(worker)) ||
+      !cell_.Schedulable(worker)) {
+    AddUsage(row, -1);
     queue_.Push(id, row, now_ms);
     return;
   }
-  TakeRoom(id, worker, now_ms);
+  AllocateCapacity(id, worker, now_ms);
   ++counts_.placements;
   // The decision to make others yield, carried out.
   Decision record = LastDecision(id).value_or(Decision());
   record.task = id;
   record.at_ms = now_ms;
-  record.rule = Rule::kAfterYield;
+  record.rule = Rule::kAfterPreemption;
   record.worker = worker;
   Record(record);
-  due_.push_back({Order::Kind::kStart, id, worker, false, kNoTask});
+  pending_orders_.push_back({Order::Kind::kStart, id, worker, false, kNoTask});
 }
 
 void Decider::OnStartFailed(TaskId id, int64_t now_ms) {
-  OnStopped(id, tasks_[id].done_ms, now_ms);
+  OnStopped(id, tasks_[id].saved_progress_ms, now_ms);
 }
 
-void Decider::OnStopped(TaskId id, int64_t done_ms, int64_t now_ms) {
-  Leave(id, now_ms);
+void Decider::OnStopped(TaskId id, int64_t saved_progress_ms, int64_t now_ms) {
+  Detach(id, now_ms);
   TaskRow& row = tasks_[id];
-  const int64_t saved = std::max<int64_t>(0, done_ms - row.done_ms);
+  const int64_t saved =
+      std::max<int64_t>(0, saved_progress_ms - row.saved_progress_ms);
   if (!row.service) {
     const int64_t before = row.duration_ms;
     row.duration_ms = std::max<int64_t>(1, before - saved);
     const double ratio =
         static_cast<double>(row.duration_ms) / static_cast<double>(before);
-    row.longest_ms = std::max<int64_t>(
-        1, static_cast<int64_t>(static_cast<double>(row.longest_ms) * ratio));
+    row.max_duration_ms = std::max<int64_t>(
+        1,
+        static_cast<int64_t>(static_cast<double>(row.max_duration_ms) * ratio));
   }
-  row.done_ms = std::max(row.done_ms, done_ms);
+  row.saved_progress_ms = std::max(row.saved_progress_ms, saved_progress_ms);
   row.worker = kNoWorker;
   queue_.Push(id, row, now_ms);
 }
 
 void Decider::OnEnded(TaskId id, int64_t now_ms) {
-  Leave(id, now_ms);
+  Detach(id, now_ms);
   const TaskRow& row = tasks_[id];
   if (row.group >= 0 && --group_size_[row.group] == 0) {
     group_size_.erase(row.group);
@@ -297,107 +303,115 @@
     queue_.Remove(id, row);
     row.work_class = work_class;
     queue_.Push(id, row, now_ms);
-    next_full_look_ms_ = 0;
+    next_full_pass_ms_ = 0;
   }
   row.work_class = work_class;
 }
 
 // Decisions.
 
-void Decider::RoomAppeared(WorkerId worker) {
-  if (cell_.Schedulable(worker)) queue_.Open(worker, cell_.Free(worker));
+void Decider::OnCapacityFreed(WorkerId worker) {
+  if (cell_.Schedulable(worker))
+    queue_.AddFreedCapacity(worker, cell_.Free(worker));
 }
 
 std::vector<Order> Decider::Decide(int64_t now_ms, int budget) {
-  std::vector<Order> orders = std::move(due_);
-  due_.clear();
-  queue_.Promote(tasks_, now_ms, kMostPromotions);
-  if (now_ms >= next_full_look_ms_) {
+  std::vector<Order> orders = std::move(pending_orders_);
+  pending_orders_.clear();
+  queue_.Promote(tasks_, now_ms, kMaxPromotions);
+  if (now_ms >= next_full_pass_ms_) {
     // What openings do not show: shares that changed, shelter that ended.
-    next_full_look_ms_ = now_ms + options_.full_look_every_ms;
+    next_full_pass_ms_ = now_ms + options_.full_pass_interval_ms;
     queue_.UnblockAll();
   }
   while (budget-- > 0) {
     const TaskQueue::Offer offer = queue_.Next(shares_);
     if (offer.task == kNoTask) {
-      queue_.ForgetOpenings();
+      queue_.ClearFreedCapacity();
       break;
     }
-    const Tried tried = TryOne(offer, now_ms, orders);
-    if (tried != Tried::kDone) {
-      queue_.Block(tasks_[offer.task], tried == Tried::kWaitsForRoom);
+    const PlacementOutcome outcome = TryPlace(offer, now_ms, orders);
+    if (outcome != PlacementOutcome::kDone) {
+      queue_.Block(tasks_[offer.task],
+                   outcome == PlacementOutcome::kWaitsForCapacity);
     }
   }
   return orders;
 }
 
-Decider::Tried Decider::TryOne(const TaskQueue::Offer& offer, int64_t now_ms,
-                               std::vector<Order>& orders) {
+Decider::PlacementOutcome Decider::TryPlace(const TaskQueue::Offer& offer,
+                                            int64_t now_ms,
+                                            std::vector<Order>& orders) {
   const TaskId id = offer.task;
   TaskRow& row = tasks_[id];
-  const bool headroom = BreaksHeadroom(row);
-  Found found;
-  found.record.rule = Rule::kWaitsHeadroom;
-  if (!headroom) found = FindRoom(id, offer.only, now_ms);
+  const bool headroom = ViolatesHeadroom(row);
+  SearchResult found;
+  found.record.rule = Rule::kWaitsForHeadroom;
+  if (!headroom) found = FindWorker(id, offer.only, now_ms);
   found.record.task = id;
   found.record.at_ms = now_ms;
   counts_.examined += found.record.examined;
   if (found.worker != kNoWorker) {
     Start(id, found, now_ms, orders);
-    return Tried::kDone;
+    return PlacementOutcome::kDone;
   }
   // New room that turned out too small changes nothing else.
-  if (!offer.only.empty()) return Tried::kWaitsForRoom;
+  if (!offer.only.empty()) return PlacementOutcome::kWaitsForCapacity;
   Record(found.record);
-  if (MayMakeOthersYield(row) && MakeRoom(id, now_ms, orders)) {
-    return Tried::kDone;
+  if (MayPreempt(row) && PreemptFor(id, now_ms, orders)) {
+    return PlacementOutcome::kDone;
   }
-  if (headroom) return Tried::kWaitsForOther;
+  if (headroom) return PlacementOutcome::kWaitsForOtherCause;
   Reserve(id, now_ms);
-  return row.spread ? Tried::kWaitsForOther : Tried::kWaitsForRoom;
+  return row.spread ? PlacementOutcome::kWaitsForOtherCause
+                    : PlacementOutcome::kWaitsForCapacity;
 }
 
-bool Decider::BreaksHeadroom(const TaskRow& row) const {
+bool Decider::ViolatesHeadroom(const TaskRow& row) const {
   if (options_.headroom <= 0 || row.rank < kStandardRank) return false;
-  const auto keep = static_cast<int64_t>(
+  const auto headroom_cpu = static_cast<int64_t>(
       options_.headroom * static_cast<double>(cell_.Totals()[0]));
-  return cell_.FreeCpuMilli() - row.need.cpu_milli < keep;
+  return cell_.FreeCpuMilli() - row.need.cpu_milli < headroom_cpu;
 }
 
-bool Decider::BreaksSpread(const TaskRow& row, WorkerId worker) const {
+bool Decider::ViolatesSpread(const TaskRow& row, WorkerId worker) const {
   if (!row.spread) return false;
   const auto racks = group_by_rack_.find(row.group);
   if (racks == group_by_rack_.end()) return false;
   const auto rack = static_cast<size_t>(cell_.Rack(worker));
-  const int32_t here = rack < racks->second.size() ? racks->second[rack] : 0;
+  const int32_t on_rack = rack < racks->second.size() ? racks->second[rack] : 0;
   const int32_t size = group_size_.at(row.group);
-  const int32_t most = (size + cell_.Racks() - 1) / cell_.Racks();
-  return here >= most;
-}
-
-std::optional<RuledOut> Decider::Unfit(const TaskRow& row, WorkerId worker,
-                                       int64_t now_ms) const {
-  const Resources free = Room(worker);
-  if (row.need.cpu_milli > free.cpu_milli) return RuledOut::kProcessors;
-  if (row.need.memory_mib > free.memory_mib) return RuledOut::kMemory;
-  if (row.need.accelerators > free.accelerators) return RuledOut::kAccelerators;
-  if (BreaksSpread(row, worker)) return RuledOut::kSpread;
+  const int32_t max_per_rack =
+      (size + cell_.RackCount() - 1) / cell_.RackCount();
+  return on_rack >= max_per_rack;
+}
+
+std::optional<Rejection> Decider::FindRejection(const TaskRow& row,
+                                                WorkerId worker,
+                                                int64_t now_ms) const {
+  const Resources free = UnreservedCapacity(worker);
+  if (row.need.cpu_milli > free.cpu_milli) return Rejection::kProcessors;
+  if (row.need.memory_mib > free.memory_mib) return Rejection::kMemory;
+  if (row.need.accelerators > free.accelerators)
+    return Rejection::kAccelerators;
+  if (ViolatesSpread(row, worker)) return Rejection::kSpread;
   for (const Reservation& reservation : reservations_) {
     if (reservation.worker != worker) continue;
     // Work of a higher rank may use the room; the reservation is then made
     // anew.
     if (row.rank < tasks_[reservation.task].rank) continue;
     if (&row == &tasks_[reservation.task]) continue;
-    if (!KeepsReservation(row, reservation, now_ms)) return RuledOut::kReserved;
+    if (!RespectsReservation(row, reservation, now_ms))
+      return Rejection::kReserved;
   }
   return std::nullopt;
 }
 
-bool Decider::KeepsReservation(const TaskRow& row,
-                               const Reservation& reservation,
-                               int64_t now_ms) const {
+bool Decider::RespectsReservation(const TaskRow& row,
+                                  const Reservation& reservation,
+                                  int64_t now_ms) const {
   const bool ends_before =
-      !row.service && now_ms + row.longest_ms <= reservation.start_ms;
+      !row.service && now_ms + row.max_duration_ms <= reservation.start_ms;
   return ends_before || row.need.FitsIn(reservation.spare);
 }
 
@@ -411,28 +425,30 @@
       static_cast<double>(left.cpu_milli) / std::max(1, total.cpu_milli);
   const double memory =
       static_cast<double>(left.memory_mib) / std::max(1, total.memory_mib);
-  const double uneven = std::abs(cpu - memory);
+  const double imbalance = std::abs(cpu - memory);
   // Free accelerators beside work that needs none are stranded when the
   // processors run out.
   const double stranded = row.need.accelerators == 0 && left.accelerators > 0
                               ? (1 - cpu) * left.accelerators
                               : 0;
-  const double room = TightestFirst(row) ? cpu + memory : 2 - cpu - memory;
-  return room + uneven + stranded;
+  const double capacity_score =
+      UsesBestFit(row) ? cpu + memory : 2 - cpu - memory;
+  return capacity_score + imbalance + stranded;
 }
 
-bool Decider::TightestFirst(const TaskRow& row) const {
+bool Decider::UsesBestFit(const TaskRow& row) const {
   // Services are kept apart, so that a lost worker takes few of them.
-  return options_.tightest_first && (!row.service || options_.pack_services);
+  return options_.best_fit && (!row.service || options_.pack_services);
 }
 
-bool Decider::Weigh(const TaskRow& row, WorkerId worker, int64_t now_ms,
-                    Found& found) const {
+bool Decider::EvaluateWorker(const TaskRow& row, WorkerId worker,
+                             int64_t now_ms, SearchResult& found) const {
   Decision& record = found.record;
   ++record.examined;
-  if (const std::optional<RuledOut> why = Unfit(row, worker, now_ms)) {
-    ++record.ruled_out[static_cast<size_t>(*why)];
-    return found.fitting == 0 || record.examined < options_.most_examined;
+  if (const std::optional<Rejection> rejection =
+          FindRejection(row, worker, now_ms)) {
+    ++record.rejections[static_cast<size_t>(*rejection)];
+    return found.fitting == 0 || record.examined < options_.max_examined;
   }
   ++found.fitting;
   const auto score = static_cast<float>(Score(row, worker));
@@ -444,40 +460,41 @@
     record.score = score;
   }
   if (loser != kNoWorker && found.fitting > 1 &&
-      found.fitting <= Decision::kRunnersUp + 1) {
+      found.fitting <= Decision::kMaxRunnersUp + 1) {
     record.runner_up[found.fitting - 2] = loser;
     record.runner_up_score[found.fitting - 2] = loser_score;
   }
   return found.fitting < options_.candidates &&
-         record.examined < options_.most_examined;
+         record.examined < options_.max_examined;
 }
 
-Decider::Found Decider::FindRoom(TaskId id, const std::vector<WorkerId>& only,
-                                 int64_t now_ms) const {
+Decider::SearchResult Decider::FindWorker(TaskId id,
+                                          const std::vector<WorkerId>& only,
+                                          int64_t now_ms) const {
   const TaskRow& row = tasks_[id];
-  Found found;
-  const bool tightest = TightestFirst(row);
+  SearchResult found;
+  const bool tightest = UsesBestFit(row);
   if (!only.empty()) {
     for (const WorkerId worker : only) {
-      if (cell_.Schedulable(worker)) Weigh(row, worker, now_ms, found);
+      if (cell_.Schedulable(worker)) EvaluateWorker(row, worker, now_ms, found);
     }
   } else {
     const auto salt = static_cast<uint32_t>(row.sequence) * 2654435761U;
-    cell_.Visit(
-        row.need,
-        tightest ? SearchOrder::kTightestFirst : SearchOrder::kRoomiestFirst,
-        salt,
-        [&](WorkerId worker) { return Weigh(row, worker, now_ms, found); });
+    cell_.Visit(row.need,
+                tightest ? SearchOrder::kBestFit : SearchOrder::kWorstFit, salt,
+                [&](WorkerId worker) {
+                  return EvaluateWorker(row, worker, now_ms, found);
+                });
   }
-  found.record.rule = Rule::kWaitsForRoom;
+  found.record.rule = Rule::kWaitsForCapacity;
   if (found.worker != kNoWorker) {
-    found.record.rule = tightest ? Rule::kTightest : Rule::kRoomiest;
+    found.record.rule = tightest ? Rule::kBestFit : Rule::kWorstFit;
   }
   found.record.worker = found.worker;
   return found;
 }
 
-void Decider::Start(TaskId id, const Found& found, int64_t now_ms,
+void Decider::Start(TaskId id, const SearchResult& found, int64_t now_ms,
                     std::vector<Order>& orders) {
   TaskRow& row = tasks_[id];
   queue_.Remove(id, row);
@@ -486,11 +503,11 @@
     if (reservation.worker != found.worker) continue;
     if (reservation.task == id) record.rule = Rule::kReservation;
     const bool ends_before =
-        !row.service && now_ms + row.longest_ms <= reservation.start_ms;
+        !row.service && now_ms + row.max_duration_ms <= reservation.start_ms;
     if (reservation.task != id && !ends_before) reservation.spare -= row.need;
   }
   DropReservation(id);
-  TakeRoom(id, found.worker, now_ms);
+  AllocateCapacity(id, found.worker, now_ms);
   ++counts_.placements;
   Record(record);
   orders.push_back({Order::Kind::kStart, id, found.worker, false, kNoTask});
@@ -501,7 +518,7 @@
 void Decider::Record(const Decision& decision) {
   decisions_.push_back(decision);
   ++counts_.decisions;
-  if (decisions_.size() > static_cast<size_t>(options_.records))
+  if (decisions_.size() > static_cast<size_t>(options_.max_decisions_kept))
     decisions_.pop_front();
 }
 
--- a/keelbridge/coordination/decider.h
+++ b/keelbridge/coordination/decider.h
@@ -37,39 +37,39 @@
   WorkClass work_class = WorkClass::kStandard;
   bool checkpoints = false;
   bool spread = false;
-  bool pinned = false;      // Never yields: it could not be run again.
-  int64_t duration_ms = 0;  // 0: a service.
+  bool non_preemptible = false;  // Never yields: it could not be run again.
+  int64_t duration_ms = 0;       // 0: a service.
   double estimate_error = 0;
   int64_t deadline_ms = kNever;  // Monotonic.
-  int64_t done_ms = 0;
+  int64_t saved_progress_ms = 0;
 };
 
 // What a policy weighs. Times in milliseconds.
 struct DeciderOptions {
   int candidates = 12;  // Workers that fit, compared for one placement.
-  int most_examined =
+  int max_examined =
       48;  // Workers looked at before the first that fits is taken.
-  bool tightest_first = true;  // Otherwise the roomiest.
+  bool best_fit = true;        // Otherwise the roomiest.
   bool pack_services = false;  // Services too; otherwise they get the roomiest.
   double headroom =
       0;  // Share of processors that standard and bulk work leaves free.
-  bool interactive_yields =
+  bool interactive_preempts =
       true;  // Interactive work may make others yield; urgent work always may.
   bool reclaim = true;  // A team below its quota may take room back from teams
                         // above theirs.
-  int victim_workers = 48;     // Workers that are weighed for a yield.
-  int64_t shelter_ms = 30000;  // A task that started within this yields only if
-                               // nothing else can.
-  double yield_touch_s =
+  int max_workers_compared = 48;  // Workers that are weighed for a yield.
+  int64_t preemption_protection_ms = 30000;  // A task that started within this
+                                             // yields only if nothing else can.
+  double preemption_base_cost_s =
       5;  // Cost of touching one task, in seconds of its work.
-  double interactive_cost = 10;  // Times as dear as standard work.
-  int yields_a_worker = 8;       // At a time.
-  double repeat_factor =
+  double interactive_cost_factor = 10;  // Times as dear as standard work.
+  int max_preemptions_per_worker = 8;   // At a time.
+  double repeat_preemption_factor =
       1;  // How much each earlier yield of a task adds to its cost.
-  int most_reservations = 16;
-  int64_t full_look_every_ms =
-      1000;            // When waiting work looks at every worker again.
-  int records = 4096;  // Decisions kept for `explain`.
+  int max_reservations = 16;
+  int64_t full_pass_interval_ms =
+      1000;  // When waiting work looks at every worker again.
+  int max_decisions_kept = 4096;  // Decisions kept for `explain`.
   TaskQueue::Options queue;
 
   static DeciderOptions ForPolicy(PolicyKind policy);
@@ -77,19 +77,19 @@
 
 // What to carry out.
 struct Order {
-  enum class Kind { kStart, kYield };
+  enum class Kind { kStart, kPreempt };
   Kind kind = Kind::kStart;
   TaskId task = kNoTask;
   WorkerId worker = kNoWorker;
-  bool checkpoint = false;       // Of a yield: save progress first.
-  TaskId beneficiary = kNoTask;  // Of a yield.
+  bool checkpoint = false;     // Of a yield: save progress first.
+  TaskId preemptor = kNoTask;  // Of a yield.
 };
 
 struct DeciderCounts {
   int64_t placements = 0;
   int64_t examined = 0;
   int64_t yields = 0;
-  double yield_cost_s = 0;
+  double preemption_cost_s = 0;
   int64_t decisions = 0;
 };
 
@@ -116,7 +116,7 @@
   // A start was refused, or proved not to have happened: back to the queue.
   void OnStartFailed(TaskId task, int64_t now_ms);
   // Stopped for certain, with the progress it saved: back to the queue.
-  void OnStopped(TaskId task, int64_t done_ms, int64_t now_ms);
+  void OnStopped(TaskId task, int64_t saved_progress_ms, int64_t now_ms);
   // Gone for certain: finished, failed, or cancelled while waiting.
   void OnEnded(TaskId task, int64_t now_ms);
   void SetClass(TaskId task, WorkClass work_class, int64_t now_ms);
@@ -131,7 +131,7 @@
   const DeciderCounts& counts() const { return counts_; }
   // A team's dominant share of the cell, 0 to 1.
   double ShareOf(int16_t team) const;
-  double QuotaOf(int16_t team) const { return teams_[team].quota; }
+  double ComputeWorkerQuota(int16_t team) const { return teams_[team].quota; }
   const std::string& TeamName(int16_t team) const { return teams_[team].name; }
   int Teams() const { return static_cast<int>(teams_.size()); }
   // The newest decision about `task` that is still kept.
@@ -153,13 +153,13 @@
                       // not end before.
   };
   // Tasks of one worker that yield for one beneficiary.
-  struct YieldInProgress {
-    TaskId beneficiary = kNoTask;  // `kNoTask`: it went away meanwhile.
+  struct Preemption {
+    TaskId preemptor = kNoTask;  // `kNoTask`: it went away meanwhile.
     WorkerId worker = kNoWorker;
     Resources need;               // Of the beneficiary.
     std::vector<TaskId> victims;  // That have not stopped yet.
   };
-  struct Found {
+  struct SearchResult {
     WorkerId worker = kNoWorker;
     int fitting = 0;
     Decision record;
@@ -167,49 +167,49 @@
 
   TaskId AddRow(const TaskSpec& spec, int64_t now_ms);
   int32_t ShapeOf(const TaskRow& row);
-  void TakeRoom(TaskId id, WorkerId worker, int64_t now_ms);
-  void GiveRoom(TaskId id);
-  void Charge(const TaskRow& row, int sign);
-  void RefreshShare(int16_t team);
-  void RoomAppeared(WorkerId worker);
-  void Leave(TaskId id, int64_t now_ms);
-  void OnVictimGone(TaskId victim, int64_t now_ms);
-  void RefreshHeld(WorkerId worker);
+  void AllocateCapacity(TaskId id, WorkerId worker, int64_t now_ms);
+  void ReleaseCapacity(TaskId id);
+  void AddUsage(const TaskRow& row, int sign);
+  void UpdateShare(int16_t team);
+  void OnCapacityFreed(WorkerId worker);
+  void Detach(TaskId id, int64_t now_ms);
+  void OnVictimStopped(TaskId victim, int64_t now_ms);
+  void UpdateReserved(WorkerId worker);
   // Room that is neither given out nor held for those that others yield for.
-  Resources Room(WorkerId worker) const {
-    return cell_.Free(worker) - held_[worker];
+  Resources UnreservedCapacity(WorkerId worker) const {
+    return cell_.Free(worker) - reserved_[worker];
   }
 
-  enum class Tried { kDone, kWaitsForRoom, kWaitsForOther };
-  Tried TryOne(const TaskQueue::Offer& offer, int64_t now_ms,
-               std::vector<Order>& orders);
-  Found FindRoom(TaskId id, const std::vector<WorkerId>& only,
-                 int64_t now_ms) const;
+  enum class PlacementOutcome { kDone, kWaitsForCapacity, kWaitsForOtherCause };
+  PlacementOutcome TryPlace(const TaskQueue::Offer& offer, int64_t now_ms,
+                            std::vector<Order>& orders);
+  SearchResult FindWorker(TaskId id, const std::vector<WorkerId>& only,
+                          int64_t now_ms) const;
   // Weighs one worker; false when the search can end.
-  bool Weigh(const TaskRow& row, WorkerId worker, int64_t now_ms,
-             Found& found) const;
-  std::optional<RuledOut> Unfit(const TaskRow& row, WorkerId worker,
-                                int64_t now_ms) const;
-  bool KeepsReservation(const TaskRow& row, const Reservation& reservation,
-                        int64_t now_ms) const;
+  bool EvaluateWorker(const TaskRow& row, WorkerId worker, int64_t now_ms,
+                      SearchResult& found) const;
+  std::optional<Rejection> FindRejection(const TaskRow& row, WorkerId worker,
+                                         int64_t now_ms) const;
+  bool RespectsReservation(const TaskRow& row, const Reservation& reservation,
+                           int64_t now_ms) const;
   double Score(const TaskRow& row, WorkerId worker) const;
-  bool TightestFirst(const TaskRow& row) const;
-  bool BreaksHeadroom(const TaskRow& row) const;
-  bool BreaksSpread(const TaskRow& row, WorkerId worker) const;
-  void Start(TaskId id, const Found& found, int64_t now_ms,
+  bool UsesBestFit(const TaskRow& row) const;
+  bool ViolatesHeadroom(const TaskRow& row) const;
+  bool ViolatesSpread(const TaskRow& row, WorkerId worker) const;
+  void Start(TaskId id, const SearchResult& found, int64_t now_ms,
              std::vector<Order>& orders);
 
-  bool MayMakeOthersYield(const TaskRow& row) const;
-  bool MayYieldTo(const TaskRow& victim, const TaskRow& row) const;
-  double YieldCost(const TaskRow& victim, int64_t now_ms) const;
-  bool MakeRoom(TaskId id, int64_t now_ms, std::vector<Order>& orders);
-  VictimSet VictimsOn(WorkerId worker, const TaskRow& row, bool sheltered_too,
-                      int64_t now_ms) const;
+  bool MayPreempt(const TaskRow& row) const;
+  bool IsPreemptibleBy(const TaskRow& victim, const TaskRow& row) const;
+  double PreemptionCost(const TaskRow& victim, int64_t now_ms) const;
+  bool PreemptFor(TaskId id, int64_t now_ms, std::vector<Order>& orders);
+  VictimSet FindVictimsOn(WorkerId worker, const TaskRow& row,
+                          bool include_protected, int64_t now_ms) const;
 
   void Reserve(TaskId id, int64_t now_ms);
   void DropReservation(TaskId id);
-  int64_t RoomAt(WorkerId worker, const Resources& need, int64_t now_ms,
-                 Resources* spare) const;
+  int64_t EarliestStart(WorkerId worker, const Resources& need, int64_t now_ms,
+                        Resources* spare) const;
   void Record(const Decision& decision);
 
   DeciderOptions options_;
@@ -225,12 +225,13 @@
       group_by_rack_;  // Tasks of a group on each rack.
   absl::flat_hash_map<int32_t, int32_t> group_size_;
   std::vector<Reservation> reservations_;
-  std::vector<YieldInProgress> yields_;
-  std::vector<Resources> held_;  // By worker.
-  std::vector<Order> due_;  // Starts that became possible outside `Decide`.
+  std::vector<Preemption> preemptions_;
+  std::vector<Resources> reserved_;  // By worker.
+  std::vector<Order>
+      pending_orders_;  // Starts that became possible outside `Decide`.
   std::deque<Decision> decisions_;
   DeciderCounts counts_;
-  int64_t next_full_look_ms_ = 0;
+  int64_t next_full_pass_ms_ = 0;
   int32_t sequence_ = 0;
 };
 
--- a/keelbridge/coordination/decider_benchmark.cc
+++ b/keelbridge/coordination/decider_benchmark.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int kTeams = 39;
-constexpr int kTasksAWorker = 16;  // 18,000 on 1,100.
+constexpr int kTasksPerWorker = 16;  // 18,000 on 1,100.
 
 TaskSpec RandomTask(std::mt19937_64& random) {
   const auto pick = [&random](int a, int b) {
@@ -64,14 +64,14 @@
       if (order.kind == Order::Kind::kStart) running.push_back(order.task);
     }
   };
-  while (running.size() < static_cast<size_t>(workers) * kTasksAWorker) {
+  while (running.size() < static_cast<size_t>(workers) * kTasksPerWorker) {
     decider.Submit(RandomTask(random), now);
     decide();
     if (decider.waiting() > 100) break;
   }
   const size_t bytes = HeapBytes() - before;
   const int64_t placed = decider.counts().placements;
-  const int64_t looked = decider.counts().examined;
+  const int64_t examined_before = decider.counts().examined;
   std::vector<double> times;
   for (auto _ : state) {
     const auto start = std::chrono::steady_clock::now();
@@ -94,7 +94,7 @@
   state.counters["waiting"] = static_cast<double>(decider.waiting());
   state.counters["state_MB"] = static_cast<double>(bytes) / 1e6;
   state.counters["looked_at"] =
-      static_cast<double>(decider.counts().examined - looked) /
+      static_cast<double>(decider.counts().examined - examined_before) /
       std::max<double>(
           1, static_cast<double>(decider.counts().placements - placed));
   state.counters["placed_per_s"] = benchmark::Counter(
@@ -119,7 +119,7 @@
     naive.Submit(RandomTask(random));
     for (const auto& [task, worker] : naive.Decide()) running.push_back(task);
   }
-  const int64_t looked = naive.examined;
+  const int64_t examined_before = naive.examined;
   int64_t placed = 0;
   for (auto _ : state) {
     const size_t i =
@@ -134,7 +134,7 @@
     }
   }
   state.counters["looked_at"] =
-      static_cast<double>(naive.examined - looked) /
+      static_cast<double>(naive.examined - examined_before) /
       std::max<double>(1, static_cast<double>(placed));
   state.counters["placed_per_s"] = benchmark::Counter(
       static_cast<double>(placed), benchmark::Counter::kIsRate);
@@ -173,7 +173,7 @@
                         std::chrono::steady_clock::now() - start)
                         .count());
     for (const Order& order : orders) {
-      if (order.kind == Order::Kind::kYield)
+      if (order.kind == Order::Kind::kPreempt)
         decider.OnStopped(order.task, 0, now);
     }
     decider.OnEnded(urgent, now);
--- a/keelbridge/coordination/decider_test.cc
+++ b/keelbridge/coordination/decider_test.cc
@@ -13,15 +13,16 @@
 namespace keelbridge {
 namespace {
 
-DeciderOptions Plain() {
+DeciderOptions NoPreemptionOptions() {
   DeciderOptions options;
-  options.interactive_yields = false;
+  options.interactive_preempts = false;
   options.reclaim = false;
   return options;
 }
 
-TaskSpec Task(int cores, int gib, WorkClass work_class = WorkClass::kStandard,
-              int64_t duration_ms = 60000) {
+TaskSpec MakeTask(int cores, int gib,
+                  WorkClass work_class = WorkClass::kStandard,
+                  int64_t duration_ms = 60000) {
   TaskSpec spec;
   spec.need = {cores * 1000, gib * 1024, 0};
   spec.work_class = work_class;
@@ -29,8 +30,8 @@
   return spec;
 }
 
-Decider Cell(DeciderOptions options, int workers, int cores = 16,
-             int gib = 32) {
+Decider MakeDecider(DeciderOptions options, int workers, int cores = 16,
+                    int gib = 32) {
   Decider decider(options);
   decider.AddTeam("a", 0.5);
   decider.AddTeam("b", 0.5);
@@ -50,7 +51,7 @@
     const auto pick = [&random](int a, int b) {
       return std::uniform_int_distribution<int>(a, b)(random);
     };
-    Decider decider = Cell(Plain(), 8);
+    Decider decider = MakeDecider(NoPreemptionOptions(), 8);
     std::vector<TaskId> running;
     int64_t now = 0;
     for (int step = 0; step < 60; ++step) {
@@ -61,7 +62,7 @@
         decider.OnEnded(running[i], now);
         running.erase(running.begin() + static_cast<ptrdiff_t>(i));
       }
-      TaskSpec spec = Task(pick(1, 16), pick(1, 32));
+      TaskSpec spec = MakeTask(pick(1, 16), pick(1, 32));
       spec.need.accelerators = pick(0, 4) == 0 ? pick(1, 2) : 0;
       bool fits = false;
       for (WorkerId w = 0; w < 8; ++w)
@@ -84,15 +85,15 @@
           static_cast<double>(examined) / static_cast<double>(decisions));
 }
 
-double BruteForce(const std::vector<VictimCandidate>& candidates,
-                  const Resources& shortfall) {
+double MinVictimCost(const std::vector<VictimCandidate>& candidates,
+                     const Resources& shortfall) {
   double best = -1;
   for (uint32_t mask = 0; mask < (1U << candidates.size()); ++mask) {
     Resources freed;
     double cost = 0;
     for (size_t i = 0; i < candidates.size(); ++i) {
       if ((mask >> i & 1) == 0) continue;
-      freed += candidates[i].frees;
+      freed += candidates[i].freed_resources;
       cost += candidates[i].cost;
     }
     if (shortfall.FitsIn(freed) && (best < 0 || cost < best)) best = cost;
@@ -117,7 +118,7 @@
     const Resources shortfall{pick(1, 16) * 1000, pick(0, 16) * 1024,
                               pick(0, 2)};
     const VictimSet found = FindVictims(candidates, shortfall);
-    const double best = BruteForce(candidates, shortfall);
+    const double best = MinVictimCost(candidates, shortfall);
     CAPTURE(seed);
     CHECK(found.found == (best >= 0));
     if (!found.found) continue;
@@ -127,7 +128,7 @@
     Resources freed;
     for (const VictimCandidate& c : candidates) {
       if (shortfall.FitsIn(freed)) break;
-      freed += c.frees;
+      freed += c.freed_resources;
       naive_cost += c.cost;
     }
   }
@@ -138,10 +139,10 @@
 // Random work through a decider; checks what must hold after every step.
 void CheckInvariants(const std::vector<uint32_t>& steps,
                      const DeciderOptions& options) {
-  Decider decider = Cell(options, 6);
+  Decider decider = MakeDecider(options, 6);
   std::set<TaskId> live;
   std::set<TaskId> running;
-  std::set<TaskId> yielding;
+  std::set<TaskId> being_preempted;
   int64_t now = 0;
   int64_t submitted = 0;
   int64_t ended = 0;
@@ -151,10 +152,10 @@
       case 0:
       case 1:
       case 2: {
-        TaskSpec spec = Task(1 + static_cast<int>(step / 7 % 12),
-                             1 + static_cast<int>(step / 70 % 16),
-                             static_cast<WorkClass>(step / 11 % 4),
-                             step / 13 % 3 == 0 ? 0 : 500 + step % 9000);
+        TaskSpec spec = MakeTask(1 + static_cast<int>(step / 7 % 12),
+                                 1 + static_cast<int>(step / 70 % 16),
+                                 static_cast<WorkClass>(step / 11 % 4),
+                                 step / 13 % 3 == 0 ? 0 : 500 + step % 9000);
         spec.team = static_cast<int16_t>(step / 17 % 2);
         spec.group = static_cast<int32_t>(step / 19 % 3);
         spec.spread = step / 23 % 4 == 0;
@@ -170,7 +171,7 @@
           std::advance(it, static_cast<ptrdiff_t>(step / 7 % running.size()));
           const TaskId id = *it;
           running.erase(it);
-          const bool stops = yielding.erase(id) > 0 || step % 2 == 0;
+          const bool stops = being_preempted.erase(id) > 0 || step % 2 == 0;
           if (stops) {
             decider.OnStopped(id, 0, now);
           } else {
@@ -189,12 +190,12 @@
         break;
     }
     for (const Order& order : decider.Decide(now, 20)) {
-      if (order.kind == Order::Kind::kYield) {
+      if (order.kind == Order::Kind::kPreempt) {
         RC_ASSERT(running.count(order.task) == 1U);
         // What has yielded once makes nobody yield, so a yield causes no other.
-        const TaskRow& cause = decider.task(order.beneficiary);
+        const TaskRow& cause = decider.task(order.preemptor);
         RC_ASSERT(cause.work_class == WorkClass::kUrgent || cause.yields == 0);
-        yielding.insert(order.task);
+        being_preempted.insert(order.task);
         continue;
       }
       RC_ASSERT(running.insert(order.task).second);
@@ -215,7 +216,7 @@
 
 TEST_CASE("decider: accounts, conservation and yields, for any sequence") {
   const bool plain = rc::check([](const std::vector<uint32_t>& steps) {
-    CheckInvariants(steps, Plain());
+    CheckInvariants(steps, NoPreemptionOptions());
   });
   const bool waiting = rc::check([](const std::vector<uint32_t>& steps) {
     CheckInvariants(steps,
@@ -231,9 +232,9 @@
 }
 
 TEST_CASE("spread: no rack holds more than its even share of a service") {
-  Decider decider = Cell(Plain(), 12);  // Three racks.
+  Decider decider = MakeDecider(NoPreemptionOptions(), 12);  // Three racks.
   for (int i = 0; i < 9; ++i) {
-    TaskSpec spec = Task(1, 1, WorkClass::kInteractive, 0);
+    TaskSpec spec = MakeTask(1, 1, WorkClass::kInteractive, 0);
     spec.group = 1;
     spec.spread = true;
     decider.Submit(spec, 0);
@@ -251,7 +252,7 @@
     const auto pick = [&random](int a, int b) {
       return std::uniform_int_distribution<int>(a, b)(random);
     };
-    Decider decider = Cell(Plain(), 3);
+    Decider decider = MakeDecider(NoPreemptionOptions(), 3);
     std::multimap<int64_t, TaskId> ends;
     int64_t now = 0;
     const auto decide = [&](TaskId watched) {
@@ -265,7 +266,8 @@
     // Few enough that all of them start at once.
     for (int i = 0; i < 9; ++i)
       decider.Submit(
-          Task(pick(3, 5), 4, WorkClass::kStandard, pick(1000, 20000)), now);
+          MakeTask(pick(3, 5), 4, WorkClass::kStandard, pick(1000, 20000)),
+          now);
     decide(kNoTask);
     // Without backfill the large task starts at the latest when one worker is
     // empty.
@@ -277,7 +279,7 @@
     for (WorkerId w = 0; w < 3; ++w)
       latest = w == 0 ? empty_at[w] : std::min(latest, empty_at[w]);
     const TaskId large =
-        decider.Submit(Task(16, 8, WorkClass::kStandard, 5000), now);
+        decider.Submit(MakeTask(16, 8, WorkClass::kStandard, 5000), now);
     bool started = decide(large);
     while (!started && !ends.empty()) {
       now = ends.begin()->first;
@@ -285,8 +287,8 @@
       ends.erase(ends.begin());
       // Small work keeps coming and would take every gap.
       for (int i = 0; i < 3; ++i)
-        decider.Submit(Task(pick(1, 4), 1, WorkClass::kBulk, pick(500, 30000)),
-                       now);
+        decider.Submit(
+            MakeTask(pick(1, 4), 1, WorkClass::kBulk, pick(500, 30000)), now);
       started = decide(large);
     }
     CAPTURE(seed);
@@ -298,10 +300,10 @@
 TEST_CASE(
     "no starvation: bulk work is promoted and starts though standard work "
     "never ends") {
-  DeciderOptions options = Plain();
+  DeciderOptions options = NoPreemptionOptions();
   options.queue.promote_after_ms = 60000;
-  Decider decider = Cell(options, 2);
-  const TaskId bulk = decider.Submit(Task(8, 8, WorkClass::kBulk), 0);
+  Decider decider = MakeDecider(options, 2);
+  const TaskId bulk = decider.Submit(MakeTask(8, 8, WorkClass::kBulk), 0);
   std::multimap<int64_t, TaskId> ends;
   int64_t started_at = -1;
   for (int64_t now = 0; now < 300000 && started_at < 0; now += 1000) {
@@ -311,7 +313,7 @@
     }
     // More standard work than the cell holds.
     for (int i = 0; i < 6; ++i)
-      decider.Submit(Task(8, 8, WorkClass::kStandard, 3000), now);
+      decider.Submit(MakeTask(8, 8, WorkClass::kStandard, 3000), now);
     for (const Order& order : decider.Decide(now, 100)) {
       ends.emplace(now + 3000, order.task);
       if (order.task == bulk) started_at = now;
@@ -324,17 +326,17 @@
 TEST_CASE(
     "a team below its quota takes room back from one above, and no further") {
   DeciderOptions options;
-  options.interactive_yields = false;
-  options.shelter_ms = 0;
-  Decider decider = Cell(options, 4);
+  options.interactive_preempts = false;
+  options.preemption_protection_ms = 0;
+  Decider decider = MakeDecider(options, 4);
   for (int i = 0; i < 8; ++i) {
-    TaskSpec spec = Task(8, 8, WorkClass::kStandard, 0);
+    TaskSpec spec = MakeTask(8, 8, WorkClass::kStandard, 0);
     spec.team = 0;
     decider.Submit(spec, 0);
   }
   CHECK(decider.Decide(0, 100).size() == 8);
   for (int i = 0; i < 8; ++i) {
-    TaskSpec spec = Task(8, 8, WorkClass::kStandard, 0);
+    TaskSpec spec = MakeTask(8, 8, WorkClass::kStandard, 0);
     spec.team = 1;
     decider.Submit(spec, 0);
   }
@@ -342,7 +344,7 @@
   for (int round = 0; round < 20; ++round) {
     now += 1000;
     for (const Order& order : decider.Decide(now, 100)) {
-      if (order.kind == Order::Kind::kYield)
+      if (order.kind == Order::Kind::kPreempt)
         decider.OnStopped(order.task, 0, now + 1);
     }
   }
@@ -352,10 +354,11 @@
 }
 
 TEST_CASE("explanation: what others yielded for says so once it runs") {
-  Decider decider = Cell(Plain(), 1);
-  const TaskId bulk = decider.Submit(Task(16, 8, WorkClass::kBulk), 0);
+  Decider decider = MakeDecider(NoPreemptionOptions(), 1);
+  const TaskId bulk = decider.Submit(MakeTask(16, 8, WorkClass::kBulk), 0);
   (void)decider.Decide(0, 10);
-  const TaskId urgent = decider.Submit(Task(16, 8, WorkClass::kUrgent), 1000);
+  const TaskId urgent =
+      decider.Submit(MakeTask(16, 8, WorkClass::kUrgent), 1000);
   const std::vector<Order> yields = decider.Decide(1000, 10);
   REQUIRE(yields.size() == 1);
   CHECK(yields[0].task == bulk);
@@ -368,10 +371,10 @@
 }
 
 TEST_CASE("explanation: says why here, why not there, and what would help") {
-  Decider decider = Cell(Plain(), 4);
-  const TaskId first = decider.Submit(Task(16, 8), 0);
-  for (int i = 0; i < 3; ++i) decider.Submit(Task(16, 8), 0);
-  const TaskId waits = decider.Submit(Task(16, 8), 0);
+  Decider decider = MakeDecider(NoPreemptionOptions(), 4);
+  const TaskId first = decider.Submit(MakeTask(16, 8), 0);
+  for (int i = 0; i < 3; ++i) decider.Submit(MakeTask(16, 8), 0);
+  const TaskId waits = decider.Submit(MakeTask(16, 8), 0);
   decider.Decide(0, 100);
   const std::string placed =
       decider.LastDecision(first)->ToText(decider.cell());
--- a/keelbridge/coordination/decision.cc
+++ b/keelbridge/coordination/decision.cc
@@ -7,7 +7,7 @@
 namespace keelbridge {
 namespace {
 
-constexpr std::array<const char*, kRuledOutReasons> kReasonTexts = {
+constexpr std::array<const char*, kRejectionReasons> kRejectionTexts = {
     "too few free processors", "too little free memory",
     "too few free accelerators", "its rack already has its share",
     "room is reserved for other work"};
@@ -15,11 +15,11 @@
 // What an operator could change so that a waiting task starts.
 const char* WhatWouldHelp(Rule rule) {
   switch (rule) {
-    case Rule::kWaitsForRoom:
+    case Rule::kWaitsForCapacity:
       return "it starts when work ends, a worker joins, or its class is raised";
-    case Rule::kWaitsForYield:
+    case Rule::kWaitsForPreemption:
       return "it starts as soon as they have stopped";
-    case Rule::kWaitsHeadroom:
+    case Rule::kWaitsForHeadroom:
       return "it starts when interactive work shrinks, or with less headroom "
              "in the policy";
     default:
@@ -31,21 +31,21 @@
 
 const char* RuleText(Rule rule) {
   switch (rule) {
-    case Rule::kTightest:
+    case Rule::kBestFit:
       return "the least room that holds it";
-    case Rule::kRoomiest:
+    case Rule::kWorstFit:
       return "the most room, to keep work apart";
-    case Rule::kAfterYield:
+    case Rule::kAfterPreemption:
       return "others yielded for it";
     case Rule::kReservation:
       return "room was kept for it";
     case Rule::kAdopted:
       return "found running by a new leader";
-    case Rule::kWaitsForRoom:
+    case Rule::kWaitsForCapacity:
       return "no worker has room now";
-    case Rule::kWaitsForYield:
+    case Rule::kWaitsForPreemption:
       return "others are yielding for it";
-    case Rule::kWaitsHeadroom:
+    case Rule::kWaitsForHeadroom:
       return "free room is kept for interactive work";
   }
   return "";
@@ -57,16 +57,16 @@
                         : absl::StrCat("on ", cell.Name(worker), " (",
                                        cell.RackName(cell.Rack(worker)),
                                        "): ", RuleText(rule));
-  if (yielded > 0)
-    absl::StrAppendFormat(&out, "; %d yielded, losing %.0f s of work", yielded,
-                          yield_cost_s);
+  if (preempted > 0)
+    absl::StrAppendFormat(&out, "; %d yielded, losing %.0f s of work",
+                          preempted, preemption_cost_s);
   absl::StrAppendFormat(&out, "; looked at %d workers", examined);
-  for (int i = 0; i < kRuledOutReasons; ++i) {
-    if (ruled_out[i] > 0)
-      absl::StrAppend(&out, ", ", ruled_out[i], " ruled out (", kReasonTexts[i],
-                      ")");
+  for (int i = 0; i < kRejectionReasons; ++i) {
+    if (rejections[i] > 0)
+      absl::StrAppend(&out, ", ", rejections[i], " ruled out (",
+                      kRejectionTexts[i], ")");
   }
-  for (int i = 0; i < kRunnersUp; ++i) {
+  for (int i = 0; i < kMaxRunnersUp; ++i) {
     if (runner_up[i] == kNoWorker) break;
     absl::StrAppendFormat(&out, "; not %s (score %.3f, winner %.3f)",
                           cell.Name(runner_up[i]), runner_up_score[i], score);
--- a/keelbridge/coordination/earlier_leaders.h
+++ b/keelbridge/coordination/earlier_leaders.h
@@ -34,13 +34,13 @@
                  absl::Time now);
 
   // Those that have not answered so.
-  const std::vector<std::string>& Unheard() const { return unheard_; }
-  bool AllStopped() const { return unheard_.empty(); }
+  const std::vector<std::string>& Unconfirmed() const { return unconfirmed_; }
+  bool AllStopped() const { return unconfirmed_.empty(); }
   // When the last order of those heard was given, at the latest.
   absl::Time LastOrder() const { return last_order_; }
 
  private:
-  std::vector<std::string> unheard_;
+  std::vector<std::string> unconfirmed_;
   absl::Time last_order_ = absl::InfinitePast();
 };
 
--- a/keelbridge/coordination/freshness.h
+++ b/keelbridge/coordination/freshness.h
@@ -10,7 +10,7 @@
 //
 //   Freshness freshness({});
 //   freshness.OnConfirmed(sent);        // An answer to what was sent then.
-//   if (freshness.AskDue(role, now)) Ask();
+//   if (freshness.RefreshDue(role, now)) Ask();
 //   if (!freshness.MayDeny(now)) return kTryLater;
 
 #ifndef KEELBRIDGE_COORDINATION_FRESHNESS_H_
@@ -31,11 +31,11 @@
     // Unconfirmed for this long: ask. A change must be in force within 2 s; a
     // leader that asks after 0.8 s and tells its followers every
     // 0.4 s keeps theirs under 1.5 s.
-    absl::Duration leader_asks_after = absl::Milliseconds(800);
-    absl::Duration follower_asks_after = absl::Milliseconds(1500);
+    absl::Duration leader_refresh_after = absl::Milliseconds(800);
+    absl::Duration follower_refresh_after = absl::Milliseconds(1500);
     // Unconfirmed for longer: nothing is denied on this knowledge. An old
     // version may be served for 2 s.
-    absl::Duration deny_within = absl::Milliseconds(2000);
+    absl::Duration max_age_for_denial = absl::Milliseconds(2000);
   };
 
   explicit Freshness(Options options) : options_(options) {}
@@ -45,7 +45,7 @@
   void OnConfirmed(absl::Time at);
 
   // Whether it is old enough to ask; how often is for `SourceReads` to say.
-  bool AskDue(Role role, absl::Time now) const;
+  bool RefreshDue(Role role, absl::Time now) const;
   // Whether it is fresh enough to say that something does not exist.
   bool MayDeny(absl::Time now) const;
   // How long ago it was confirmed; infinite before the first time.
--- a/keelbridge/coordination/freshness_test.cc
+++ b/keelbridge/coordination/freshness_test.cc
@@ -15,30 +15,30 @@
   Freshness freshness({});
   CHECK(freshness.Age(kStart) == absl::InfiniteDuration());
   CHECK_FALSE(freshness.MayDeny(kStart));
-  CHECK(freshness.AskDue(Role::kFollower, kStart));
+  CHECK(freshness.RefreshDue(Role::kFollower, kStart));
 }
 
 TEST_CASE("freshness: silence is asked about, again and again until answered") {
   Freshness freshness({});
   freshness.OnConfirmed(At(0));
   CHECK(freshness.MayDeny(At(500)));
-  CHECK_FALSE(freshness.AskDue(Role::kFollower, At(1499)));
-  CHECK(freshness.AskDue(Role::kFollower, At(1500)));
-  CHECK(freshness.AskDue(Role::kFollower, At(1900)));
-  CHECK(freshness.AskDue(Role::kFollower, At(2000)));
+  CHECK_FALSE(freshness.RefreshDue(Role::kFollower, At(1499)));
+  CHECK(freshness.RefreshDue(Role::kFollower, At(1500)));
+  CHECK(freshness.RefreshDue(Role::kFollower, At(1900)));
+  CHECK(freshness.RefreshDue(Role::kFollower, At(2000)));
   CHECK(freshness.MayDeny(At(2000)));
   CHECK_FALSE(freshness.MayDeny(At(2001)));
   freshness.OnConfirmed(At(1900));
-  CHECK_FALSE(freshness.AskDue(Role::kFollower, At(2500)));
+  CHECK_FALSE(freshness.RefreshDue(Role::kFollower, At(2500)));
   CHECK(freshness.MayDeny(At(2500)));
 }
 
 TEST_CASE("freshness: a source asks before its followers do") {
   Freshness freshness({});
   freshness.OnConfirmed(At(0));
-  CHECK_FALSE(freshness.AskDue(Role::kLeader, At(799)));
-  CHECK_FALSE(freshness.AskDue(Role::kFollower, At(800)));
-  CHECK(freshness.AskDue(Role::kLeader, At(800)));
+  CHECK_FALSE(freshness.RefreshDue(Role::kLeader, At(799)));
+  CHECK_FALSE(freshness.RefreshDue(Role::kFollower, At(800)));
+  CHECK(freshness.RefreshDue(Role::kLeader, At(800)));
 }
 
 TEST_CASE("freshness: an answer that comes late confirms no later time") {
--- a/keelbridge/coordination/idempotency.cc
+++ b/keelbridge/coordination/idempotency.cc
@@ -36,15 +36,15 @@
       {gateway_, incarnation_, ++next_, absl::ToUnixMillis(wall + lifetime_)});
 }
 
-OnceUse TicketTable::Use(const Ticket& ticket, absl::Time wall) {
+TicketUse TicketTable::Use(const Ticket& ticket, absl::Time wall) {
   const int64_t now_ms = absl::ToUnixMillis(wall);
   while (!used_.empty() && used_.begin()->first < now_ms)
     used_.erase(used_.begin());
   const bool issued = ticket.number >= 1 && ticket.number <= next_;
-  if (!issued || ticket.expires_ms < now_ms) return OnceUse::kUsed;
+  if (!issued || ticket.expires_ms < now_ms) return TicketUse::kUsed;
   return used_.emplace(ticket.expires_ms, ticket.number).second
-             ? OnceUse::kFirst
-             : OnceUse::kUsed;
+             ? TicketUse::kFirst
+             : TicketUse::kUsed;
 }
 
 void ClaimTable::OnBatch(const LogBatch& batch) {
@@ -61,7 +61,7 @@
     ++next_;
     Result<Envelope> envelope = EnvelopeFromText(record.text);
     if (!envelope) continue;
-    if (!writers_.Take(envelope.value().id, record.offset)) continue;
+    if (!writers_.Accept(envelope.value().id, record.offset)) continue;
     for (const LogEntry& entry : envelope.value().entries) {
       if (const auto* claim = std::get_if<KeyClaimEntry>(&entry)) {
         if (!owners_
@@ -82,7 +82,7 @@
 ClaimTable::Owner ClaimTable::OwnerOf(const std::string& key) const {
   const auto it = owners_.find(key);
   if (it == owners_.end()) return Owner::kNobody;
-  return it->second.gateway == incarnation_ ? Owner::kMe : Owner::kOther;
+  return it->second.gateway == incarnation_ ? Owner::kSelf : Owner::kOther;
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/idempotency.h
+++ b/keelbridge/coordination/idempotency.h
@@ -12,7 +12,7 @@
 //
 //   TicketTable tickets(incarnation, "gw-1");
 //   std::string ticket = tickets.Issue(now);
-//   if (tickets.Use(ticket, now) == OnceUse::kFirst) Dispatch();
+//   if (tickets.Use(ticket, now) == TicketUse::kFirst) Dispatch();
 
 #ifndef KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
 #define KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
@@ -42,7 +42,7 @@
 std::string TicketToText(const Ticket& ticket);
 Result<Ticket> TicketFromText(const std::string& text);
 
-enum class OnceUse {
+enum class TicketUse {
   kFirst,  // Dispatch it, now or never.
   kUsed,   // It was dispatched before, or may have been.
 };
@@ -57,11 +57,11 @@
         lifetime_(lifetime) {}
 
   std::string Issue(absl::Time wall);
-  bool Mine(const Ticket& ticket) const {
+  bool IssuedByThisRun(const Ticket& ticket) const {
     return ticket.incarnation == incarnation_;
   }
   // Only for tickets of this run.
-  OnceUse Use(const Ticket& ticket, absl::Time wall);
+  TicketUse Use(const Ticket& ticket, absl::Time wall);
   // The request with it did not run: the ticket may be used again.
   void Release(const Ticket& ticket) {
     used_.erase({ticket.expires_ms, ticket.number});
@@ -80,7 +80,7 @@
 // Claims of idempotency keys as the log's stream of claims says them. Pure.
 class ClaimTable {
  public:
-  enum class Owner { kNobody, kMe, kOther };
+  enum class Owner { kNobody, kSelf, kOther };
 
   explicit ClaimTable(uint64_t incarnation) : incarnation_(incarnation) {}
 
@@ -88,7 +88,7 @@
   int64_t next() const { return next_; }
   bool caught_up() const { return caught_up_; }
   // True when the log holds this envelope, or a later one of its writer.
-  bool Applied(const EnvelopeId& id) const { return writers_.Taken(id); }
+  bool Applied(const EnvelopeId& id) const { return writers_.WasAccepted(id); }
   Owner OwnerOf(const std::string& key) const;
   size_t size() const { return owners_.size(); }
 
--- a/keelbridge/coordination/idempotency_test.cc
+++ b/keelbridge/coordination/idempotency_test.cc
@@ -19,20 +19,21 @@
   TicketTable table("gw", 7, absl::Seconds(60));
   Result<Ticket> ticket = TicketFromText(table.Issue(kWall));
   REQUIRE(ticket.has_value());
-  CHECK(table.Mine(ticket.value()));
-  CHECK(table.Use(ticket.value(), kWall) == OnceUse::kFirst);
-  CHECK(table.Use(ticket.value(), kWall) == OnceUse::kUsed);
+  CHECK(table.IssuedByThisRun(ticket.value()));
+  CHECK(table.Use(ticket.value(), kWall) == TicketUse::kFirst);
+  CHECK(table.Use(ticket.value(), kWall) == TicketUse::kUsed);
   table.Release(ticket.value());
-  CHECK(table.Use(ticket.value(), kWall) == OnceUse::kFirst);
+  CHECK(table.Use(ticket.value(), kWall) == TicketUse::kFirst);
 
-  Result<Ticket> late = TicketFromText(table.Issue(kWall));
-  CHECK(table.Use(late.value(), kWall + absl::Seconds(61)) == OnceUse::kUsed);
+  Result<Ticket> expired = TicketFromText(table.Issue(kWall));
+  CHECK(table.Use(expired.value(), kWall + absl::Seconds(61)) ==
+        TicketUse::kUsed);
 
   TicketTable next_run("gw", 8);
-  CHECK_FALSE(next_run.Mine(ticket.value()));
+  CHECK_FALSE(next_run.IssuedByThisRun(ticket.value()));
   Ticket forged = ticket.value();
   forged.number = 99;
-  CHECK(table.Use(forged, kWall) == OnceUse::kUsed);
+  CHECK(table.Use(forged, kWall) == TicketUse::kUsed);
   CHECK_FALSE(TicketFromText("nonsense").has_value());
 }
 
@@ -41,7 +42,7 @@
   for (int i = 0; i < 1000; ++i) {
     const absl::Time wall = kWall + absl::Seconds(i);
     const Ticket ticket = TicketFromText(table.Issue(wall)).value();
-    CHECK(table.Use(ticket, wall) == OnceUse::kFirst);
+    CHECK(table.Use(ticket, wall) == TicketUse::kFirst);
   }
   CHECK(table.size() <= 3);
 }
@@ -50,7 +51,7 @@
   LogWriter::Options options;
   options.incarnation = id;
   options.append_every = absl::ZeroDuration();
-  options.first_back_off = absl::ZeroDuration();
+  options.initial_backoff = absl::ZeroDuration();
   return options;
 }
 
@@ -66,7 +67,7 @@
 
 // Several gateways get the same request. Appends and reads fall in any order,
 // answers are lost, and a gateway may stop at any step. Returns dispatches.
-int Dispatches(uint64_t seed, bool claims) {
+int CountDispatches(uint64_t seed, bool claims) {
   std::mt19937_64 random(seed);
   const auto pick = [&random](int n) {
     return std::uniform_int_distribution<int>(0, n - 1)(random);
@@ -95,9 +96,10 @@
                                        kWall));
         break;
       default: {
-        const bool may =
-            !claims || gateway.table.OwnerOf("k") == ClaimTable::Owner::kMe;
-        if (may && !std::exchange(gateway.dispatched, true)) ++dispatches;
+        const bool may_dispatch =
+            !claims || gateway.table.OwnerOf("k") == ClaimTable::Owner::kSelf;
+        if (may_dispatch && !std::exchange(gateway.dispatched, true))
+          ++dispatches;
       }
     }
   }
@@ -106,18 +108,18 @@
 
 TEST_CASE("claims: the same key at three gateways is dispatched at most once") {
   int dispatched = 0;
-  int naive_faults = 0;
+  int duplicates_without_claims = 0;
   for (uint64_t seed = 1; seed <= 1000; ++seed) {
     CAPTURE(seed);
-    const int count = Dispatches(seed, true);
+    const int count = CountDispatches(seed, true);
     CHECK(count <= 1);
     dispatched += count;
-    naive_faults += Dispatches(seed, false) > 1 ? 1 : 0;
+    duplicates_without_claims += CountDispatches(seed, false) > 1 ? 1 : 0;
   }
   MESSAGE("seeds of 1000: dispatched in ", dispatched,
-          ", without claims dispatched twice in ", naive_faults);
+          ", without claims dispatched twice in ", duplicates_without_claims);
   CHECK(dispatched > 900);
-  CHECK(naive_faults > 0);
+  CHECK(duplicates_without_claims > 0);
 }
 
 TEST_CASE(
@@ -135,7 +137,7 @@
   append({1, 2}, KeyReleaseEntry{"k", 1});
   append({2, 3}, KeyClaimEntry{"k", 2});
   table.OnBatch(log.Read(kClaimsStream, table.next(), 100, kWall));
-  CHECK(table.OwnerOf("k") == ClaimTable::Owner::kMe);
+  CHECK(table.OwnerOf("k") == ClaimTable::Owner::kSelf);
 }
 
 }  // namespace
--- a/keelbridge/coordination/job_objective.cc
+++ b/keelbridge/coordination/job_objective.cc
@@ -7,12 +7,12 @@
 namespace {
 
 // The workers that one call for advice is reckoned to name in an objective.
-constexpr double kReckonedWorkers = 30;
+constexpr double kAssumedNamedWorkers = 30;
 
 absl::Duration AdviceTime(const AdviceTerms& advice) {
   if (!advice.needed) return absl::ZeroDuration();
   return absl::Milliseconds(advice.base_ms +
-                            kReckonedWorkers * advice.per_worker_ms);
+                            kAssumedNamedWorkers * advice.per_worker_ms);
 }
 
 // The longest chain from each step on. Steps depend on earlier ones only.
@@ -33,15 +33,15 @@
 
 }  // namespace
 
-JobTimes TimesOf(const JobSpec& spec, const Queue& queue) {
-  JobTimes times;
-  times.work_from = ChainsFrom(spec, queue.advice);
+JobTiming ComputeJobTiming(const JobSpec& spec, const Queue& queue) {
+  JobTiming timing;
+  timing.work_from = ChainsFrom(spec, queue.advice);
   absl::Duration longest;
-  for (const absl::Duration chain : times.work_from)
+  for (const absl::Duration chain : timing.work_from)
     longest = std::max(longest, chain);
-  times.objective =
+  timing.objective =
       queue.stretch * longest + absl::Milliseconds(queue.target_latency_ms);
-  return times;
+  return timing;
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/job_objective.h
+++ b/keelbridge/coordination/job_objective.h
@@ -1,7 +1,7 @@
 // What a job is measured by: how long its steps take one after the other, and
 // by when it should have ended.
 //
-//   JobTimes times = TimesOf(job.spec, queue);
+//   JobTiming times = ComputeJobTiming(job.spec, queue);
 //   absl::Duration slack = times.objective - age - times.work_from[step];
 
 #ifndef KEELBRIDGE_COORDINATION_JOB_OBJECTIVE_H_
@@ -16,9 +16,9 @@
 namespace keelbridge {
 
 // A job that takes up to this many objectives still earns a little.
-constexpr int kLateFactor = 3;
+constexpr int kMaxObjectiveFactor = 3;
 
-struct JobTimes {
+struct JobTiming {
   // From the job's acceptance, within which it should end.
   absl::Duration objective;
   // The estimate of the longest chain of steps that begins with each step, with
@@ -26,7 +26,7 @@
   std::vector<absl::Duration> work_from;
 };
 
-JobTimes TimesOf(const JobSpec& spec, const Queue& queue);
+JobTiming ComputeJobTiming(const JobSpec& spec, const Queue& queue);
 
 }  // namespace keelbridge
 
--- a/keelbridge/coordination/job_scheduler.cc
+++ b/keelbridge/coordination/job_scheduler.cc
@@ -8,23 +8,23 @@
 namespace keelbridge {
 namespace {
 
-constexpr absl::Duration kHousekeepingEvery = absl::Seconds(1);
+constexpr absl::Duration kHousekeepingPeriod = absl::Seconds(1);
 // Looks whether a time of a scheduled job is due, over all jobs.
-constexpr absl::Duration kRoundsEvery = absl::Milliseconds(20);
+constexpr absl::Duration kRoundsPeriod = absl::Milliseconds(20);
 // The longest time between two looks for work that nothing announced, such as a
 // retry that falls due.
-constexpr absl::Duration kPlacementEvery = absl::Milliseconds(100);
+constexpr absl::Duration kMaxPlacementInterval = absl::Milliseconds(100);
 // The pause after a look for placements, as a multiple of what that look took.
-constexpr double kPauseOfLook = 2.0;
+constexpr double kPlacementPauseFactor = 2.0;
 // At most, however long a tick took: the process may have stood still in it.
-constexpr absl::Duration kLongestPauseOfLook = absl::Milliseconds(200);
+constexpr absl::Duration kMaxPlacementPause = absl::Milliseconds(200);
 
 }  // namespace
 
 JobScheduler::JobScheduler(Options options, int64_t epoch, absl::Time started)
     : options_(options),
       epoch_(epoch),
-      earlier_leader_until_(started + options.earlier_leader_bound) {}
+      earlier_leaders_active_until_(started + options.earlier_leader_grace) {}
 
 void JobScheduler::Load(JobTable jobs, const std::vector<KnownWorker>& workers,
                         Now now) {
@@ -45,26 +45,25 @@
     OnWorkerRecord(known.worker, now);
     Worker& worker = *workers_[known.worker.id];
     worker.known_at_batch = 0;
-    worker.leased_by = known.epoch;
-    worker.known_to_earlier = true;
-    worker.closed_by_earlier = known.closed;
-    worker.keeps_placements = known.keeps_placements;
+    worker.leased_by_epoch = known.epoch;
+    worker.known_to_earlier_leader = true;
+    worker.retired_by_earlier = known.retired;
+    worker.persists_placements = known.persists_placements;
     worker.last_tasks_of_earlier = known.last_tasks;
     worker.restarted = known.restarted;
-    if (known.restarted) restart_seen_ = now.mono;
+    if (known.restarted) last_restart_seen_ = now.mono;
     // Until the platform lists it, it gets nothing new.
     worker.record_removed = true;
   }
-  untold_workers_.clear();
-  LoadExposed();
+  unpersisted_workers_.clear();
+  LoadExposedRuns();
   placement_wanted_ = true;
-  ExplainRecovery(now);
+  LogRecoveryWait(now);
 }
 
-void JobScheduler::Explain(std::string event, LogFields fields,
-                           Severity severity) {
-  actions_.push_back(
-      ExplainAction{severity, std::move(event), std::move(fields)});
+void JobScheduler::LogDecision(std::string event, LogFields fields,
+                               Severity severity) {
+  actions_.push_back(LogAction{severity, std::move(event), std::move(fields)});
 }
 
 std::vector<Action> JobScheduler::TakeActions() {
@@ -72,77 +71,80 @@
 }
 
 bool JobScheduler::HasBatch() const {
-  return batch_wanted_ || !untold_workers_.empty() || !undescribed_.empty() ||
-         !dirty_.empty() || !dropped_keys_.empty();
+  return batch_needed_ || !unpersisted_workers_.empty() ||
+         !undescribed_jobs_.empty() || !dirty_jobs_.empty() ||
+         !keys_to_drop_.empty();
 }
 
 JobScheduler::Batch JobScheduler::TakeBatch() {
   Batch batch;
   batch.number = next_batch_++;
   // First: a forgotten job may have been handed in again since.
-  for (std::string& key : dropped_keys_)
+  for (std::string& key : keys_to_drop_)
     batch.records.push_back(DropRecord(std::move(key)));
-  for (const std::string& id : untold_workers_) {
+  for (const std::string& id : unpersisted_workers_) {
     const auto found = workers_.find(id);
     if (found == workers_.end()) continue;
     const Worker& worker = *found->second;
     batch.records.push_back(KnownWorkerRecord(
-        {worker.record, epoch_, worker.closed, worker.keeps_placements,
+        {worker.record, epoch_, worker.retired, worker.persists_placements,
          worker.last_tasks, worker.restarted}));
   }
-  untold_workers_.clear();
-  for (const JobId id : undescribed_) {
+  unpersisted_workers_.clear();
+  for (const JobId id : undescribed_jobs_) {
     const auto found = jobs_.find(id);
     if (found != jobs_.end())
       batch.records.push_back(DescriptionRecord(*found->second));
   }
-  for (const JobId id : dirty_) {
+  for (const JobId id : dirty_jobs_) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) continue;
     batch.records.push_back(ProgressRecord(*found->second));
     if (found->second->Ended())
       batch.records.push_back(DropRecord(DescriptionKey(id)));
   }
-  undescribed_.clear();
-  dirty_.clear();
-  dropped_keys_.clear();
-  batch_wanted_ = false;
+  undescribed_jobs_.clear();
+  dirty_jobs_.clear();
+  keys_to_drop_.clear();
+  batch_needed_ = false;
   return batch;
 }
 
 void JobScheduler::OnDurable(int64_t batch) {
   durable_batch_ = std::max(durable_batch_, batch);
   // Those that still have some stay in the list.
-  std::vector<Worker*> waiting = std::exchange(unnoted_workers_, {});
+  std::vector<Worker*> waiting =
+      std::exchange(workers_with_unacknowledged_ends_, {});
   for (Worker* worker : waiting) {
-    NoteDurableEnds(*worker);
-    if (!worker->unnoted.empty()) unnoted_workers_.push_back(worker);
+    AcknowledgeDurableEnds(*worker);
+    if (!worker->unacknowledged_ends.empty())
+      workers_with_unacknowledged_ends_.push_back(worker);
   }
   placement_wanted_ = true;
 }
 
-void JobScheduler::MarkDirty(Job& job) { dirty_.insert(job.id); }
+void JobScheduler::MarkDirty(Job& job) { dirty_jobs_.insert(job.id); }
 
 int64_t JobScheduler::Submit(JobId id, const std::string& queue, JobSpec spec,
                              Now now) {
   const auto found = jobs_.find(id);
   if (found != jobs_.end()) {
-    const int64_t batch = found->second->durable_at_batch;
+    const int64_t batch = found->second->description_batch;
     return batch <= durable_batch_ ? 0 : batch;
   }
   auto job =
       std::make_unique<Job>(id, queue, std::move(spec), ToMillis(now.wall));
   job->accepted_at = now.mono;
-  job->durable_at_batch = next_batch_;
+  job->description_batch = next_batch_;
   if (job->spec.rounds == 0) job->AddRound(0);
-  undescribed_.insert(id);
-  job->placements_on_record = job->Lasts();
-  if (job->placements_on_record) MarkDirty(*job);
+  undescribed_jobs_.insert(id);
+  job->placements_persisted = job->HasLongRunningStep();
+  if (job->placements_persisted) MarkDirty(*job);
   const int64_t batch = next_batch_;
-  Explain("job_taken", {{"job", JobIdText(id)},
-                        {"queue", queue},
-                        {"steps", absl::StrCat(job->spec.steps.size())},
-                        {"batch", absl::StrCat(batch)}});
+  LogDecision("job_taken", {{"job", JobIdText(id)},
+                            {"queue", queue},
+                            {"steps", absl::StrCat(job->spec.steps.size())},
+                            {"batch", absl::StrCat(batch)}});
   active_.emplace(id, job.get());
   jobs_.emplace(id, std::move(job));
   placement_wanted_ = true;
@@ -156,13 +158,14 @@
                            : nullptr;
   if (queue == nullptr) return std::nullopt;
   // Work that has its own times, or none, waits for what it takes.
-  const bool waits = spec.rounds > 0 || spec.steps.empty() ||
-                     std::any_of(spec.steps.begin(), spec.steps.end(),
-                                 [](const StepSpec& s) { return s.lasting; });
-  const JobTimes times = TimesOf(spec, *queue);
+  const bool waits =
+      spec.rounds > 0 || spec.steps.empty() ||
+      std::any_of(spec.steps.begin(), spec.steps.end(),
+                  [](const StepSpec& s) { return s.long_running; });
+  const JobTiming times = ComputeJobTiming(spec, *queue);
   const absl::Duration patience =
       waits ? absl::InfiniteDuration()
-            : times.objective * kLateFactor - times.work_from[0];
+            : times.objective * kMaxObjectiveFactor - times.work_from[0];
   const int64_t tasks = spec.steps.empty() ? 0 : spec.steps[0].count;
   return admission_.Decide(queue->priority, tasks, patience);
 }
@@ -184,11 +187,11 @@
   return JobState::kQueued;
 }
 
-std::map<std::string, int64_t> JobScheduler::Waiting() const {
+std::map<std::string, int64_t> JobScheduler::QueuedJobs() const {
   std::map<std::string, int64_t> waiting;
   for (const auto& [id, job] : active_) {
     if (job->begun) continue;
-    if (job->durable_at_batch > durable_batch_) continue;
+    if (job->description_batch > durable_batch_) continue;
     ++waiting[job->queue];
   }
   return waiting;
@@ -204,12 +207,12 @@
   job_times_.erase(job.id);
   MarkDirty(job);
   StopRunsOf(job);
-  Explain("job_ended",
-          {{"job", JobIdText(job.id)},
-           {"queue", job.queue},
-           {"end", JobStateName(end)},
-           {"why", job.failure},
-           {"age_ms", absl::StrCat(job.ended_ms - job.accepted_ms)}});
+  LogDecision("job_ended",
+              {{"job", JobIdText(job.id)},
+               {"queue", job.queue},
+               {"end", JobStateName(end)},
+               {"why", job.failure},
+               {"age_ms", absl::StrCat(job.ended_ms - job.accepted_ms)}});
   placement_wanted_ = true;
 }
 
@@ -224,7 +227,7 @@
         if (worker == workers_.end()) continue;
         const TaskId id{job.id, round.number, static_cast<int32_t>(s),
                         static_cast<int32_t>(i)};
-        WantStop(*worker->second, {id, task.run});
+        RequestStop(*worker->second, {id, task.run});
       }
     }
   }
@@ -255,9 +258,9 @@
       continue;
     }
     // The description first: a job without its progress would run again.
-    dropped_keys_.push_back(DescriptionKey(job.id));
-    dropped_keys_.push_back(ProgressKey(job.id));
-    Explain(
+    keys_to_drop_.push_back(DescriptionKey(job.id));
+    keys_to_drop_.push_back(ProgressKey(job.id));
+    LogDecision(
         "job_forgotten",
         {{"job", JobIdText(job.id)},
          {"end", JobStateName(job.end)},
@@ -277,11 +280,11 @@
 
 void JobScheduler::Tick(Now now) {
   if (now.mono >= next_housekeeping_) {
-    next_housekeeping_ = now.mono + kHousekeepingEvery;
+    next_housekeeping_ = now.mono + kHousekeepingPeriod;
     DropEnded(now);
   }
   if (now.mono >= next_rounds_) {
-    next_rounds_ = now.mono + kRoundsEvery;
+    next_rounds_ = now.mono + kRoundsPeriod;
     for (auto& [id, job] : active_) {
       if (job->spec.rounds > 0) AddDueRounds(*job, now);
     }
@@ -290,19 +293,19 @@
   TickWorkers(now);
   const bool due = (placement_wanted_ && now.mono >= no_placement_before_) ||
                    now.mono >= next_placement_;
-  looked_in_tick_ = due;
+  tick_had_placement_pass_ = due;
   if (due) {
     placement_wanted_ = false;
-    next_placement_ = now.mono + kPlacementEvery;
+    next_placement_ = now.mono + kMaxPlacementInterval;
     PlaceAll(now);
   }
 }
 
-void JobScheduler::OnTickTook(absl::Duration took, Now now) {
-  if (!looked_in_tick_) return;
-  no_placement_before_ =
-      std::max(no_placement_before_,
-               now.mono + std::min(took * kPauseOfLook, kLongestPauseOfLook));
+void JobScheduler::OnTickFinished(absl::Duration took, Now now) {
+  if (!tick_had_placement_pass_) return;
+  no_placement_before_ = std::max(
+      no_placement_before_,
+      now.mono + std::min(took * kPlacementPauseFactor, kMaxPlacementPause));
   next_placement_ = std::max(next_placement_, no_placement_before_);
 }
 
@@ -311,13 +314,13 @@
   out.jobs = static_cast<int64_t>(jobs_.size());
   out.workers = static_cast<int64_t>(workers_.size());
   for (const auto& [id, worker] : workers_) {
-    if (worker->listed) ++out.workers_listed;
+    if (worker->reported) ++out.workers_reported;
     out.cpu_milli_total += worker->record.capacity.cpu_milli;
     out.cpu_milli_used +=
         worker->record.capacity.cpu_milli - worker->free.cpu_milli;
-    out.running_tasks += static_cast<int64_t>(worker->occupants.size());
-    out.cpu_milli_held += std::clamp(worker->held.cpu_milli, 0,
-                                     std::max(0, worker->free.cpu_milli));
+    out.running_tasks += static_cast<int64_t>(worker->allocations.size());
+    out.cpu_milli_reserved += std::clamp(worker->reserved.cpu_milli, 0,
+                                         std::max(0, worker->free.cpu_milli));
   }
   return out;
 }
