--- a/keelbridge/coordination/job_scheduler_advice.cc
+++ b/keelbridge/coordination/job_scheduler_advice.cc
@@ -11,51 +11,51 @@
 // A ticket must hold for at least this long when the order leaves.
 constexpr absl::Duration kTicketMargin = absl::Milliseconds(150);
 // A ticket counts as that much shorter than told, for the answer's way.
-constexpr absl::Duration kTicketGrace = absl::Milliseconds(20);
+constexpr absl::Duration kTicketTransitTime = absl::Milliseconds(20);
 constexpr absl::Duration kAdviceRetry = absl::Milliseconds(150);
 // A step that was answered and still lacks workers asks again after this, and
 // after twice as long each time.
-constexpr absl::Duration kAskAgain = absl::Milliseconds(60);
-constexpr int32_t kMostDoublings = 3;
+constexpr absl::Duration kAskAgainDelay = absl::Milliseconds(60);
+constexpr int32_t kMaxDoublings = 3;
 // Between two searches for whom to ask, for a step that has no reason to ask:
 // the more steps wait, the rarer, so that blocked ones leave searches to those
 // behind them.
-constexpr absl::Duration kLookAgain = absl::Milliseconds(20);
-constexpr absl::Duration kLookAgainOfStep = absl::Microseconds(500);
-constexpr absl::Duration kLongestLookAgain = absl::Milliseconds(200);
-constexpr absl::Duration kAvoidAdviser = absl::Seconds(1);
+constexpr absl::Duration kMinSearchInterval = absl::Milliseconds(20);
+constexpr absl::Duration kSearchIntervalPerStep = absl::Microseconds(500);
+constexpr absl::Duration kMaxSearchInterval = absl::Milliseconds(200);
+constexpr absl::Duration kAdviserAvoidance = absl::Seconds(1);
 // Calls that take less are short: they never stand behind long ones.
 constexpr double kShortAdviceMs = 100;
 // At most this much advice may wait at one node, beside what is under way.
 constexpr absl::Duration kShortBacklog = absl::Milliseconds(300);
 constexpr absl::Duration kLongBacklog = absl::Milliseconds(200);
 // The share of workers that may run a step, until it is learnt.
-constexpr double kInitialGoodShare = 0.5;
-constexpr double kGoodShareWeight = 0.2;  // Of a new answer.
-constexpr double kLeastGoodShare = 0.1;
+constexpr double kInitialEligibleShare = 0.5;
+constexpr double kEligibleShareWeight = 0.2;  // Of a new answer.
+constexpr double kMinEligibleShare = 0.1;
 // How much more room to ask for than is needed, since answers scatter, and
 // since others take room while an answer is on its way.
 constexpr double kAdviceMargin = 1.4;
-constexpr double kGangSpare = 2.0;
-constexpr size_t kMostNamed = 100;  // The advice service takes no more.
+constexpr double kGangMargin = 2.0;
+constexpr size_t kMaxNamedWorkers = 100;  // The advice service takes no more.
 // Most calls under way for one gang, only for gangs that may hold room or whose
 // pool idles. Four name 400 workers, of which 100 may run it where a quarter of
 // all may.
-constexpr size_t kMostSideBySide = 4;
+constexpr size_t kMaxConcurrentCalls = 4;
 // Gangs may keep this share of the advisers busy, so that the others are left
 // to other steps: what each gang asks first, and calls beside. The four gangs
 // that hold room make so many calls beside at any time.
-constexpr double kAdvisersOfGangs = 0.5;
-constexpr size_t kLeastCallsBeside = 16;
-constexpr size_t kLeastNamed = 4;
+constexpr double kGangAdviserShare = 0.5;
+constexpr size_t kMinExtraGangCalls = 16;
+constexpr size_t kMinNamedWorkers = 4;
 // A call may name so many workers that naming them takes this share of what it
 // takes to be called at all: a call that names too few is made again, and that
 // costs all of it.
-constexpr double kNamingShare = 0.5;
+constexpr double kNamingCostShare = 0.5;
 // Short calls name more than they need only while so few steps wait: there are
 // many of them. Naming 35 workers where 4 do served 0.55 of the worth on a site
 // of 350 workers instead of 0.78, by its leader's processor (one play each).
-constexpr size_t kFewSteps = 20;
+constexpr size_t kMaxStepsForExtraNames = 20;
 
 }  // namespace
 
@@ -80,7 +80,7 @@
   advisers_ = std::move(next);
 }
 
-JobScheduler::Adviser* JobScheduler::FreeAdviser(double cost_ms, Now now) {
+JobScheduler::Adviser* JobScheduler::FindFreeAdviser(double cost_ms, Now now) {
   const bool is_short = cost_ms < kShortAdviceMs;
   Adviser* best = nullptr;
   for (Adviser& adviser : advisers_) {
@@ -94,51 +94,53 @@
   return best->busy_until > now.mono + backlog ? nullptr : best;
 }
 
-size_t JobScheduler::CallsBesideLeft(
+size_t JobScheduler::ExtraGangCallsLeft(
     const std::vector<ReadyStep>& ready) const {
   size_t gangs = 0;
-  size_t beside = 0;
+  size_t extra_calls = 0;
   for (const ReadyStep& step : ready) {
     if (!step.spec->gang) continue;
     ++gangs;
-    beside += static_cast<size_t>(std::max(0, step.state->advice.open - 1));
+    extra_calls += static_cast<size_t>(
+        std::max(0, step.state->advice.calls_in_flight - 1));
   }
-  const auto share = static_cast<size_t>(kAdvisersOfGangs *
+  const auto share = static_cast<size_t>(kGangAdviserShare *
                                          static_cast<double>(advisers_.size()));
-  const size_t most =
-      std::max(kLeastCallsBeside, share - std::min(share, gangs));
-  return most - std::min(most, beside);
+  const size_t limit =
+      std::max(kMinExtraGangCalls, share - std::min(share, gangs));
+  return limit - std::min(limit, extra_calls);
 }
 
-absl::Duration JobScheduler::LookAgainAfter() const {
-  return std::clamp(kLookAgainOfStep * static_cast<double>(ready_steps_),
-                    kLookAgain, kLongestLookAgain);
+absl::Duration JobScheduler::AdviceSearchInterval() const {
+  return std::clamp(kSearchIntervalPerStep * static_cast<double>(ready_steps_),
+                    kMinSearchInterval, kMaxSearchInterval);
 }
 
 // Most steps of a site that is behind find no node free to ask: that is seen
 // before all workers are searched on their behalf.
-bool JobScheduler::TakeAdviceSearch(const ReadyStep& ready, Now now) {
+bool JobScheduler::TryTakeAdviceSearch(const ReadyStep& ready, Now now) {
   const StepAdvice& advice = ready.state->advice;
-  if (advice.open > 0 || advice.next_ask > now.mono ||
+  if (advice.calls_in_flight > 0 || advice.next_ask_at > now.mono ||
       advice_searches_left_ <= 0)
     return false;
   const AdviceTerms& terms = ready.queue->advice;
-  const double least_ms =
-      terms.base_ms + terms.per_worker_ms * static_cast<double>(kLeastNamed);
+  const double min_cost_ms =
+      terms.base_ms +
+      terms.per_worker_ms * static_cast<double>(kMinNamedWorkers);
   bool& busy =
-      least_ms < kShortAdviceMs ? short_advisers_busy_ : long_advisers_busy_;
-  busy = busy || FreeAdviser(least_ms, now) == nullptr;
+      min_cost_ms < kShortAdviceMs ? short_advisers_busy_ : long_advisers_busy_;
+  busy = busy || FindFreeAdviser(min_cost_ms, now) == nullptr;
   if (busy) return false;
   --advice_searches_left_;
   return true;
 }
 
-double JobScheduler::GoodShare(const Queue& queue) const {
+double JobScheduler::EligibleShare(const Queue& queue) const {
   const auto learnt = good_share_.find(queue.name);
-  return learnt == good_share_.end() ? kInitialGoodShare : learnt->second;
+  return learnt == good_share_.end() ? kInitialEligibleShare : learnt->second;
 }
 
-bool JobScheduler::IsValid(const StepAdvice::Ticket& ticket, Now now) {
+bool JobScheduler::IsTicketValid(const StepAdvice::Ticket& ticket, Now now) {
   return ticket.expires > now.mono + kTicketMargin;
 }
 
@@ -147,49 +149,54 @@
   if (!ready.queue->advice.needed) return true;
   const auto& tickets = ready.state->advice.tickets;
   const auto it = tickets.find(worker.record.id);
-  return it != tickets.end() && IsValid(it->second, now);
+  return it != tickets.end() && IsTicketValid(it->second, now);
 }
 
-bool JobScheduler::HasLastingTicket(const Worker& worker,
-                                    const ReadyStep& ready, Now now) const {
+bool JobScheduler::HasTicketBeyondNextCall(const Worker& worker,
+                                           const ReadyStep& ready,
+                                           Now now) const {
   const AdviceTerms& terms = ready.queue->advice;
   if (!terms.needed) return true;
   const auto& tickets = ready.state->advice.tickets;
   const auto it = tickets.find(worker.record.id);
   const absl::Duration call = absl::Milliseconds(
-      terms.base_ms + terms.per_worker_ms * static_cast<double>(kLeastNamed));
+      terms.base_ms +
+      terms.per_worker_ms * static_cast<double>(kMinNamedWorkers));
   return it != tickets.end() &&
          it->second.expires > now.mono + kTicketMargin + call;
 }
 
-bool JobScheduler::HeldTicketRunsOut(const ReadyStep& ready, Now now) const {
-  const auto& held = ready.state->held;
-  return std::any_of(held.begin(), held.end(), [&](const auto& one) {
+bool JobScheduler::ReservedTicketExpires(const ReadyStep& ready,
+                                         Now now) const {
+  const auto& reserved = ready.state->reserved;
+  return std::any_of(reserved.begin(), reserved.end(), [&](const auto& one) {
     const auto worker = workers_.find(one.first);
     return worker != workers_.end() &&
-           !HasLastingTicket(*worker->second, ready, now);
+           !HasTicketBeyondNextCall(*worker->second, ready, now);
   });
 }
 
-size_t JobScheduler::MostNamed(const Queue& queue) const {
+size_t JobScheduler::CheapNameCount(const Queue& queue) const {
   const AdviceTerms& terms = queue.advice;
-  if (terms.base_ms < kShortAdviceMs && ready_steps_ > kFewSteps) return 0;
-  if (terms.per_worker_ms <= 0) return kMostNamed;
-  const double most = kNamingShare * terms.base_ms / terms.per_worker_ms;
-  return std::clamp(static_cast<size_t>(most), kLeastNamed, kMostNamed);
+  if (terms.base_ms < kShortAdviceMs && ready_steps_ > kMaxStepsForExtraNames)
+    return 0;
+  if (terms.per_worker_ms <= 0) return kMaxNamedWorkers;
+  const double limit = kNamingCostShare * terms.base_ms / terms.per_worker_ms;
+  return std::clamp(static_cast<size_t>(limit), kMinNamedWorkers,
+                    kMaxNamedWorkers);
 }
 
-Resources JobScheduler::Unclaimed(const Worker& worker) {
-  Resources room = RoomOn(worker);
-  room.cpu_milli -= worker.hoped_milli;
-  return room;
+Resources JobScheduler::UnclaimedCapacity(const Worker& worker) {
+  Resources available = UnreservedCapacity(worker);
+  available.cpu_milli -= worker.expected_cpu_milli;
+  return available;
 }
 
-void JobScheduler::ReturnHopes(const AskAdviceAction& action) {
-  for (size_t i = 0; i < action.hoped_milli.size(); ++i) {
+void JobScheduler::ReleaseExpectedUse(const AskAdviceAction& action) {
+  for (size_t i = 0; i < action.expected_cpu_milli.size(); ++i) {
     const auto worker = workers_.find(action.request.workers[i]);
     if (worker != workers_.end())
-      worker->second->hoped_milli -= action.hoped_milli[i];
+      worker->second->expected_cpu_milli -= action.expected_cpu_milli[i];
   }
 }
 
@@ -198,11 +205,11 @@
   const AdviceTerms& terms = ready.queue->advice;
   const double cost_ms =
       terms.base_ms + terms.per_worker_ms * static_cast<double>(count);
-  Adviser* adviser = FreeAdviser(cost_ms, now);
+  Adviser* adviser = FindFreeAdviser(cost_ms, now);
   if (adviser == nullptr) return false;
   adviser->busy_until =
       std::max(adviser->busy_until, now.mono) + absl::Milliseconds(cost_ms);
-  ++ready.state->advice.open;
+  ++ready.state->advice.calls_in_flight;
   ++figures_.advice_calls;
   AskAdviceAction action;
   action.adviser = adviser->node;
@@ -211,17 +218,17 @@
   for (size_t i = 0; i < count; ++i) {
     Worker& worker = *named[i].worker;
     action.request.workers.push_back(worker.record.id);
-    action.hoped_milli.push_back(named[i].hoped_milli);
-    worker.hoped_milli += named[i].hoped_milli;
+    action.expected_cpu_milli.push_back(named[i].expected_cpu_milli);
+    worker.expected_cpu_milli += named[i].expected_cpu_milli;
   }
   action.timeout =
       (adviser->busy_until - now.mono) * 1.5 + absl::Milliseconds(500);
-  Explain("advice_asked",
-          {{"job", JobIdText(ready.job->id)},
-           {"step", absl::StrCat(ready.number)},
-           {"adviser", adviser->node},
-           {"workers", absl::StrCat(action.request.workers.size())},
-           {"expected_ms", absl::StrCat(static_cast<int64_t>(cost_ms))}});
+  LogDecision("advice_asked",
+              {{"job", JobIdText(ready.job->id)},
+               {"step", absl::StrCat(ready.number)},
+               {"adviser", adviser->node},
+               {"workers", absl::StrCat(action.request.workers.size())},
+               {"expected_ms", absl::StrCat(static_cast<int64_t>(cost_ms))}});
   actions_.push_back(std::move(action));
   return true;
 }
@@ -230,59 +237,62 @@
                              const std::vector<NamedWorker>& named,
                              size_t most_calls, Now now) {
   if (named.empty()) return;
-  const size_t count = std::min(named.size(), most_calls * kMostNamed);
-  const size_t calls = (count + kMostNamed - 1) / kMostNamed;
+  const size_t count = std::min(named.size(), most_calls * kMaxNamedWorkers);
+  const size_t calls = (count + kMaxNamedWorkers - 1) / kMaxNamedWorkers;
   // As long as each other: their tickets hold at the same time.
   for (size_t call = 0; call < calls; ++call) {
     const size_t begin = count * call / calls;
     const size_t end = count * (call + 1) / calls;
     if (!AskAdvice(ready, named.data() + begin, end - begin, now)) break;
   }
-  if (ready.state->advice.open > 0) {
-    ++ready.state->advice.asks;
-    const auto beside = static_cast<size_t>(ready.state->advice.open) - 1;
-    calls_beside_left_ -= std::min(calls_beside_left_, beside);
+  if (ready.state->advice.calls_in_flight > 0) {
+    ++ready.state->advice.ask_count;
+    const auto extra_calls =
+        static_cast<size_t>(ready.state->advice.calls_in_flight) - 1;
+    concurrent_calls_left_ -= std::min(concurrent_calls_left_, extra_calls);
   }
 }
 
-int32_t JobScheduler::HopedMilli(const ReadyStep& ready, double tasks) {
-  if (ready.spec->fills) return 0;
-  const double most = std::min(tasks, static_cast<double>(ready.waiting));
-  return static_cast<int32_t>(most * ready.spec->need.cpu_milli);
+int32_t JobScheduler::ExpectedMilli(const ReadyStep& ready, double tasks) {
+  if (ready.spec->best_effort) return 0;
+  const double limit = std::min(tasks, static_cast<double>(ready.waiting));
+  return static_cast<int32_t>(limit * ready.spec->need.cpu_milli);
 }
 
 struct JobScheduler::AdviceCandidate {
   Worker* worker;
-  int32_t fits;       // Tasks, now.
-  int32_t whole;      // Tasks, when nothing else runs there.
-  bool good;          // Known to be allowed to run the step.
-  size_t number;      // In the order of the workers' names.
-  bool held = false;  // Room is kept there for the step.
+  int32_t fits;           // Tasks, now.
+  int32_t whole;          // Tasks, when nothing else runs there.
+  bool good;              // Known to be allowed to run the step.
+  size_t number;          // In the order of the workers' names.
+  bool reserved = false;  // Room is kept there for the step.
 };
 
-void JobScheduler::EnsureSinglesAdvice(ReadyStep& ready, Now now) {
-  if (!TakeAdviceSearch(ready, now)) return;
+void JobScheduler::EnsureSingleTaskAdvice(ReadyStep& ready, Now now) {
+  if (!TryTakeAdviceSearch(ready, now)) return;
   StepAdvice& advice = ready.state->advice;
   const bool by_cost =
-      options_.policy.name_by_cost && MostNamed(*ready.queue) > 0;
+      options_.policy.name_by_cost && CheapNameCount(*ready.queue) > 0;
   std::vector<AdviceCandidate> candidates;
   int32_t usable = 0;
   bool any_fits = false;
   bool any_unknown = false;
-  const Resources need = RoomNeeded(*ready.spec);
+  const Resources need = CapacityNeeded(*ready.spec);
   for (auto& [id, worker] : workers_) {
     // Most workers of a busy site have no room: the cheapest test comes first.
     if (!by_cost && !need.FitsIn(worker->free)) continue;
     if (!MayRun(*worker, ready, now)) continue;
     if (!advice.tickets.empty() && HasTicket(*worker, ready, now)) {
-      usable += Fits(*worker, ready, RoomOn(*worker));
-      if (HasLastingTicket(*worker, ready, now)) continue;
+      usable += CountFittingTasks(*worker, ready, UnreservedCapacity(*worker));
+      if (HasTicketBeyondNextCall(*worker, ready, now)) continue;
     }
-    const int32_t fits = Fits(*worker, ready, Unclaimed(*worker));
+    const int32_t fits =
+        CountFittingTasks(*worker, ready, UnclaimedCapacity(*worker));
     if (fits < 1 && !by_cost) continue;
     const auto known = advice.known.find(id);
     if (known != advice.known.end() && !known->second) continue;
-    const int32_t whole = Fits(*worker, ready, worker->record.capacity);
+    const int32_t whole =
+        CountFittingTasks(*worker, ready, worker->record.capacity);
     if (whole < 1) continue;
     const bool good = known != advice.known.end();
     any_fits = any_fits || fits > 0;
@@ -291,16 +301,17 @@
   }
   // A blocked step learns who may run it before there is room, and keeps the
   // tickets fresh where room is kept for it.
-  const bool prepares = by_cost && options_.policy.hold_room && ready.holds &&
-                        ((any_unknown && ready.state->held.empty()) ||
-                         HeldTicketRunsOut(ready, now));
+  const bool asks_ahead = by_cost && options_.policy.hold_room &&
+                          ready.may_reserve &&
+                          ((any_unknown && ready.state->reserved.empty()) ||
+                           ReservedTicketExpires(ready, now));
   const bool lacks = usable < ready.waiting && any_fits;
-  if (candidates.empty() || !(lacks || prepares)) {
-    advice.next_ask = now.mono + LookAgainAfter();
+  if (candidates.empty() || !(lacks || asks_ahead)) {
+    advice.next_ask_at = now.mono + AdviceSearchInterval();
     return;
   }
-  const size_t cheap = by_cost ? MostNamed(*ready.queue) : 0;
-  const size_t ordered = std::min(candidates.size(), kMostNamed);
+  const size_t cheap_count = by_cost ? CheapNameCount(*ready.queue) : 0;
+  const size_t ordered = std::min(candidates.size(), kMaxNamedWorkers);
   std::partial_sort(
       candidates.begin(), candidates.begin() + ordered, candidates.end(),
       [](const AdviceCandidate& a, const AdviceCandidate& b) {
@@ -308,30 +319,33 @@
                std::make_tuple(!b.good, -b.fits, -b.whole, b.number);
       });
   candidates.resize(ordered);
-  const double share = GoodShare(*ready.queue);
+  const double share = EligibleShare(*ready.queue);
   double expected = usable;
   std::vector<NamedWorker> named;
   for (const AdviceCandidate& candidate : candidates) {
     const bool enough = expected >= kAdviceMargin * ready.waiting &&
-                        named.size() >= kLeastNamed;
-    if (enough && named.size() >= cheap) break;
-    const double hoped = candidate.fits * (candidate.good ? 1.0 : share);
-    expected += hoped;
-    named.push_back({candidate.worker, enough ? 0 : HopedMilli(ready, hoped)});
+                        named.size() >= kMinNamedWorkers;
+    if (enough && named.size() >= cheap_count) break;
+    const double expected_gain =
+        candidate.fits * (candidate.good ? 1.0 : share);
+    expected += expected_gain;
+    named.push_back(
+        {candidate.worker, enough ? 0 : ExpectedMilli(ready, expected_gain)});
   }
   AskAdvice(ready, named, 1, now);
 }
 
 // What a call names for a gang: workers, in this order.
-struct JobScheduler::GangNames {
+struct JobScheduler::GangCall {
   std::vector<NamedWorker> named;
   double expected = 0;    // Tasks that those named are hoped to take.
   double first_call = 0;  // Of these, what one call names.
 
-  void Add(const AdviceCandidate& candidate, double tasks, int32_t hoped) {
+  void Add(const AdviceCandidate& candidate, double tasks,
+           int32_t expected_gain) {
     expected += tasks;
-    if (named.size() < kMostNamed) first_call = expected;
-    named.push_back({candidate.worker, hoped});
+    if (named.size() < kMaxNamedWorkers) first_call = expected;
+    named.push_back({candidate.worker, expected_gain});
   }
 };
 
@@ -339,26 +353,27 @@
     const ReadyStep& ready, Now now) {
   GangCandidates out;
   const StepAdvice& advice = ready.state->advice;
-  const Resources need = RoomNeeded(*ready.spec);
-  absl::flat_hash_map<std::string, int32_t> own;
-  for (const auto& [id, tasks] : ready.state->held) own[id] += tasks;
+  const Resources need = CapacityNeeded(*ready.spec);
+  absl::flat_hash_map<std::string, int32_t> own_reserved;
+  for (const auto& [id, tasks] : ready.state->reserved)
+    own_reserved[id] += tasks;
   for (auto& [id, worker] : workers_) {
     if (!MayRun(*worker, ready, now)) continue;
     const auto known = advice.known.find(id);
     const bool is_known = known != advice.known.end();
     if (is_known && !known->second) continue;
     // What is kept here for this step is room that it may have.
-    Resources room = RoomOn(*worker);
-    const auto kept = own.find(id);
-    const bool held = kept != own.end();
-    for (int32_t i = 0; held && i < kept->second; ++i) room += need;
+    Resources available = UnreservedCapacity(*worker);
+    const auto kept = own_reserved.find(id);
+    const bool reserved = kept != own_reserved.end();
+    for (int32_t i = 0; reserved && i < kept->second; ++i) available += need;
     const AdviceCandidate candidate{
         worker.get(),
-        Fits(*worker, ready, room),
-        Fits(*worker, ready, worker->record.capacity),
+        CountFittingTasks(*worker, ready, available),
+        CountFittingTasks(*worker, ready, worker->record.capacity),
         is_known,
         out.good.size() + out.unknown.size(),
-        held};
+        reserved};
     if (candidate.whole < 1) continue;
     if (!is_known) {
       out.unknown.push_back(candidate);
@@ -369,106 +384,112 @@
     }
   }
   // Others may take what is not held while the answer is on its way.
-  const auto by_room = [](const AdviceCandidate& a, const AdviceCandidate& b) {
+  const auto by_capacity = [](const AdviceCandidate& a,
+                              const AdviceCandidate& b) {
     const auto rank = [](const AdviceCandidate& one) {
       return std::make_tuple(
-          one.fits < 1, !one.held, -one.fits,
-          one.worker->hoped_milli - one.worker->free.cpu_milli, one.number);
+          one.fits < 1, !one.reserved, -one.fits,
+          one.worker->expected_cpu_milli - one.worker->free.cpu_milli,
+          one.number);
     };
     return rank(a) < rank(b);
   };
-  std::sort(out.good.begin(), out.good.end(), by_room);
-  std::sort(out.unknown.begin(), out.unknown.end(), by_room);
+  std::sort(out.good.begin(), out.good.end(), by_capacity);
+  std::sort(out.unknown.begin(), out.unknown.end(), by_capacity);
   return out;
 }
 
 void JobScheduler::EnsureGangAdvice(ReadyStep& ready, Now now) {
-  if (!TakeAdviceSearch(ready, now)) return;
+  if (!TryTakeAdviceSearch(ready, now)) return;
   StepAdvice& advice = ready.state->advice;
   const bool by_cost =
-      options_.policy.name_by_cost && MostNamed(*ready.queue) > 0;
+      options_.policy.name_by_cost && CheapNameCount(*ready.queue) > 0;
   const GangCandidates candidates = FindGangCandidates(ready, now);
-  const double share = GoodShare(*ready.queue);
+  const double share = EligibleShare(*ready.queue);
   const double count = ready.spec->count;
-  double hoped_now = candidates.good_now;
+  double expected_now = candidates.good_now;
   for (const AdviceCandidate& candidate : candidates.unknown)
-    hoped_now += candidate.fits * share;
-  const bool room_now = candidates.good_now >= ready.spec->count;
+    expected_now += candidate.fits * share;
+  const bool fits_now = candidates.good_now >= ready.spec->count;
   // Others are asked about when those known to be good have no room now and
   // the others may, or when too few are known to be good at all.
   const bool ask_unknown =
-      !room_now && !candidates.unknown.empty() &&
-      (hoped_now >= count || candidates.good_whole < count * kAdviceMargin);
-  const bool prepares = by_cost && ready.holds && HeldTicketRunsOut(ready, now);
-  if (!room_now && !ask_unknown && !prepares) {
-    advice.next_ask = now.mono + LookAgainAfter();
+      !fits_now && !candidates.unknown.empty() &&
+      (expected_now >= count || candidates.good_whole < count * kAdviceMargin);
+  const bool asks_ahead =
+      by_cost && ready.may_reserve && ReservedTicketExpires(ready, now);
+  if (!fits_now && !ask_unknown && !asks_ahead) {
+    advice.next_ask_at = now.mono + AdviceSearchInterval();
     return;
   }
-  const size_t cheap = by_cost ? MostNamed(*ready.queue) : 0;
+  const size_t cheap_count = by_cost ? CheapNameCount(*ready.queue) : 0;
   // Fresh tickets for the good ones that have room, with some to spare: others
   // take room while the answer is on its way.
-  GangNames names;
+  GangCall names;
   for (const AdviceCandidate& candidate : candidates.good) {
     const bool enough =
-        candidate.fits < 1 || names.expected >= kGangSpare * count;
-    if (enough && names.named.size() >= cheap) break;
+        candidate.fits < 1 || names.expected >= kGangMargin * count;
+    if (enough && names.named.size() >= cheap_count) break;
     names.Add(candidate, candidate.fits,
-              enough ? 0 : HopedMilli(ready, candidate.fits));
+              enough ? 0 : ExpectedMilli(ready, candidate.fits));
   }
-  const auto add_unknown = [&](GangNames& to) {
+  const auto add_unknown = [&](GangCall& to) {
     for (const AdviceCandidate& candidate : candidates.unknown) {
-      const bool enough = to.expected >= kGangSpare * kAdviceMargin * count &&
-                          to.named.size() >= kLeastNamed;
-      if (enough && to.named.size() >= cheap) break;
+      const bool enough = to.expected >= kGangMargin * kAdviceMargin * count &&
+                          to.named.size() >= kMinNamedWorkers;
+      if (enough && to.named.size() >= cheap_count) break;
       to.Add(candidate,
              share * (candidate.fits > 0 ? candidate.fits : candidate.whole),
-             enough ? 0 : HopedMilli(ready, share * candidate.fits));
+             enough ? 0 : ExpectedMilli(ready, share * candidate.fits));
     }
   };
   if (ask_unknown) add_unknown(names);
   size_t calls = 1;
-  if (names.named.size() > kMostNamed &&
+  if (names.named.size() > kMaxNamedWorkers &&
       names.first_call < kAdviceMargin * count) {
     // One call may not bring the tickets, and those of calls one after the
     // other do not hold together: a gang of 91 tasks on half a worker each
     // asked 24 times in 57 s and did not start, with half of the site free.
-    if ((ready.holds && hoped_now >= count) || ready.pool_idles) {
-      calls = std::min(kMostSideBySide, 1 + calls_beside_left_);
+    if ((ready.may_reserve && expected_now >= count) ||
+        ready.pool_mostly_idle) {
+      calls = std::min(kMaxConcurrentCalls, 1 + concurrent_calls_left_);
     } else if (names.first_call < count) {
-      names = GangNames();
+      names = GangCall();
       if (ask_unknown) add_unknown(names);
     }
   }
-  if (names.named.empty()) advice.next_ask = now.mono + LookAgainAfter();
+  if (names.named.empty())
+    advice.next_ask_at = now.mono + AdviceSearchInterval();
   AskAdvice(ready, names.named, calls, now);
 }
 
 void JobScheduler::OnAdvice(const AskAdviceAction& action,
                             const AdviceReply& reply, Now now) {
-  ReturnHopes(action);
+  ReleaseExpectedUse(action);
   const auto found = jobs_.find(action.request.step.job);
   for (Adviser& adviser : advisers_) {
     if (adviser.node != action.adviser) continue;
     if (!reply.answered && !reply.overloaded)
-      adviser.avoid_until = now.mono + kAvoidAdviser;
+      adviser.avoid_until = now.mono + kAdviserAvoidance;
   }
   if (found == jobs_.end()) return;
   StepState* step = found->second->FindStep(action.request.step);
   if (step == nullptr) return;
   StepAdvice& advice = step->advice;
-  advice.open = std::max(0, advice.open - 1);
-  advice.next_ask =
-      now.mono + kAskAgain * (1 << std::min(advice.asks - 1, kMostDoublings));
+  advice.calls_in_flight = std::max(0, advice.calls_in_flight - 1);
+  advice.next_ask_at =
+      now.mono +
+      kAskAgainDelay * (1 << std::min(advice.ask_count - 1, kMaxDoublings));
   placement_wanted_ = true;
-  Explain("advice_answered",
-          {{"job", JobIdText(action.request.step.job)},
-           {"step", absl::StrCat(action.request.step.step)},
-           {"adviser", action.adviser},
-           {"answered", reply.answered ? "yes" : "no"},
-           {"named", absl::StrCat(action.request.workers.size())},
-           {"good", absl::StrCat(reply.good.size())}});
+  LogDecision("advice_answered",
+              {{"job", JobIdText(action.request.step.job)},
+               {"step", absl::StrCat(action.request.step.step)},
+               {"adviser", action.adviser},
+               {"answered", reply.answered ? "yes" : "no"},
+               {"named", absl::StrCat(action.request.workers.size())},
+               {"good", absl::StrCat(reply.good.size())}});
   if (!reply.answered) {
-    advice.next_ask = now.mono + kAdviceRetry;
+    advice.next_ask_at = now.mono + kAdviceRetry;
     return;
   }
   const Queue* queue = configuration_->FindQueueByName(found->second->queue);
@@ -478,10 +499,12 @@
   for (const std::string& worker : action.request.workers) {
     if (advice.known.try_emplace(worker, false).second) ++fresh;
   }
-  absl::erase_if(advice.tickets,
-                 [&](const auto& one) { return !IsValid(one.second, now); });
-  const absl::Time expires =
-      now.mono + absl::Milliseconds(queue->advice.validity_ms) - kTicketGrace;
+  absl::erase_if(advice.tickets, [&](const auto& one) {
+    return !IsTicketValid(one.second, now);
+  });
+  const absl::Time expires = now.mono +
+                             absl::Milliseconds(queue->advice.validity_ms) -
+                             kTicketTransitTime;
   for (const AdviceTicket& ticket : reply.good) {
     bool& good = advice.known[ticket.worker];
     if (!good) ++fresh_good;
@@ -489,12 +512,12 @@
     advice.tickets[ticket.worker] = {ticket.ticket, expires};
   }
   if (fresh > 0) {
-    double& share =
-        good_share_.try_emplace(queue->name, kInitialGoodShare).first->second;
+    double& share = good_share_.try_emplace(queue->name, kInitialEligibleShare)
+                        .first->second;
     const double seen =
         static_cast<double>(fresh_good) / static_cast<double>(fresh);
-    share += kGoodShareWeight * (seen - share);
-    share = std::max(share, kLeastGoodShare);
+    share += kEligibleShareWeight * (seen - share);
+    share = std::max(share, kMinEligibleShare);
   }
 }
 
--- a/keelbridge/coordination/job_scheduler_advice_test.cc
+++ b/keelbridge/coordination/job_scheduler_advice_test.cc
@@ -19,7 +19,7 @@
   site.UseAdvice();
   for (const char* id : {"a", "b", "c", "d", "e", "f", "g", "h", "i", "z"}) {
     site.AddWorker(id);
-    site.lists[id];
+    site.reports[id];
   }
   site.good = {"a", "b", "z"};
   site.RunUntil(absl::Milliseconds(100));
@@ -50,7 +50,7 @@
   site.hold_advice = true;
   for (const char* id : {"a", "b", "c", "d"}) {
     site.AddWorker(id);
-    site.lists[id];
+    site.reports[id];
   }
   // Each worker has room for one task at a time: 4 of 40 jobs.
   for (JobId id = 100; id < 140; ++id) {
@@ -59,8 +59,8 @@
     site.scheduler().Submit(id, "restore", spec, site.now());
   }
   site.RunUntil(absl::Milliseconds(500));
-  CHECK(site.asks.size() >= 1);
-  CHECK(site.asks.size() <= 8);
+  CHECK(site.advice_calls.size() >= 1);
+  CHECK(site.advice_calls.size() <= 8);
 }
 
 TEST_CASE("job scheduler: steps that ask at once hope for different workers") {
@@ -70,7 +70,7 @@
   site.hold_advice = true;
   for (char id = 'a'; id < 'm'; ++id) {
     site.AddWorker(std::string(1, id));
-    site.lists[std::string(1, id)];
+    site.reports[std::string(1, id)];
   }
   for (JobId id = 100; id < 102; ++id) {
     JobSpec spec;
@@ -78,18 +78,18 @@
     site.scheduler().Submit(id, "restore", spec, site.now());
   }
   site.RunUntil(absl::Milliseconds(200));
-  REQUIRE(site.asks.size() == 2);
-  std::set<std::string> hoped_for;
-  size_t hopes = 0;
+  REQUIRE(site.advice_calls.size() == 2);
+  std::set<std::string> expected_workers;
+  size_t expected_uses = 0;
   for (size_t ask = 0; ask < 2; ++ask) {
-    for (size_t i = 0; i < site.asks[ask].size(); ++i) {
-      if (site.hopes[ask][i] == 0) continue;
-      hoped_for.insert(site.asks[ask][i]);
-      ++hopes;
+    for (size_t i = 0; i < site.advice_calls[ask].size(); ++i) {
+      if (site.expected_uses[ask][i] == 0) continue;
+      expected_workers.insert(site.advice_calls[ask][i]);
+      ++expected_uses;
     }
   }
-  CHECK(hopes >= 2);
-  CHECK(hoped_for.size() == hopes);
+  CHECK(expected_uses >= 2);
+  CHECK(expected_workers.size() == expected_uses);
 }
 
 TEST_CASE("job scheduler: steps that ask at once ask about different workers") {
@@ -102,7 +102,7 @@
   site.hold_advice = true;
   for (char id = 'a'; id < 'm'; ++id) {
     site.AddWorker(std::string(1, id));
-    site.lists[std::string(1, id)];
+    site.reports[std::string(1, id)];
   }
   for (JobId id = 100; id < 102; ++id) {
     JobSpec spec;
@@ -110,10 +110,12 @@
     site.scheduler().Submit(id, "restore", spec, site.now());
   }
   site.RunUntil(absl::Milliseconds(200));
-  REQUIRE(site.asks.size() == 2);
-  std::set<std::string> both(site.asks[0].begin(), site.asks[0].end());
-  both.insert(site.asks[1].begin(), site.asks[1].end());
-  CHECK(both.size() == site.asks[0].size() + site.asks[1].size());
+  REQUIRE(site.advice_calls.size() == 2);
+  std::set<std::string> both(site.advice_calls[0].begin(),
+                             site.advice_calls[0].end());
+  both.insert(site.advice_calls[1].begin(), site.advice_calls[1].end());
+  CHECK(both.size() ==
+        site.advice_calls[0].size() + site.advice_calls[1].size());
 }
 
 TEST_CASE(
@@ -123,14 +125,14 @@
   site.UseAdvisers(40);
   for (const char* id : {"a", "b", "c", "d", "e", "f"}) {
     site.AddWorker(id);
-    site.lists[id];
+    site.reports[id];
   }
   // No worker may run it: all are asked about once, and not each turn again.
   JobSpec spec;
   spec.steps.push_back(OneTask(8000));
   site.scheduler().Submit(100, "restore", spec, site.now());
   site.RunUntil(absl::Seconds(2));
-  CHECK(site.asks.size() <= 6);
+  CHECK(site.advice_calls.size() <= 6);
 }
 
 // Seen in a simulated run: a worker was gone at 37.8 s, its lease over at 47.8
@@ -142,22 +144,22 @@
   site.UseAdvice();
   site.UseAdvisers(9);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.good = {"a", "b"};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(OneTask());
-  spec.steps[0].lasting = true;
+  spec.steps[0].long_running = true;
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Seconds(1));
   REQUIRE(site.start_workers == std::vector<std::string>{"a"});
   site.AddWorker("b");
-  site.lists["b"];
-  const size_t asked = site.asks.size();
-  site.lists.erase("a");
+  site.reports["b"];
+  const size_t asked = site.advice_calls.size();
+  site.reports.erase("a");
   site.RunUntil(absl::Milliseconds(7050));
   CHECK(site.starts.size() == 1);
-  CHECK(site.asks.size() > asked);
+  CHECK(site.advice_calls.size() > asked);
   site.hold_advice = true;
   site.RunUntil(absl::Milliseconds(7400));
   REQUIRE(site.starts.size() == 2);
@@ -168,7 +170,7 @@
   SchedulerDriver site(1);
   for (char id = 'a'; id < 'm'; ++id) {
     site.AddWorker(std::string(1, id), 64000);
-    site.lists[std::string(1, id)];
+    site.reports[std::string(1, id)];
   }
   // In nine jobs: one step may not take all workers at once.
   JobSpec spec;
@@ -188,10 +190,10 @@
 TEST_CASE("job scheduler: a lasting task moves before its worker leaves") {
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps.push_back(LastingTask());
+  spec.steps.push_back(LongRunningTask());
   spec.steps.push_back(OneTask());  // Runs on to its end there.
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Milliseconds(200));
@@ -204,7 +206,7 @@
   site.RunUntil(absl::Milliseconds(400));
   CHECK(site.stops.empty());
   site.AddWorker("b");
-  site.lists["b"];
+  site.reports["b"];
   site.RunUntil(absl::Milliseconds(600));
   REQUIRE(site.stops.size() == 1);
   CHECK(site.stops[0].task == kTask);
@@ -218,11 +220,11 @@
 
 // Tasks that a late leader starts in a second, with so many jobs of four tasks
 // waiting and room for all.
-size_t StartedInASecond(JobId jobs) {
+size_t StartsInOneSecond(JobId jobs) {
   SchedulerDriver site(1);
   for (char id = 'a'; id < 'm'; ++id) {
     site.AddWorker(std::string(1, id), 64000);
-    site.lists[std::string(1, id)];
+    site.reports[std::string(1, id)];
   }
   JobSpec spec;
   spec.steps.push_back(OneTask());
@@ -240,8 +242,8 @@
 // What a leader carries must not fall with what waits: it would never get rid
 // of a backlog.
 TEST_CASE("job scheduler: a leader that is behind starts no less for it") {
-  const size_t some = StartedInASecond(300);
-  const size_t many = StartedInASecond(2500);
+  const size_t some = StartsInOneSecond(300);
+  const size_t many = StartsInOneSecond(2500);
   MESSAGE("started in a second with 10,000 tasks waiting: 40 before, ", many,
           " after; with 1,200: ", some);
   CHECK(many >= 400);
@@ -279,7 +281,7 @@
   Queue queue;
   queue.name = "restore";
   queue.pool = "pool";
-  queue.most_attempts = 2;
+  queue.max_attempts = 2;
   queue.advice = {true, 500, 8, 1500};
   configuration->queues.push_back(queue);
   queue.name = "render";
@@ -292,7 +294,7 @@
   WorkerRecord other = SchedulerDriver::RecordOf("w", 8000);
   other.pool = "other";
   site.scheduler().OnWorkerRecord(other, site.now());
-  for (const char* worker : {"a", "w"}) site.lists[worker];
+  for (const char* worker : {"a", "w"}) site.reports[worker];
   site.good = {"w"};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec many;
--- a/keelbridge/coordination/job_scheduler_capacity_test.cc
+++ b/keelbridge/coordination/job_scheduler_capacity_test.cc
@@ -19,15 +19,15 @@
   site.scheduler().Submit(id, "restore", spec, site.now());
 }
 
-void EndFirst(SchedulerDriver& site, int64_t number, RunEnd end) {
-  const RunningTask run = site.lists["a"].running.front();
+void EndFirstRun(SchedulerDriver& site, int64_t number, RunEnd end) {
+  const RunningTask run = site.reports["a"].running.front();
   site.End("a", {number, run.task, run.run, end, ""});
 }
 
 TEST_CASE("job scheduler: a worker that has shrunk gets nothing over it") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
-  site.lists["a"];
+  site.reports["a"];
   StepSpec four = OneTask(2000);
   four.count = 4;
   Submit(site, kJob, four);
@@ -37,9 +37,9 @@
   Submit(site, 8, OneTask(1000));
   site.RunUntil(absl::Seconds(1));
   CHECK(site.starts.size() == 4);
-  EndFirst(site, 1, RunEnd::kDone);
+  EndFirstRun(site, 1, RunEnd::kDone);
   site.RunUntil(absl::Seconds(2));
-  EndFirst(site, 2, RunEnd::kDone);
+  EndFirstRun(site, 2, RunEnd::kDone);
   site.RunUntil(absl::Seconds(3));
   // What runs takes all that is left.
   CHECK(site.starts.size() == 4);
@@ -51,7 +51,7 @@
 TEST_CASE("job scheduler: runs that are to stop count on a shrunk worker") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
-  site.lists["a"];
+  site.reports["a"];
   StepSpec four = OneTask(2000);
   four.count = 4;
   Submit(site, kJob, four);
@@ -61,10 +61,10 @@
   Submit(site, 8, OneTask(1000));
   site.RunUntil(absl::Seconds(1));
   REQUIRE(site.stops.size() >= 4);
-  EndFirst(site, 1, RunEnd::kStopped);
+  EndFirstRun(site, 1, RunEnd::kStopped);
   site.RunUntil(absl::Seconds(2));
   CHECK(site.starts.size() == 4);
-  EndFirst(site, 2, RunEnd::kStopped);
+  EndFirstRun(site, 2, RunEnd::kStopped);
   site.RunUntil(absl::Seconds(3));
   CHECK(site.starts.size() == 5);
 }
@@ -76,9 +76,9 @@
     "worker that has shrunk since") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(200));
-  Submit(site, kJob, LastingTask());
+  Submit(site, kJob, LongRunningTask());
   Submit(site, 8, OneTask(4000));
   site.RunUntil(absl::Milliseconds(220));
   site.hold_batches = true;
@@ -100,8 +100,8 @@
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
   site.AddWorker("b", 8000);
-  site.lists["a"];
-  site.lists["b"];
+  site.reports["a"];
+  site.reports["b"];
   Submit(site, 8, OneTask(6000));
   site.RunUntil(absl::Milliseconds(200));
   REQUIRE(site.starts.size() == 1);
@@ -126,7 +126,7 @@
 TEST_CASE("job scheduler: a worker may shrink to nothing and come back") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
-  site.lists["a"];
+  site.reports["a"];
   Submit(site, kJob, OneTask(2000));
   site.RunUntil(absl::Milliseconds(200));
   SetCapacity(site, "a", 0);
--- a/keelbridge/coordination/job_scheduler_gangs.cc
+++ b/keelbridge/coordination/job_scheduler_gangs.cc
@@ -11,11 +11,11 @@
 
 // Missing members of a gang are tried again for this part of the time that the
 // others wait for them.
-constexpr double kGangRetryShare = 0.6;
+constexpr double kGangRetryShareOfWait = 0.6;
 
 }  // namespace
 
-bool JobScheduler::FinishGang(ReadyStep& ready, Now now) {
+bool JobScheduler::CompleteGang(ReadyStep& ready, Now now) {
   std::vector<int32_t> missing;
   int32_t run = 0;
   bool stopping = false;
@@ -33,18 +33,20 @@
     run = std::max(run, task.run);
   }
   if (!any_placed) return false;
-  const absl::Duration patience = options_.gang_wait * kGangRetryShare;
-  const bool give_up =
+  const absl::Duration patience = options_.gang_wait * kGangRetryShareOfWait;
+  const bool abandon =
       stopping || now.mono - ready.state->gang_started > patience;
-  if (!give_up) {
-    const std::vector<Worker*> usable =
-        missing.empty() ? std::vector<Worker*>() : WorkersFor(ready, now);
+  if (!abandon) {
+    const std::vector<Worker*> usable = missing.empty()
+                                            ? std::vector<Worker*>()
+                                            : FindUsableWorkers(ready, now);
     for (const int32_t index : missing) {
       TaskState& task = ready.state->tasks[static_cast<size_t>(index)];
       // A member whose run ended cannot join that run again.
       if (task.run >= run || task.retry_at > now.mono) continue;
       for (Worker* worker : usable) {
-        if (Fits(*worker, ready, RoomOn(*worker)) < 1) continue;
+        if (CountFittingTasks(*worker, ready, UnreservedCapacity(*worker)) < 1)
+          continue;
         StartTask(ready, index, run, *worker, now);
         break;
       }
@@ -56,9 +58,9 @@
     if (task.worker.empty()) continue;
     const auto worker = workers_.find(task.worker);
     if (worker == workers_.end()) continue;
-    WantStop(*worker->second,
-             {TaskId{ready.job->id, ready.round->number, ready.number, i},
-              task.run});
+    RequestStop(*worker->second,
+                {TaskId{ready.job->id, ready.round->number, ready.number, i},
+                 task.run});
   }
   return true;
 }
@@ -70,37 +72,43 @@
     placement_wanted_ = true;
     return;
   }
-  struct Room {
+  struct GangPlace {
     Worker* worker;
     int32_t fits;
   };
-  std::vector<Room> rooms;
+  std::vector<GangPlace> places;
   int32_t total = 0;
-  for (Worker* worker : WorkersFor(ready, now)) {
-    const int32_t fits = Fits(*worker, ready, RoomOn(*worker));
+  for (Worker* worker : FindUsableWorkers(ready, now)) {
+    const int32_t fits =
+        CountFittingTasks(*worker, ready, UnreservedCapacity(*worker));
     if (fits < 1) continue;
-    rooms.push_back({worker, fits});
+    places.push_back({worker, fits});
     total += fits;
   }
   if (total < ready.spec->count) {
-    Block(ready, ready.state->advice.open > 0
-                     ? "waits for advice"
-                     : "no room for the whole gang on workers that may run it");
+    RecordBlocked(
+        ready, ready.state->advice.calls_in_flight > 0
+                   ? "waits for advice"
+                   : "no room for the whole gang on workers that may run it");
     return;
   }
   // Workers of one rack first where that matters, else the fullest first.
   std::map<std::string, int32_t> in_rack;
-  for (const Room& room : rooms) in_rack[room.worker->record.rack] += room.fits;
-  const auto rank = [&](const Room& room) {
-    const std::string& rack = room.worker->record.rack;
+  for (const GangPlace& place : places)
+    in_rack[place.worker->record.rack] += place.fits;
+  const auto rank = [&](const GangPlace& place) {
+    const std::string& rack = place.worker->record.rack;
     const bool near = !ready.spec->rack.empty() && rack == ready.spec->rack;
     const int32_t whole =
         ready.spec->same_rack ? std::min(in_rack[rack], ready.spec->count) : 0;
     return std::make_tuple(!near, -whole, ready.spec->same_rack ? rack : "",
-                           room.worker->free.cpu_milli, room.worker->record.id);
+                           place.worker->free.cpu_milli,
+                           place.worker->record.id);
   };
-  std::sort(rooms.begin(), rooms.end(),
-            [&](const Room& a, const Room& b) { return rank(a) < rank(b); });
+  std::sort(places.begin(), places.end(),
+            [&](const GangPlace& a, const GangPlace& b) {
+              return rank(a) < rank(b);
+            });
   int32_t run = FirstRunOfEpoch(epoch_);
   std::string checkpoint;
   for (const TaskState& task : ready.state->tasks) {
@@ -109,14 +117,14 @@
     if (task.checkpoint > checkpoint) checkpoint = task.checkpoint;
   }
   ready.state->gang_started = now.mono;
-  ready.state->held.clear();
+  ready.state->reserved.clear();
   int32_t index = 0;
-  for (const Room& room : rooms) {
-    for (int32_t i = 0; i < room.fits && index < ready.spec->count; ++i) {
+  for (const GangPlace& place : places) {
+    for (int32_t i = 0; i < place.fits && index < ready.spec->count; ++i) {
       ready.state->tasks[static_cast<size_t>(index)].checkpoint = checkpoint;
-      StartTask(ready, index, run, *room.worker, now);
-      if (IsSuspect(ready, ready.state->tasks.front()))
-        PutOnProbation(ready, index, *room.worker, now);
+      StartTask(ready, index, run, *place.worker, now);
+      if (IsSuspectTask(ready, ready.state->tasks.front()))
+        PutOnProbation(ready, index, *place.worker, now);
       ++index;
     }
   }
--- a/keelbridge/coordination/job_scheduler_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_gangs_test.cc
@@ -43,14 +43,14 @@
 // no other: the site is full, and more waits than it can carry.
 TEST_CASE("job scheduler: a gang asks about the room that is held for it") {
   WideSite site;
-  JobId plain = 100;
+  JobId next_job = 100;
   for (int i = 0; i < 22; ++i)
-    site.Submit(plain++, "plain", 100, kHalfMilli, false);
+    site.Submit(next_job++, "plain", 100, kHalfMilli, false);
   site.RunUntil(absl::Seconds(2));
   REQUIRE(site.JobsStarted(100, 121) == 22);
   site.Submit(1, "restore", 91, kHalfMilli, true);
   for (int i = 0; i < 200; ++i) {
-    site.Submit(plain++, "plain", 40, kHalfMilli, false);
+    site.Submit(next_job++, "plain", 40, kHalfMilli, false);
     site.RunUntil(absl::Seconds(2) + absl::Milliseconds(i * 100));
   }
   MESSAGE("started after ",
@@ -65,9 +65,9 @@
   for (JobId job = 1; job <= 60; ++job)
     site.Submit(job, "restore", 180, kHalfMilli, true);
   for (int i = 2; i <= 40; ++i) {
-    const size_t before = site.driver().asks.size();
+    const size_t before = site.driver().advice_calls.size();
     site.RunUntil(absl::Milliseconds(i * 500));
-    most = std::max(most, site.driver().asks.size() - before);
+    most = std::max(most, site.driver().advice_calls.size() - before);
   }
   MESSAGE("calls in half a second, at most: ", most);
   CHECK(most > 0);
@@ -88,9 +88,9 @@
   }
   site.RunUntil(absl::Seconds(25));
   for (JobId job = 100; job < 180; ++job) {
-    const absl::Duration handed_in =
+    const absl::Duration submitted_at =
         absl::Seconds(2) + absl::Milliseconds((job - 100) * 200);
-    longest = std::max(longest, site.StartedAt(job) - handed_in);
+    longest = std::max(longest, site.StartedAt(job) - submitted_at);
   }
   MESSAGE("longest wait of a small task: ", absl::FormatDuration(longest));
   CHECK(longest <= absl::Seconds(3));
@@ -98,7 +98,7 @@
 
 // Gangs wait on a site that is full, and nobody can be asked for advice from
 // `unadvised` on. Returns how often a worker was tried in a second after that.
-int64_t TriedInSecond(absl::Duration unadvised) {
+int64_t WorkersTriedInOneSecond(absl::Duration unadvised) {
   WideSite site;
   for (JobId job = 100; job < 122; ++job)
     site.Submit(job, "plain", {100, {kHalfMilli, 1, 0}, false, 60000, 60000});
@@ -112,18 +112,19 @@
   const auto before = site.driver().scheduler().figures();
   site.RunUntil(absl::Seconds(5) + unadvised);
   const auto after = site.driver().scheduler().figures();
-  CHECK(after.looks > before.looks);
-  CHECK(after.steps_looked_at > before.steps_looked_at);
+  CHECK(after.placement_passes > before.placement_passes);
+  CHECK(after.steps_examined > before.steps_examined);
   return after.workers_tried - before.workers_tried;
 }
 
 // A look would else cost gangs times workers, however few have a ticket.
 TEST_CASE(
     "job scheduler: a waiting gang tries only workers it has tickets of") {
-  CHECK(TriedInSecond(absl::ZeroDuration()) == 0);
+  CHECK(WorkersTriedInOneSecond(absl::ZeroDuration()) == 0);
   // Four gangs look for room to keep, every 50 ms, on the quarter of the
   // workers that may run them.
-  CHECK(TriedInSecond(absl::Seconds(2)) <= 4 * 20 * WideSite::kWorkers / 4);
+  CHECK(WorkersTriedInOneSecond(absl::Seconds(2)) <=
+        4 * 20 * WideSite::kWorkers / 4);
 }
 
 }  // namespace
--- a/keelbridge/coordination/job_scheduler_incarnations_test.cc
+++ b/keelbridge/coordination/job_scheduler_incarnations_test.cc
@@ -10,15 +10,15 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr char kFirst[] = "a@1000";
-constexpr char kSecond[] = "a@2000";
+constexpr char kFirstIncarnation[] = "a@1000";
+constexpr char kSecondIncarnation[] = "a@2000";
 
 // A worker "a" that is given the one task.
-class RestartSite {
+class RestartFixture {
  public:
-  explicit RestartSite(SchedulerDriver& site) : site_(site) {
-    site.AddWorker(kFirst);
-    site.lists[kFirst];
+  explicit RestartFixture(SchedulerDriver& site) : site_(site) {
+    site.AddWorker(kFirstIncarnation);
+    site.reports[kFirstIncarnation];
     site.RunUntil(absl::Milliseconds(100));
     JobSpec spec;
     spec.steps = {OneTask(8000)};
@@ -27,12 +27,12 @@
 
   // The worker starts again; the platform does not list that yet.
   void Restart() {
-    site_.next_lives[kFirst] = kSecond;
-    site_.lists[kSecond];
+    site_.next_incarnations[kFirstIncarnation] = kSecondIncarnation;
+    site_.reports[kSecondIncarnation];
   }
-  void ListSecond() {
-    WorkerRecord record = SchedulerDriver::RecordOf(kSecond, 8000);
-    record.machine = "m-" + std::string(kFirst);
+  void AddSecondIncarnation() {
+    WorkerRecord record = SchedulerDriver::RecordOf(kSecondIncarnation, 8000);
+    record.machine = "m-" + std::string(kFirstIncarnation);
     site_.scheduler().OnWorkerRecord(record, site_.now());
   }
 
@@ -43,14 +43,14 @@
 TEST_CASE(
     "job scheduler: what a life listed is lost with it and starts again") {
   SchedulerDriver site(1);
-  RestartSite worker(site);
+  RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(400));  // It was listed as running.
   REQUIRE(site.starts.size() == 1);
   worker.Restart();
-  worker.ListSecond();
+  worker.AddSecondIncarnation();
   site.RunUntil(absl::Milliseconds(900));
   REQUIRE(site.starts.size() == 2);
-  CHECK(site.start_workers[1] == kSecond);
+  CHECK(site.start_workers[1] == kSecondIncarnation);
   CHECK(site.starts[1].run > site.starts[0].run);
   CHECK(site.stops.empty());
 }
@@ -58,14 +58,14 @@
 TEST_CASE(
     "job scheduler: a life is over though the next one refuses its fence") {
   SchedulerDriver site(1);
-  RestartSite worker(site);
+  RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(400));
   REQUIRE(site.starts.size() == 1);
-  site.down.insert(kFirst);
-  site.lists[kSecond];
-  worker.ListSecond();
+  site.down.insert(kFirstIncarnation);
+  site.reports[kSecondIncarnation];
+  worker.AddSecondIncarnation();
   site.RunUntil(absl::Milliseconds(600));  // The second is looked at first.
-  site.down.erase(kFirst);
+  site.down.erase(kFirstIncarnation);
   worker.Restart();
   site.RunUntil(absl::Milliseconds(1100));
   CHECK(site.starts.size() == 2);
@@ -74,54 +74,54 @@
 
 TEST_CASE("job scheduler: a start that the next life took is kept there") {
   SchedulerDriver site(1);
-  RestartSite worker(site);
+  RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(120));
   worker.Restart();  // As the order leaves.
   site.RunUntil(absl::Milliseconds(160));
   REQUIRE(site.starts.size() == 1);
-  REQUIRE(site.start_workers[0] == kFirst);
+  REQUIRE(site.start_workers[0] == kFirstIncarnation);
   site.RunUntil(absl::Seconds(2));
   CHECK(site.starts.size() == 1);
   CHECK(site.stops.empty());
-  CHECK(site.lists[kSecond].running.size() == 1);
+  CHECK(site.reports[kSecondIncarnation].running.size() == 1);
 }
 
 TEST_CASE(
     "job scheduler: a start that neither life lists is stopped on the next one "
     "before it starts again") {
   SchedulerDriver site(1);
-  RestartSite worker(site);
+  RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(140));  // No listing has shown it yet.
   REQUIRE(site.starts.size() == 1);
   worker.Restart();
-  site.lists.erase(kFirst);
-  worker.ListSecond();
+  site.reports.erase(kFirstIncarnation);
+  worker.AddSecondIncarnation();
   site.RunUntil(absl::Seconds(2));
   REQUIRE(site.starts.size() == 2);
   REQUIRE_FALSE(site.stops.empty());
-  CHECK(site.stop_workers[0] == kSecond);
+  CHECK(site.stop_workers[0] == kSecondIncarnation);
   CHECK(site.stops[0].run == site.starts[0].run);
 }
 
 TEST_CASE("job scheduler: a worker's next life gets a higher fence") {
   SchedulerDriver site(3);
-  RestartSite worker(site);
+  RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(400));
-  const int64_t before = site.looks.back().order.fence;
+  const int64_t before = site.observations.back().order.fence;
   worker.Restart();
-  worker.ListSecond();
+  worker.AddSecondIncarnation();
   site.RunUntil(absl::Milliseconds(900));
-  CHECK(site.looks.back().worker.id == kSecond);
-  CHECK(site.looks.back().order.fence > before);
+  CHECK(site.observations.back().worker.id == kSecondIncarnation);
+  CHECK(site.observations.back().order.fence > before);
   // What refuses an order of before has not seen another leader.
   ObserveAction late;
-  late.worker = SchedulerDriver::RecordOf(kSecond, 8000);
+  late.worker = SchedulerDriver::RecordOf(kSecondIncarnation, 8000);
   late.order.fence = before;
   ObserveReply refused;
   refused.order.result = OrderResult::kFenced;
   site.scheduler().OnObserveReply(late, refused, site.now().mono, site.now());
   CHECK_FALSE(site.scheduler().fenced());
-  late.order.fence = site.looks.back().order.fence;
+  late.order.fence = site.observations.back().order.fence;
   site.scheduler().OnObserveReply(late, refused, site.now().mono, site.now());
   CHECK(site.scheduler().fenced());
 }
@@ -129,9 +129,9 @@
 TEST_CASE("job scheduler: every later leader's fences are higher") {
   const auto fence_of = [](int64_t epoch) {
     SchedulerDriver site(epoch);
-    site.AddWorker(kFirst);
+    site.AddWorker(kFirstIncarnation);
     site.RunUntil(absl::Milliseconds(100));
-    return site.looks.back().order.fence;
+    return site.observations.back().order.fence;
   };
   CHECK(fence_of(1) > 0);
   CHECK(fence_of(2) > fence_of(1) + 1000);
@@ -141,18 +141,18 @@
     "job scheduler: a later leader waits for the life that is there, not for "
     "the one on record") {
   SchedulerDriver site(2);
-  KnownWorker known{SchedulerDriver::RecordOf(kFirst, 8000), 1};
-  known.keeps_placements = true;
-  site.next_lives[kFirst] = kSecond;
+  KnownWorker known{SchedulerDriver::RecordOf(kFirstIncarnation, 8000), 1};
+  known.persists_placements = true;
+  site.next_incarnations[kFirstIncarnation] = kSecondIncarnation;
   site.Recover(OneTask(), {known});
   site.AddWorker("b");
-  site.lists["b"];
+  site.reports["b"];
   site.RunUntil(absl::Seconds(1));
   CHECK(site.starts.empty());  // It may run there, by a late order.
-  site.lists[kSecond].running.push_back({kTask, 1, "", 0});
+  site.reports[kSecondIncarnation].running.push_back({kTask, 1, "", 0});
   site.RunUntil(absl::Seconds(2));
   CHECK(site.starts.empty());
-  site.End(kSecond, {1, kTask, 1, RunEnd::kDone, ""});
+  site.End(kSecondIncarnation, {1, kTask, 1, RunEnd::kDone, ""});
   site.RunUntil(absl::Seconds(3));
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
   CHECK(site.starts.empty());
@@ -163,20 +163,20 @@
     "platform lists") {
   SchedulerDriver site(2);
   KnownWorker known{SchedulerDriver::RecordOf("a", 8000), 1};
-  known.keeps_placements = true;
+  known.persists_placements = true;
   site.Recover(OneTask(), {known});
-  site.lists[kFirst].running.push_back({kTask, 1, "", 0});
+  site.reports[kFirstIncarnation].running.push_back({kTask, 1, "", 0});
   site.AddWorker("b");
-  site.lists["b"];
-  site.AddWorker(kFirst);
+  site.reports["b"];
+  site.AddWorker(kFirstIncarnation);
   site.RunUntil(absl::Seconds(2));
   CHECK(site.starts.empty());
   CHECK(site.stops.empty());
-  site.End(kFirst, {1, kTask, 1, RunEnd::kDone, ""});
+  site.End(kFirstIncarnation, {1, kTask, 1, RunEnd::kDone, ""});
   site.RunUntil(absl::Seconds(3));
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
-  CHECK(site.kept.count(KnownWorkerKey("a")) == 0);
-  CHECK(site.kept.count(KnownWorkerKey(kFirst)) == 1);
+  CHECK(site.stored_records.count(KnownWorkerKey("a")) == 0);
+  CHECK(site.stored_records.count(KnownWorkerKey(kFirstIncarnation)) == 1);
 }
 
 }  // namespace
--- a/keelbridge/coordination/job_scheduler_late_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_late_gangs_test.cc
@@ -13,7 +13,7 @@
 // What showed it: in the log of such a site the steps that were left when the
 // day ended, of 19 to 137 tasks, had asked 1 to 10 times, about 100 workers
 // each. In this test (60 gangs, seed 1, 10 s after they came) gangs knew 0 to
-// 600 of 1,100 workers; `gangs_waiting` was 19 and `gangs_holding` 4; these
+// 600 of 1,100 workers; `gangs_waiting` was 19 and `gangs_reserving` 4; these
 // four kept 0.13 of the processors, 0.42 were in use, and 0.45 were neither.
 // The nodes that ask for advice were busy for a quarter of the time.
 
@@ -33,39 +33,42 @@
 // A job may have nothing running for this long while there is room for it
 // twice over and less than half of the site is in use. Users take it for lost
 // after that.
-constexpr absl::Duration kMostIdle = absl::Seconds(3);
+constexpr absl::Duration kMaxIdle = absl::Seconds(3);
 constexpr double kHalfUsed = 0.5;
 // The time after a loss of power in which this is not judged: until then a
 // gang may need two calls for advice, one after the other, to know its workers.
-constexpr absl::Duration kAfterPower = absl::Seconds(4);
+constexpr absl::Duration kPowerLossGracePeriod = absl::Seconds(4);
 constexpr absl::Duration kStep = absl::Milliseconds(100);
-constexpr absl::Duration kLength = absl::Seconds(30);
+constexpr absl::Duration kDuration = absl::Seconds(30);
 
 // Wide gangs as a site of archive work gets them.
-struct Mix {
+struct GangMix {
   int gangs;
   double mean_width;
   double mean_cpu_milli;
 };
 
-double Draw(std::mt19937_64& random, double mean, double spread, double most) {
+double DrawLognormal(std::mt19937_64& random, double mean, double spread,
+                     double most) {
   std::lognormal_distribution<double> draw(std::log(mean) - spread * spread / 2,
                                            spread);
   return std::min(most, draw(random));
 }
 
-int32_t DrawWhole(std::mt19937_64& random, double mean, double spread,
-                  double most) {
-  return static_cast<int32_t>(Draw(random, mean, spread, most));
+int32_t DrawLognormalInteger(std::mt19937_64& random, double mean,
+                             double spread, double most) {
+  return static_cast<int32_t>(DrawLognormal(random, mean, spread, most));
 }
 
-WideSite::Work DrawGang(std::mt19937_64& random, const Mix& mix) {
+WideSite::Work DrawGang(std::mt19937_64& random, const GangMix& mix) {
   WideSite::Work work;
   work.gang = true;
-  work.count = std::max(2, DrawWhole(random, mix.mean_width, 0.8, 240));
-  work.need.cpu_milli = DrawWhole(random, mix.mean_cpu_milli, 0.4, 30000);
-  work.need.memory_mib = DrawWhole(random, 52000, 0.5, 100000);
-  work.work_ms = DrawWhole(random, 6200, 0.5, 16000);
+  work.count =
+      std::max(2, DrawLognormalInteger(random, mix.mean_width, 0.8, 240));
+  work.need.cpu_milli =
+      DrawLognormalInteger(random, mix.mean_cpu_milli, 0.4, 30000);
+  work.need.memory_mib = DrawLognormalInteger(random, 52000, 0.5, 100000);
+  work.work_ms = DrawLognormalInteger(random, 6200, 0.5, 16000);
   std::uniform_real_distribution<double> off(0.5, 1.5);
   work.estimated_ms = static_cast<int32_t>(work.work_ms * off(random));
   return work;
@@ -73,7 +76,7 @@
 
 // The longest time that a gang should have run and did not, when all come at
 // once.
-absl::Duration LongestIdle(uint64_t seed, const Mix& mix) {
+absl::Duration LongestIdle(uint64_t seed, const GangMix& mix) {
   std::mt19937_64 random(seed);
   WideSite site;
   std::map<JobId, int32_t> waiting;
@@ -84,13 +87,13 @@
   }
   std::map<JobId, absl::Duration> idle;
   absl::Duration longest;
-  for (absl::Duration at = 2 * kStep; at <= kLength; at += kStep) {
+  for (absl::Duration at = 2 * kStep; at <= kDuration; at += kStep) {
     site.RunUntil(at);
-    if (at <= kAfterPower) continue;
+    if (at <= kPowerLossGracePeriod) continue;
     for (const auto& [job, count] : waiting) {
       if (site.Started(job) > 0) continue;
       const bool should_run = site.UsedShare() < kHalfUsed &&
-                              site.FitsNow(job) >= int64_t{2} * count;
+                              site.CountFitting(job) >= int64_t{2} * count;
       idle[job] = should_run ? idle[job] + kStep : absl::ZeroDuration();
       longest = std::max(longest, idle[job]);
     }
@@ -98,14 +101,14 @@
   return longest;
 }
 
-void CheckIdle(const Mix& mix, uint64_t first_seed, uint64_t last_seed) {
+void CheckIdle(const GangMix& mix, uint64_t first_seed, uint64_t last_seed) {
   for (uint64_t seed = first_seed; seed <= last_seed; ++seed) {
     CAPTURE(mix.gangs);
     CAPTURE(seed);
     const absl::Duration longest = LongestIdle(seed, mix);
     MESSAGE("", mix.gangs, " gangs, seed ", seed, ": idle for ",
             absl::FormatDuration(longest));
-    CHECK(longest < kMostIdle);
+    CHECK(longest < kMaxIdle);
   }
 }
 
--- a/keelbridge/coordination/job_scheduler_leases_test.cc
+++ b/keelbridge/coordination/job_scheduler_leases_test.cc
@@ -20,20 +20,20 @@
   site.Recover(OneTask());
   site.AddWorker("a");
   site.AddWorker("b");
-  site.lists["a"].running = {{kTask, 1, "", 10}};
-  site.lists["b"];
+  site.reports["a"].running = {{kTask, 1, "", 10}};
+  site.reports["b"];
   // One look each, then a is silent.
   site.scheduler().Tick(site.now());
   for (const Action& action : site.scheduler().TakeActions()) {
     if (const auto* look = std::get_if<ObserveAction>(&action)) {
-      ObserveReply reply = site.lists[look->worker.id];
+      ObserveReply reply = site.reports[look->worker.id];
       reply.order.result = OrderResult::kDone;
       reply.order.clock_ms = 1000;
       site.scheduler().OnObserveReply(*look, reply, site.now().mono,
                                       site.now());
     }
   }
-  site.lists.erase("a");
+  site.reports.erase("a");
   site.RunUntil(absl::Milliseconds(5900));
   CHECK(site.starts.empty());
   site.RunUntil(absl::Seconds(14));
@@ -51,19 +51,19 @@
   jobs.emplace(5, std::move(ended));
   site.scheduler().Load(std::move(jobs), {}, site.now());
   site.AddWorker("a");
-  site.lists["a"].running = {{{5, 0, 0, 0}, 1, "", 0},
-                             {{5, 0, 0, 1}, 1, "", 0}};
+  site.reports["a"].running = {{{5, 0, 0, 0}, 1, "", 0},
+                               {{5, 0, 0, 1}, 1, "", 0}};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(OneTask(6000));
   site.scheduler().Submit(9, "restore", spec, site.now());
   site.RunUntil(absl::Milliseconds(200));
-  site.lists["a"].running.erase(site.lists["a"].running.begin());
-  site.lists["a"].ended = {{1, {5, 0, 0, 0}, 1, RunEnd::kStopped, ""}};
+  site.reports["a"].running.erase(site.reports["a"].running.begin());
+  site.reports["a"].ended = {{1, {5, 0, 0, 0}, 1, RunEnd::kStopped, ""}};
   site.RunUntil(absl::Milliseconds(400));
   CHECK(site.starts.empty());
-  site.lists["a"].running.clear();
-  site.lists["a"].ended.push_back({2, {5, 0, 0, 1}, 1, RunEnd::kStopped, ""});
+  site.reports["a"].running.clear();
+  site.reports["a"].ended.push_back({2, {5, 0, 0, 1}, 1, RunEnd::kStopped, ""});
   site.RunUntil(absl::Milliseconds(600));
   CHECK(site.starts.size() == 1);
 }
@@ -92,12 +92,12 @@
   gone.capacity = {8000, 8192, 0};
   site.scheduler().Load(std::move(jobs), {{gone, 1}}, site.now());
   site.AddWorker("a");
-  site.lists["a"].running = {{kTask, 1, "", 50}};
+  site.reports["a"].running = {{kTask, 1, "", 50}};
   site.RunUntil(absl::Milliseconds(300));
   CHECK(site.starts.empty());
   // The first step ends under this leader: nobody else saw that.
-  site.lists["a"].running.clear();
-  site.lists["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
+  site.reports["a"].running.clear();
+  site.reports["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
   site.RunUntil(absl::Seconds(2));
   REQUIRE(site.starts.size() == 1);
   CHECK(site.starts[0].task == TaskId{kJob, 0, 1, 0});
@@ -118,24 +118,24 @@
   job->AddRound(0);
   job->recovered = true;
   jobs.emplace(kJob, std::move(job));
-  WorkerRecord now_there;
-  now_there.id = "new-life";
-  now_there.machine = "m";
-  now_there.address = "10.0.0.1:1";
-  now_there.pool = "pool";
-  now_there.capacity = {8000, 8192, 0};
-  site.scheduler().Load(std::move(jobs), {{now_there, 1}}, site.now());
+  WorkerRecord current;
+  current.id = "new-life";
+  current.machine = "m";
+  current.address = "10.0.0.1:1";
+  current.pool = "pool";
+  current.capacity = {8000, 8192, 0};
+  site.scheduler().Load(std::move(jobs), {{current, 1}}, site.now());
   site.AddWorker("other");
-  site.lists["other"];
+  site.reports["other"];
   // The platform still lists the life before it, and only that one.
-  WorkerRecord gone = now_there;
+  WorkerRecord gone = current;
   gone.id = "old-life";
   site.scheduler().OnWorkerRecord(gone, site.now());
-  site.other_lives.insert("old-life");
+  site.other_incarnations.insert("old-life");
   site.RunUntil(absl::Seconds(1));
   // The life that is there answers late, and runs the task.
   CHECK(site.starts.empty());
-  site.lists["new-life"].running = {{kTask, 1, "", 50}};
+  site.reports["new-life"].running = {{kTask, 1, "", 50}};
   site.RunUntil(absl::Seconds(5));
   CHECK(site.starts.empty());
 }
@@ -145,7 +145,7 @@
     "missing") {
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(OneTask());
@@ -153,12 +153,12 @@
   site.RunUntil(absl::Milliseconds(300));
   REQUIRE(site.starts.size() == 1);
   // It has ended, and its end stands behind those that the answer lists.
-  site.lists["a"].running.clear();
-  site.lists["a"].more_ends = true;
+  site.reports["a"].running.clear();
+  site.reports["a"].more_ends = true;
   site.RunUntil(absl::Milliseconds(600));
   CHECK(site.starts.size() == 1);
-  site.lists["a"].more_ends = false;
-  site.lists["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
+  site.reports["a"].more_ends = false;
+  site.reports["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
   site.RunUntil(absl::Seconds(1));
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
   CHECK(site.starts.size() == 1);
@@ -172,14 +172,14 @@
                            {SchedulerDriver::RecordOf("b", 8000), 1}});
   site.AddWorker("a");
   site.AddWorker("b");
-  site.lists["b"];
+  site.reports["b"];
   // The end of the recovered task stands behind those that were listed.
-  site.lists["a"].ended = {{1, {99, 0, 0, 0}, 1, RunEnd::kDone, ""}};
-  site.lists["a"].more_ends = true;
+  site.reports["a"].ended = {{1, {99, 0, 0, 0}, 1, RunEnd::kDone, ""}};
+  site.reports["a"].more_ends = true;
   site.RunUntil(absl::Milliseconds(300));
   CHECK(site.starts.empty());
-  site.lists["a"].ended = {{2, kTask, 1, RunEnd::kDone, ""}};
-  site.lists["a"].more_ends = false;
+  site.reports["a"].ended = {{2, kTask, 1, RunEnd::kDone, ""}};
+  site.reports["a"].more_ends = false;
   site.RunUntil(absl::Seconds(1));
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
   CHECK(site.starts.empty());
@@ -193,8 +193,8 @@
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("gone", 8000), 1}});
   site.AddWorker("a");
   site.AddWorker("gone");  // Never answers.
-  site.lists["a"];
-  site.scheduler().OnFenced(kBegin + absl::Seconds(4));
+  site.reports["a"];
+  site.scheduler().OnEarlierLeadersFenced(kBegin + absl::Seconds(4));
   site.RunUntil(absl::Milliseconds(9900));
   CHECK(site.starts.empty());
   site.RunUntil(absl::Seconds(12));
@@ -207,9 +207,9 @@
   SchedulerDriver site(2);
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("gone", 8000), 1}});
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   JobScheduler& scheduler = site.scheduler();
-  scheduler.OnFenced(kBegin + absl::Milliseconds(800));
+  scheduler.OnEarlierLeadersFenced(kBegin + absl::Milliseconds(800));
   site.RunUntil(absl::Seconds(4));
   scheduler.OnEarlierLeadersStopped(kBegin);
   site.RunUntil(absl::Milliseconds(7000));
@@ -226,12 +226,13 @@
     "job scheduler: the lease of a silent worker does not begin anew with "
     "each leader") {
   SchedulerDriver site(4);
-  site.Recover(LastingTask(), {{SchedulerDriver::RecordOf("ended", 8000), 1}});
+  site.Recover(LongRunningTask(),
+               {{SchedulerDriver::RecordOf("ended", 8000), 1}});
   site.scheduler().OnEarlierLeaderSeen(2, kBegin - absl::Seconds(5));
   site.scheduler().OnEarlierLeaderSeen(3, kBegin - absl::Seconds(1));
-  site.scheduler().OnFenced(kBegin + absl::Seconds(6));
+  site.scheduler().OnEarlierLeadersFenced(kBegin + absl::Seconds(6));
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(7100));
   CHECK(site.starts.empty());
   site.RunUntil(absl::Milliseconds(7500));
@@ -241,12 +242,13 @@
 // It answered leader 3, which may have extended its lease until it was fenced.
 TEST_CASE("job scheduler: a lease that the last leader may have given counts") {
   SchedulerDriver site(4);
-  site.Recover(LastingTask(), {{SchedulerDriver::RecordOf("ended", 8000), 3}});
+  site.Recover(LongRunningTask(),
+               {{SchedulerDriver::RecordOf("ended", 8000), 3}});
   site.scheduler().OnEarlierLeaderSeen(2, kBegin - absl::Seconds(5));
   site.scheduler().OnEarlierLeaderSeen(3, kBegin - absl::Seconds(1));
-  site.scheduler().OnFenced(kBegin + absl::Seconds(6));
+  site.scheduler().OnEarlierLeadersFenced(kBegin + absl::Seconds(6));
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Seconds(12));
   CHECK(site.starts.empty());
   site.RunUntil(absl::Seconds(13));
@@ -278,15 +280,15 @@
   CHECK_FALSE(extends(absl::Milliseconds(400)));
   const JobScheduler::Batch batch = scheduler.TakeBatch();
   REQUIRE(batch.records.size() == 1);
-  CHECK(KnownWorkerFrom(batch.records[0])->epoch == 2);
+  CHECK(ParseKnownWorker(batch.records[0])->epoch == 2);
   scheduler.OnDurable(batch.number);
   CHECK(extends(absl::Milliseconds(800)));
 }
 
 TEST_CASE("known workers: a record that names no leader may be anybody's") {
   const KnownWorker known{SchedulerDriver::RecordOf("a", 8000), 7};
-  CHECK(KnownWorkerFrom(KnownWorkerRecord(known))->epoch == 7);
-  const auto old = KnownWorkerFrom(Record{KnownWorkerKey("a"), "{}", -1});
+  CHECK(ParseKnownWorker(KnownWorkerRecord(known))->epoch == 7);
+  const auto old = ParseKnownWorker(Record{KnownWorkerKey("a"), "{}", -1});
   REQUIRE(old.has_value());
   CHECK(old->epoch == std::numeric_limits<int64_t>::max());
 }
@@ -298,8 +300,8 @@
   SchedulerDriver site(1);
   site.AddWorker("a");
   site.AddWorker("b");
-  site.lists["a"];
-  site.lists["b"];
+  site.reports["a"];
+  site.reports["b"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(OneTask(8000));
@@ -310,15 +312,15 @@
   const std::string idle = busy == "a" ? "b" : "a";
   for (const std::string& worker : {busy, idle}) {
     site.scheduler().OnWorkerRemoved(worker);
-    site.lists.erase(worker);
+    site.reports.erase(worker);
   }
   site.RunUntil(absl::Milliseconds(400));
-  CHECK(site.forgotten == std::vector<std::string>{idle});
+  CHECK(site.forgotten_workers == std::vector<std::string>{idle});
   // Its run may go on until its lease has passed.
   site.RunUntil(absl::Seconds(6));
-  CHECK(site.forgotten.size() == 1);
+  CHECK(site.forgotten_workers.size() == 1);
   site.RunUntil(absl::Seconds(8));
-  CHECK(site.forgotten == std::vector<std::string>{idle, busy});
+  CHECK(site.forgotten_workers == std::vector<std::string>{idle, busy});
 }
 
 }  // namespace
--- a/keelbridge/coordination/job_scheduler_left_worker_test.cc
+++ b/keelbridge/coordination/job_scheduler_left_worker_test.cc
@@ -13,7 +13,7 @@
 
 constexpr JobId kOtherJob = 9;
 // Users take a job for lost that could run and does not for this long.
-constexpr absl::Duration kTolerated = absl::Seconds(3);
+constexpr absl::Duration kMaxRestartDelay = absl::Seconds(3);
 
 JobSpec TwoSteps() {
   JobSpec spec;
@@ -26,12 +26,12 @@
 // another job as it says that it leaves.
 void RunFirstLeader(SchedulerDriver& first) {
   first.AddWorker("a", 2000);
-  first.lists["a"];
+  first.reports["a"];
   first.RunUntil(absl::Milliseconds(100));
   first.scheduler().Submit(kJob, "restore", TwoSteps(), first.now());
   first.RunUntil(absl::Milliseconds(300));
   first.AddWorker("left");
-  first.lists["left"];
+  first.reports["left"];
   first.RunUntil(absl::Milliseconds(500));
   JobSpec other;
   other.steps = {OneTask()};
@@ -50,8 +50,8 @@
   second.TakeOver(first);
   second.AddWorker("b");
   second.AddWorker("a", 2000);
-  second.lists["b"];
-  second.lists["a"] = first.lists["a"];
+  second.reports["b"];
+  second.reports["a"] = first.reports["a"];
 }
 
 TEST_CASE(
@@ -63,7 +63,7 @@
   TakeOver(second, first);
   second.RunUntil(absl::Seconds(1));
   second.End("a", {1, kTask, first.starts[0].run, RunEnd::kDone, ""});
-  second.RunUntil(absl::Seconds(1) + kTolerated);
+  second.RunUntil(absl::Seconds(1) + kMaxRestartDelay);
   REQUIRE(second.starts.size() == 1);
   CHECK(second.starts[0].task == TaskId{kJob, 0, 1, 0});
 }
@@ -77,7 +77,7 @@
   SchedulerDriver second(2);
   TakeOver(second, first);
   second.End("a", {1, kTask, first.starts[0].run, RunEnd::kDone, ""});
-  second.RunUntil(kTolerated);
+  second.RunUntil(kMaxRestartDelay);
   REQUIRE(second.starts.size() == 1);
   CHECK(second.starts[0].task == TaskId{kJob, 0, 1, 0});
 }
@@ -86,10 +86,10 @@
 // run's job waits for the worker's lease once it has left.
 TEST_CASE(
     "job scheduler: a run that its leaving worker cannot finish is back soon") {
-  constexpr absl::Duration kLeaves = absl::Seconds(9);
+  constexpr absl::Duration kLeavesAt = absl::Seconds(9);
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps = {OneTask()};
@@ -98,15 +98,15 @@
   site.RunUntil(absl::Milliseconds(500));
   REQUIRE(site.start_workers == std::vector<std::string>{"a"});
   site.AddWorker("b");
-  site.lists["b"];
+  site.reports["b"];
   WorkerRecord leaves = SchedulerDriver::RecordOf("a", 8000);
   leaves.draining = true;
-  leaves.leaves_in_ms = absl::ToInt64Milliseconds(kLeaves);
+  leaves.leaves_in_ms = absl::ToInt64Milliseconds(kLeavesAt);
   site.scheduler().OnWorkerRecord(leaves, site.now());
-  site.RunUntil(kLeaves);
-  site.lists.erase("a");
+  site.RunUntil(kLeavesAt);
+  site.reports.erase("a");
   site.scheduler().OnWorkerRemoved("a");
-  site.RunUntil(kLeaves + kTolerated);
+  site.RunUntil(kLeavesAt + kMaxRestartDelay);
   CHECK(site.starts.size() == 2);
 }
 
--- a/keelbridge/coordination/job_scheduler_losses.cc
+++ b/keelbridge/coordination/job_scheduler_losses.cc
@@ -18,36 +18,36 @@
 namespace {
 
 // Lines for the log about runs lost with one worker, at most.
-constexpr size_t kMostRunLines = 32;
+constexpr size_t kMaxLostRunLines = 32;
 // A task under suspicion that has been at work for this long did not crash its
 // worker by its start: until then nothing else starts there.
-constexpr absl::Duration kProbation = absl::Milliseconds(500);
+constexpr absl::Duration kProbationTime = absl::Milliseconds(500);
 // The same for the first tasks of a wide step, of which nothing is known.
-constexpr absl::Duration kProving = absl::Milliseconds(300);
+constexpr absl::Duration kProvingTime = absl::Milliseconds(300);
 // A crashed worker's next life comes after some seconds. One that stays away
 // does not keep the step's other tasks for longer than this.
-constexpr absl::Duration kProbePatience = absl::Seconds(4);
+constexpr absl::Duration kProbeTimeout = absl::Seconds(4);
 // Of the pool's workers, what a step may take before one of its tasks was at
 // work for a while, and at least so many: if they crash what they start on,
 // most workers are left.
-constexpr double kUnprovenShare = 0.25;
-constexpr int32_t kFewestUnproven = 2;
+constexpr double kMaxUnprovenWorkerShare = 0.25;
+constexpr int32_t kMinUnprovenWorkers = 2;
 // After so many crashes the next start waits until they are on record.
-constexpr size_t kCrashesByMemory = 2;
+constexpr size_t kCrashesBeforeDurableStart = 2;
 // Starts of recovered work that one leader puts on record so, at most.
-constexpr int kMostUnseenNoted = 200;
+constexpr int kMaxUnobservedStartRecords = 200;
 // What is added to the used share of a worker, which is at most 1, when a task
 // under suspicion might go there.
-constexpr double kLastingBeside = 10;
-constexpr double kWornMachine = 2;
-constexpr double kFreshBeside = 1;
+constexpr double kLongRunningPenalty = 10;
+constexpr double kMachineCrashPenalty = 2;
+constexpr double kRecentStartPenalty = 1;
 // Workers that are lost within this of each other are lost at once.
-constexpr absl::Duration kAtOnce = absl::Seconds(1);
+constexpr absl::Duration kConcurrentLossWindow = absl::Seconds(1);
 // Tasks of one step of which crashes, or runs that may crash, are on record at
 // most: some are enough to end its job, and a record stays small.
-constexpr int kMostAccounts = 64;
+constexpr int kMaxCrashRecordsPerStep = 64;
 
-TaskId StepOf(TaskId task) {
+TaskId StepIdOf(TaskId task) {
   task.index = 0;
   return task;
 }
@@ -58,9 +58,9 @@
 }
 
 template <typename Counted>
-bool AccountsFull(const StepState& step, Counted counted) {
+bool CrashRecordsFull(const StepState& step, Counted counted) {
   return std::count_if(step.tasks.begin(), step.tasks.end(), counted) >=
-         kMostAccounts;
+         kMaxCrashRecordsPerStep;
 }
 
 }  // namespace
@@ -71,7 +71,7 @@
       return "it crashed: another life answered";
     case WorkerLoss::kLeft:
       return "it left: another life answered";
-    case WorkerLoss::kSilence:
+    case WorkerLoss::kUnresponsive:
       return "its lease has passed without an answer";
   }
   return "";
@@ -79,7 +79,7 @@
 
 // A leader that stood still finds both at once, that the lease has passed and
 // that another life answers.
-bool JobScheduler::AnotherLifeAnswered(const Worker& worker) const {
+bool JobScheduler::AnotherIncarnationAnswered(const Worker& worker) const {
   if (worker.record.draining || worker.record.machine.empty()) return false;
   return std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
     const Worker& other = *entry.second;
@@ -90,140 +90,149 @@
 }
 
 absl::Time JobScheduler::LostSince(const Worker& worker, Now now) {
-  return std::min({now.mono, worker.lost_since, worker.unanswered_since});
+  return std::min({now.mono, worker.failing_since, worker.unanswered_since});
 }
 
-void JobScheduler::LoseAll(Worker& worker, WorkerLoss loss, Worker* next,
-                           Now now) {
+void JobScheduler::HandleWorkerLoss(Worker& worker, WorkerLoss loss,
+                                    Worker* next, Now now) {
   Crash crash;
   crash.lost = LostSince(worker, now);
-  const bool crashed =
-      loss == WorkerLoss::kCrash && (worker.listed || worker.known_to_earlier);
+  const bool crashed = loss == WorkerLoss::kCrash &&
+                       (worker.reported || worker.known_to_earlier_leader);
   if (crashed) {
-    crash.earlier_on_machine =
-        RememberCrash(worker, worker.occupants, crash.lost);
-    HoldUnseenCrash(worker, now);
-    ReviseCharges(crash.lost);
+    crash.earlier_machine_crashes =
+        RecordCrash(worker, worker.allocations, crash.lost);
+    AttributeUnobservedCrash(worker, now);
+    ReviseAttributions(crash.lost);
   }
-  if (worker.occupants.empty()) return;
-  crash.suspicion = SuspicionOf(worker.occupants, crash.lost, now);
-  Explain("runs_lost",
-          {{"worker", worker.record.id},
-           {"machine", worker.record.machine},
-           {"why", WorkerLossName(loss)},
-           {"runs", absl::StrCat(worker.occupants.size())},
-           {"lost_ms_ago",
-            absl::StrCat(absl::ToInt64Milliseconds(now.mono - crash.lost))}},
-          Severity::kWarning);
-  const auto occupants = std::move(worker.occupants);
-  worker.occupants.clear();
-  worker.unknown_sizes = 0;
+  if (worker.allocations.empty()) return;
+  crash.suspicion = FindSuspicion(worker.allocations, crash.lost, now);
+  LogDecision(
+      "runs_lost",
+      {{"worker", worker.record.id},
+       {"machine", worker.record.machine},
+       {"why", WorkerLossName(loss)},
+       {"runs", absl::StrCat(worker.allocations.size())},
+       {"lost_ms_ago",
+        absl::StrCat(absl::ToInt64Milliseconds(now.mono - crash.lost))}},
+      Severity::kWarning);
+  const auto allocations = std::move(worker.allocations);
+  worker.allocations.clear();
+  worker.runs_of_unknown_size = 0;
   worker.stopping = Resources();
-  size_t lines = 0;
-  for (const auto& [key, occupant] : occupants) {
-    if (lines++ < kMostRunLines)
-      ExplainLostRun(worker, key, occupant, occupants.size() - 1, crash.lost,
-                     now);
-    worker.free += occupant.need;
+  size_t line_count = 0;
+  for (const auto& [key, allocation] : allocations) {
+    if (line_count++ < kMaxLostRunLines)
+      ExplainLostRun(worker, key, allocation, allocations.size() - 1,
+                     crash.lost, now);
+    worker.free += allocation.need;
   }
-  if (loss == WorkerLoss::kSilence)
-    RememberSilentLoss(worker, occupants, crash, now);
-  for (const auto& [key, occupant] : occupants) {
-    if (crashed) HoldCrash(worker, key, occupants, crash, now);
+  if (loss == WorkerLoss::kUnresponsive)
+    RecordUnresponsiveLoss(worker, allocations, crash, now);
+  for (const auto& [key, allocation] : allocations) {
+    if (crashed) AttributeCrash(worker, key, allocations, crash, now);
   }
-  for (const auto& [key, occupant] : occupants) {
-    if (next != nullptr && MayBeOnNextLife(worker, occupant))
-      MoveToNextLife(worker, *next, key, occupant, now);
+  for (const auto& [key, allocation] : allocations) {
+    if (next != nullptr && MayRunOnNextIncarnation(worker, allocation))
+      MoveToNextIncarnation(worker, *next, key, allocation, now);
     else
-      GiveUpRun(worker, key, occupant, now);
+      AbandonRun(worker, key, allocation, now);
   }
 }
 
 // Whether it crashed is known once another life answers at its machine.
-void JobScheduler::RememberSilentLoss(const Worker& worker,
-                                      const Occupants& runs, const Crash& crash,
-                                      Now now) {
+void JobScheduler::RecordUnresponsiveLoss(const Worker& worker,
+                                          const Allocations& runs,
+                                          const Crash& crash, Now now) {
   if (worker.record.draining || worker.record.machine.empty()) return;
-  SilentLoss loss;
+  UnresponsiveLoss loss;
   loss.worker = worker.record.id;
-  for (const auto& [key, occupant] : runs) {
-    const absl::Duration ran = RanUntil(occupant, crash.lost);
-    if (occupant.adopted || ran >= kSuspectWithin ||
-        !IsSuspected(occupant, crash.lost, crash.suspicion, now))
+  for (const auto& [key, allocation] : runs) {
+    const absl::Duration ran = RunDurationUntil(allocation, crash.lost);
+    if (allocation.adopted || ran >= kSuspectCrashWindow ||
+        !IsSuspectRun(allocation, crash.lost, crash.suspicion, now))
       continue;
     loss.runs.push_back({key.first,
                          {key.second, absl::ToInt64Milliseconds(ran),
-                          ChanceOfCrash(ran, CrashSurroundings()),
-                          occupant.start_answered <= now.mono}});
+                          ChanceCrashProbability(ran, CrashContext()),
+                          allocation.start_answered <= now.mono}});
   }
-  silent_losses_[worker.record.machine] = std::move(loss);
+  unresponsive_losses_[worker.record.machine] = std::move(loss);
 }
 
-void JobScheduler::HoldSilentLosses(const Worker& answers, Now now) {
-  const auto found = silent_losses_.find(answers.record.machine);
-  if (found == silent_losses_.end()) return;
-  const SilentLoss loss = std::move(found->second);
-  silent_losses_.erase(found);
+void JobScheduler::AttributeUnresponsiveLosses(const Worker& answering,
+                                               Now now) {
+  const auto found = unresponsive_losses_.find(answering.record.machine);
+  if (found == unresponsive_losses_.end()) return;
+  const UnresponsiveLoss loss = std::move(found->second);
+  unresponsive_losses_.erase(found);
   // It was silent and is back: nothing crashed.
-  if (loss.worker == answers.record.id) return;
+  if (loss.worker == answering.record.id) return;
   for (const auto& [id, crash] : loss.runs) {
     const auto job = jobs_.find(id.job);
     if (job == jobs_.end() || job->second->Ended()) continue;
     const TaskState* task = job->second->FindTask(id);
     if (task != nullptr && task->phase != TaskPhase::kDone)
-      AddCrash(*job->second, id, crash, loss.worker, now);
+      AddTaskCrash(*job->second, id, crash, loss.worker, now);
   }
 }
 
-absl::Duration JobScheduler::RanUntil(const Occupant& occupant,
-                                      absl::Time lost) {
-  return std::max(absl::ZeroDuration(), lost - occupant.placed);
+absl::Duration JobScheduler::RunDurationUntil(const Allocation& allocation,
+                                              absl::Time lost) {
+  return std::max(absl::ZeroDuration(), lost - allocation.placed);
 }
 
 // A task under suspicion had just been started there: that the worker was lost
 // tells of that task, not of the machine or of a bad day.
-bool JobScheduler::IsExplained(const Worker& worker, absl::Time lost) {
+bool JobScheduler::IsCausedBySuspect(const Worker& worker, absl::Time lost) {
   return worker.probation_until > absl::InfinitePast() &&
-         lost - (worker.probation_until - kProbation) < kSuspectWithin;
+         lost - (worker.probation_until - kProbationTime) < kSuspectCrashWindow;
 }
 
-int JobScheduler::RememberCrash(const Worker& worker, const Occupants& runs,
-                                absl::Time lost) {
-  const bool explained = IsExplained(worker, lost);
-  while (!crashes_.empty() && crashes_.front().lost < lost - kCrashesRemembered)
-    crashes_.pop_front();
+int JobScheduler::RecordCrash(const Worker& worker, const Allocations& runs,
+                              absl::Time lost) {
+  const bool explained = IsCausedBySuspect(worker, lost);
+  while (!recent_crashes_.empty() &&
+         recent_crashes_.front().lost < lost - kMachineCrashWindow)
+    recent_crashes_.pop_front();
   const auto earlier = std::count_if(
-      crashes_.begin(), crashes_.end(), [&](const PastCrash& past) {
+      recent_crashes_.begin(), recent_crashes_.end(),
+      [&](const PastCrash& past) {
         return past.machine == worker.record.machine && !past.explained;
       });
   PastCrash past{lost, worker.record.id, worker.record.machine, explained, {},
                  {}};
-  for (const auto& [key, occupant] : runs) past.steps.insert(StepOf(key.first));
+  for (const auto& [key, allocation] : runs)
+    past.steps.insert(StepIdOf(key.first));
   const auto exposed = exposed_.find(worker.record.id);
   if (exposed != exposed_.end()) {
-    for (const TaskId& task : exposed->second) past.steps.insert(StepOf(task));
+    for (const TaskId& task : exposed->second)
+      past.steps.insert(StepIdOf(task));
   }
-  crashes_.push_back(std::move(past));
+  recent_crashes_.push_back(std::move(past));
   return static_cast<int>(earlier);
 }
 
 // A worker counts that crashed, or that is silent and may have.
-int JobScheduler::LostAtOnce(const TaskId& step, const std::string& worker_id,
-                             absl::Time lost) const {
-  const auto at_once = [&](absl::Time other) {
-    return absl::AbsDuration(other - lost) < kAtOnce;
+int JobScheduler::CountConcurrentLosses(const TaskId& step,
+                                        const std::string& worker_id,
+                                        absl::Time lost) const {
+  const auto is_concurrent = [&](absl::Time other) {
+    return absl::AbsDuration(other - lost) < kConcurrentLossWindow;
   };
   std::set<std::string> others;
-  for (const PastCrash& past : crashes_) {
-    if (at_once(past.lost) && !past.explained && past.steps.count(step) == 0)
+  for (const PastCrash& past : recent_crashes_) {
+    if (is_concurrent(past.lost) && !past.explained &&
+        past.steps.count(step) == 0)
       others.insert(past.worker);
   }
   for (const auto& [id, other] : workers_) {
-    if (other->lost_since == absl::InfiniteFuture() ||
-        !at_once(other->lost_since) || IsExplained(*other, other->lost_since))
+    if (other->failing_since == absl::InfiniteFuture() ||
+        !is_concurrent(other->failing_since) ||
+        IsCausedBySuspect(*other, other->failing_since))
       continue;
     const bool ran_it = std::any_of(
-        other->occupants.begin(), other->occupants.end(),
+        other->allocations.begin(), other->allocations.end(),
         [&](const auto& run) { return IsOfStep(run.first.first, step); });
     if (!ran_it) others.insert(id);
   }
@@ -234,32 +243,33 @@
 // What began just before the crash is the better suspect by far: what had been
 // at work for longer is not charged with it. Without this, sound tasks that
 // serve beside ones that crash their workers gathered crash after crash.
-JobScheduler::Suspicion JobScheduler::SuspicionOf(const Occupants& runs,
-                                                  absl::Time lost, Now now) {
+JobScheduler::Suspicion JobScheduler::FindSuspicion(const Allocations& runs,
+                                                    absl::Time lost, Now now) {
   absl::Duration latest = absl::InfiniteDuration();
   for (const auto& [key, run] : runs) {
     if (run.start_answered <= now.mono && !run.adopted)
-      latest = std::min(latest, RanUntil(run, lost));
+      latest = std::min(latest, RunDurationUntil(run, lost));
   }
   Suspicion out;
-  if (latest >= kSuspectWithin) return out;
+  if (latest >= kSuspectCrashWindow) return out;
   out.begun_only = true;
-  out.within = latest + kProbation;
+  out.within = latest + kProbationTime;
   return out;
 }
 
-bool JobScheduler::IsSuspected(const Occupant& occupant, absl::Time lost,
-                               const Suspicion& suspicion, Now now) {
-  const bool begun = occupant.start_answered <= now.mono;
+bool JobScheduler::IsSuspectRun(const Allocation& allocation, absl::Time lost,
+                                const Suspicion& suspicion, Now now) {
+  const bool begun = allocation.start_answered <= now.mono;
   // Ordered when the worker was gone already, it never began; and with a better
   // suspect there it most likely did not.
-  if (!begun && (occupant.placed >= lost || suspicion.begun_only)) return false;
-  return RanUntil(occupant, lost) < suspicion.within;
+  if (!begun && (allocation.placed >= lost || suspicion.begun_only))
+    return false;
+  return RunDurationUntil(allocation, lost) < suspicion.within;
 }
 
-void JobScheduler::HoldCrash(const Worker& worker, const RunKey& key,
-                             const Occupants& runs, const Crash& crash,
-                             Now now) {
+void JobScheduler::AttributeCrash(const Worker& worker, const RunKey& key,
+                                  const Allocations& runs, const Crash& crash,
+                                  Now now) {
   const auto found = jobs_.find(key.first.job);
   if (found == jobs_.end() || found->second->Ended()) return;
   Job& job = *found->second;
@@ -268,39 +278,44 @@
                        task->worker == worker.record.id &&
                        task->phase != TaskPhase::kDone;
   if (!current) return;
-  const Occupant& occupant = runs.at(key);
+  const Allocation& allocation = runs.at(key);
   const ExposedRun& exposed = task->exposed;
-  const bool told_before =
+  const bool recorded_before =
       exposed.worker == worker.record.id && exposed.run == key.second;
   // It has outlived a change of the leader, by which nobody knows how long.
-  if (occupant.adopted && !told_before) return;
-  CrashedRun one;
-  one.run = key.second;
-  one.begun = occupant.start_answered <= now.mono;
-  if (!IsSuspected(occupant, crash.lost, crash.suspicion, now)) return;
-  one.ran_ms = occupant.adopted
-                   ? std::max<int64_t>(0, ToMillis(now.wall) - exposed.since_ms)
-                   : absl::ToInt64Milliseconds(RanUntil(occupant, crash.lost));
-  const TaskId step = StepOf(key.first);
-  CrashSurroundings around;
-  around.earlier_on_machine = crash.earlier_on_machine;
-  around.others_lately = static_cast<int>(std::count_if(
-      crashes_.begin(), crashes_.end(), [&](const PastCrash& past) {
-        return past.lost > crash.lost - kCrashesLately && !past.explained &&
+  if (allocation.adopted && !recorded_before) return;
+  CrashedRun crashed_run;
+  crashed_run.run = key.second;
+  crashed_run.begun = allocation.start_answered <= now.mono;
+  if (!IsSuspectRun(allocation, crash.lost, crash.suspicion, now)) return;
+  crashed_run.ran_ms =
+      allocation.adopted
+          ? std::max<int64_t>(0, ToMillis(now.wall) - exposed.since_ms)
+          : absl::ToInt64Milliseconds(RunDurationUntil(allocation, crash.lost));
+  const TaskId step = StepIdOf(key.first);
+  CrashContext around;
+  around.earlier_machine_crashes = crash.earlier_machine_crashes;
+  around.recent_other_crashes = static_cast<int>(std::count_if(
+      recent_crashes_.begin(), recent_crashes_.end(),
+      [&](const PastCrash& past) {
+        return past.lost > crash.lost - kSiteCrashWindow && !past.explained &&
                past.worker != worker.record.id && past.steps.count(step) == 0;
       }));
-  around.others_at_once = LostAtOnce(step, worker.record.id, crash.lost);
+  around.concurrent_other_losses =
+      CountConcurrentLosses(step, worker.record.id, crash.lost);
   around.site_workers = static_cast<int>(workers_.size());
-  one.chance = ChanceOfCrash(absl::Milliseconds(one.ran_ms), around);
-  crashes_.back().charges.push_back(
-      {key.first, one.run, absl::Milliseconds(one.ran_ms), around});
-  AddCrash(job, key.first, one, worker.record.id, now);
-}
-
-void JobScheduler::ReviseCharges(absl::Time lost) {
-  for (const PastCrash& past : crashes_) {
-    if (absl::AbsDuration(past.lost - lost) >= kAtOnce) continue;
-    for (const CrashCharge& charge : past.charges) {
+  crashed_run.chance =
+      ChanceCrashProbability(absl::Milliseconds(crashed_run.ran_ms), around);
+  recent_crashes_.back().attributions.push_back(
+      {key.first, crashed_run.run, absl::Milliseconds(crashed_run.ran_ms),
+       around});
+  AddTaskCrash(job, key.first, crashed_run, worker.record.id, now);
+}
+
+void JobScheduler::ReviseAttributions(absl::Time lost) {
+  for (const PastCrash& past : recent_crashes_) {
+    if (absl::AbsDuration(past.lost - lost) >= kConcurrentLossWindow) continue;
+    for (const CrashAttribution& charge : past.attributions) {
       const auto job = jobs_.find(charge.task.job);
       if (job == jobs_.end() || job->second->Ended()) continue;
       StepState& step = *job->second->FindStep(charge.task);
@@ -309,10 +324,10 @@
       std::vector<CrashedRun>& account =
           spec.gang ? step.tasks.front().crashes
                     : job->second->FindTask(charge.task)->crashes;
-      CrashSurroundings around = charge.around;
-      around.others_at_once =
-          LostAtOnce(StepOf(charge.task), past.worker, past.lost);
-      const double chance = ChanceOfCrash(charge.ran, around);
+      CrashContext around = charge.around;
+      around.concurrent_other_losses =
+          CountConcurrentLosses(StepIdOf(charge.task), past.worker, past.lost);
+      const double chance = ChanceCrashProbability(charge.ran, around);
       for (CrashedRun& crash : account) {
         if (crash.run != charge.run || crash.chance >= chance) continue;
         crash.chance = chance;
@@ -322,55 +337,55 @@
   }
 }
 
-void JobScheduler::AddCrash(Job& job, const TaskId& id, CrashedRun crash,
-                            const std::string& worker, Now now) {
+void JobScheduler::AddTaskCrash(Job& job, const TaskId& id, CrashedRun crash,
+                                const std::string& worker, Now now) {
   StepState& step = *job.FindStep(id);
   TaskState& task = *job.FindTask(id);
   const StepSpec& spec = job.spec.steps[static_cast<size_t>(id.step)];
   TaskState& account = spec.gang ? step.tasks.front() : task;
   if (task.exposed.run == crash.run) task.exposed = ExposedRun();
   MarkDirty(job);
-  if (absl::Milliseconds(crash.ran_ms) >= kSoundRun) {
+  if (absl::Milliseconds(crash.ran_ms) >= kSoundRunDuration) {
     account.crashes.clear();
     return;
   }
-  const auto same =
+  const auto same_run =
       std::find_if(account.crashes.begin(), account.crashes.end(),
                    [&](const CrashedRun& c) { return c.run == crash.run; });
-  if (same != account.crashes.end()) {
+  if (same_run != account.crashes.end()) {
     // Several workers of one run of a gang count as one: another gang may have
     // been on all of them, too.
-    same->begun = same->begun || crash.begun;
+    same_run->begun = same_run->begun || crash.begun;
   } else if (!account.crashes.empty() ||
-             !AccountsFull(
+             !CrashRecordsFull(
                  step, [](const TaskState& t) { return !t.crashes.empty(); })) {
     account.crashes.push_back(crash);
     step.crashed = true;
   }
-  if (absl::Milliseconds(crash.ran_ms) < kSuspectWithin) {
+  if (absl::Milliseconds(crash.ran_ms) < kSuspectCrashWindow) {
     step.suspected = true;
     step.proven = false;
   }
-  const bool given_up = GivesUpAfter(account.crashes);
-  Explain("crash_held_against_task",
-          {{"task", TaskIdText(id)},
-           {"run", absl::StrCat(crash.run)},
-           {"worker", worker},
-           {"ran_ms", absl::StrCat(crash.ran_ms)},
-           {"evidence", CrashEvidence(account.crashes)},
-           {"verdict", given_up ? "given up" : "to be tried again"}},
-          Severity::kWarning);
+  const bool given_up = ShouldGiveUp(account.crashes);
+  LogDecision("crash_held_against_task",
+              {{"task", TaskIdText(id)},
+               {"run", absl::StrCat(crash.run)},
+               {"worker", worker},
+               {"ran_ms", absl::StrCat(crash.ran_ms)},
+               {"evidence", DescribeCrashes(account.crashes)},
+               {"verdict", given_up ? "given up" : "to be tried again"}},
+              Severity::kWarning);
   if (!given_up) return;
   EndJob(job, JobState::kFailed,
          absl::StrCat("task ", TaskIdText(id),
                       " crashes the workers that start it: ",
-                      CrashEvidence(account.crashes), ", last on ", worker),
+                      DescribeCrashes(account.crashes), ", last on ", worker),
          now);
 }
 
 // A leader that is replaced before another life answers cannot hold the crash
 // against its task: its successor does, by what is on record.
-void JobScheduler::HoldUnseenCrash(const Worker& worker, Now now) {
+void JobScheduler::AttributeUnobservedCrash(const Worker& worker, Now now) {
   const auto exposed = exposed_.find(worker.record.id);
   if (exposed == exposed_.end()) return;
   const std::vector<TaskId> tasks = std::move(exposed->second);
@@ -379,8 +394,8 @@
     const auto found = jobs_.find(id.job);
     if (found == jobs_.end() || found->second->Ended()) continue;
     TaskState* task = found->second->FindTask(id);
-    if (task == nullptr || task->phase != TaskPhase::kWaiting || task->seen ||
-        task->exposed.worker != worker.record.id)
+    if (task == nullptr || task->phase != TaskPhase::kWaiting ||
+        task->observed || task->exposed.worker != worker.record.id)
       continue;
     const ExposedRun& run = task->exposed;
     CrashedRun crash;
@@ -389,18 +404,19 @@
     crash.ran_ms = run.ran_ms >= 0 ? run.ran_ms
                                    : std::max<int64_t>(
                                          0, ToMillis(now.wall) - run.since_ms);
-    CrashSurroundings around;
+    CrashContext around;
     around.site_workers = static_cast<int>(workers_.size());
-    around.others_at_once =
-        LostAtOnce(StepOf(id), worker.record.id, crashes_.back().lost);
-    crash.chance = ChanceOfCrash(absl::Milliseconds(crash.ran_ms), around);
-    crashes_.back().charges.push_back(
+    around.concurrent_other_losses = CountConcurrentLosses(
+        StepIdOf(id), worker.record.id, recent_crashes_.back().lost);
+    crash.chance =
+        ChanceCrashProbability(absl::Milliseconds(crash.ran_ms), around);
+    recent_crashes_.back().attributions.push_back(
         {id, crash.run, absl::Milliseconds(crash.ran_ms), around});
-    AddCrash(*found->second, id, crash, worker.record.id, now);
+    AddTaskCrash(*found->second, id, crash, worker.record.id, now);
   }
 }
 
-void JobScheduler::LoadExposed() {
+void JobScheduler::LoadExposedRuns() {
   for (const auto& [id, job] : active_) {
     for (Round& round : job->rounds) {
       for (size_t s = 0; s < round.steps.size(); ++s) {
@@ -419,10 +435,11 @@
   }
 }
 
-void JobScheduler::NoteExposed(Job& job, const TaskId& id, ExposedRun run) {
+void JobScheduler::RecordExposedRun(Job& job, const TaskId& id,
+                                    ExposedRun run) {
   TaskState& task = *job.FindTask(id);
   const bool full = task.exposed.worker.empty() &&
-                    AccountsFull(*job.FindStep(id), [](const TaskState& t) {
+                    CrashRecordsFull(*job.FindStep(id), [](const TaskState& t) {
                       return !t.exposed.worker.empty();
                     });
   if (full) return;
@@ -433,40 +450,45 @@
 // A leader that is lost with the worker, before anything shows, leaves no
 // record. Its successor cannot tell which task did it; what it starts again of
 // the work that it has not seen goes on record, so that the next one can.
-void JobScheduler::NoteStartOfUnseen(const ReadyStep& ready, const TaskId& task,
-                                     const StartAction& action, Now now) {
-  if (!crashed_unseen_ || unseen_noted_ >= kMostUnseenNoted) return;
-  ++unseen_noted_;
-  NoteExposed(
+void JobScheduler::RecordUnobservedStart(const ReadyStep& ready,
+                                         const TaskId& task,
+                                         const StartAction& action, Now now) {
+  if (!unobserved_worker_crashed_ ||
+      unobserved_starts_recorded_ >= kMaxUnobservedStartRecords)
+    return;
+  ++unobserved_starts_recorded_;
+  RecordExposedRun(
       *ready.job, task,
       {action.worker.id, action.order.run, ToMillis(now.wall), -1, false});
 }
 
 // Another leader may have to tell by then what crashed the worker: what began
 // there lately goes on record.
-void JobScheduler::NoteSilence(Worker& worker, Now now) {
+void JobScheduler::RecordUnresponsiveness(Worker& worker, Now now) {
   if (worker.record.draining) return;
   const absl::Time lost = LostSince(worker, now);
-  const Suspicion suspicion = SuspicionOf(worker.occupants, lost, now);
-  for (const auto& [key, occupant] : worker.occupants) {
+  const Suspicion suspicion = FindSuspicion(worker.allocations, lost, now);
+  for (const auto& [key, allocation] : worker.allocations) {
     const auto job = jobs_.find(key.first.job);
-    const absl::Duration ran = RanUntil(occupant, lost);
-    if (job == jobs_.end() || job->second->Ended() || occupant.adopted ||
-        ran >= kSuspectWithin || !IsSuspected(occupant, lost, suspicion, now))
+    const absl::Duration ran = RunDurationUntil(allocation, lost);
+    if (job == jobs_.end() || job->second->Ended() || allocation.adopted ||
+        ran >= kSuspectCrashWindow ||
+        !IsSuspectRun(allocation, lost, suspicion, now))
       continue;
     const TaskState* task = job->second->FindTask(key.first);
     if (task == nullptr || task->run != key.second ||
         task->worker != worker.record.id)
       continue;
-    const bool begun = occupant.start_answered <= now.mono;
-    NoteExposed(*job->second, key.first,
-                {worker.record.id, key.second,
-                 ToMillis(now.wall - (now.mono - occupant.placed)),
-                 absl::ToInt64Milliseconds(ran), begun});
+    const bool begun = allocation.start_answered <= now.mono;
+    RecordExposedRun(*job->second, key.first,
+                     {worker.record.id, key.second,
+                      ToMillis(now.wall - (now.mono - allocation.placed)),
+                      absl::ToInt64Milliseconds(ran), begun});
   }
 }
 
-bool JobScheduler::IsSuspect(const ReadyStep& ready, const TaskState& task) {
+bool JobScheduler::IsSuspectTask(const ReadyStep& ready,
+                                 const TaskState& task) {
   const TaskState& account =
       ready.spec->gang ? ready.state->tasks.front() : task;
   return !account.crashes.empty();
@@ -474,11 +496,11 @@
 
 // With the store away, a leader that goes on by memory alone would leave its
 // successor to start again from the account that it found.
-bool JobScheduler::MustBeOnRecord(const ReadyStep& ready,
-                                  const TaskState& task) {
+bool JobScheduler::MustBeDurable(const ReadyStep& ready,
+                                 const TaskState& task) {
   const TaskState& account =
       ready.spec->gang ? ready.state->tasks.front() : task;
-  return account.crashes.size() >= kCrashesByMemory;
+  return account.crashes.size() >= kCrashesBeforeDurableStart;
 }
 
 // A worker that crashed without closing its connections is silent, and that
@@ -486,21 +508,21 @@
 // answered since tells that it is there.
 bool JobScheduler::AnsweredSince(Worker& worker, absl::Time since, Now now) {
   if (worker.last_answer >= since) return true;
-  if (now.mono >= since && worker.look_sent < since) {
-    worker.look_wanted = true;
-    Attend(worker);
+  if (now.mono >= since && worker.last_observation_sent < since) {
+    worker.observe_now = true;
+    ScheduleCheck(worker);
   }
   return false;
 }
 
-bool JobScheduler::WorkedFor(const TaskState& task, const TaskId& id,
+bool JobScheduler::HasRunFor(const TaskState& task, const TaskId& id,
                              absl::Duration time, Now now) {
   if (task.phase == TaskPhase::kDone) return true;
   if (task.phase != TaskPhase::kRunning) return false;
   const auto worker = workers_.find(task.worker);
   if (worker == workers_.end()) return false;
-  const auto run = worker->second->occupants.find({id, task.run});
-  return run != worker->second->occupants.end() &&
+  const auto run = worker->second->allocations.find({id, task.run});
+  return run != worker->second->allocations.end() &&
          AnsweredSince(*worker->second, run->second.placed + time, now);
 }
 
@@ -508,39 +530,40 @@
   return worker.last_answer < worker.probation_until;
 }
 
-int32_t JobScheduler::MayStartOfSuspected(ReadyStep& ready, Now now) {
+int32_t JobScheduler::SuspectStartLimit(ReadyStep& ready, Now now) {
   StepState& step = *ready.state;
   if (!step.suspected) return std::numeric_limits<int32_t>::max();
-  if (step.probed >= 0) {
-    const TaskState& task = step.tasks[static_cast<size_t>(step.probed)];
+  if (step.probe_task >= 0) {
+    const TaskState& task = step.tasks[static_cast<size_t>(step.probe_task)];
     const TaskId id{ready.job->id, ready.round->number, ready.number,
-                    step.probed};
-    if (WorkedFor(task, id, kProbation, now)) {
+                    step.probe_task};
+    if (HasRunFor(task, id, kProbationTime, now)) {
       step.suspected = false;
-      step.probed = -1;
+      step.probe_task = -1;
       return std::numeric_limits<int32_t>::max();
     }
     const bool open = task.phase != TaskPhase::kWaiting &&
-                      now.mono < step.probed_until + kProbePatience;
+                      now.mono < step.probe_ends_at + kProbeTimeout;
     if (open) return 0;
-    step.probed = -1;
+    step.probe_task = -1;
   }
   return 1;
 }
 
 // A step of tasks that crash what starts them would else take all workers down
 // before the first crash is heard of.
-JobScheduler::WorkerQuota JobScheduler::QuotaOf(ReadyStep& ready, Now now) {
+JobScheduler::WorkerQuota JobScheduler::ComputeWorkerQuota(ReadyStep& ready,
+                                                           Now now) {
   StepState& step = *ready.state;
   WorkerQuota quota;
-  const int32_t most =
-      std::max(kFewestUnproven,
-               static_cast<int32_t>(kUnprovenShare * ready.pool_workers));
+  const int32_t most = std::max(
+      kMinUnprovenWorkers,
+      static_cast<int32_t>(kMaxUnprovenWorkerShare * ready.pool_workers));
   if (step.proven || ready.spec->count <= most) return quota;
   for (size_t i = 0; i < step.tasks.size() && !step.proven; ++i) {
     const TaskId id{ready.job->id, ready.round->number, ready.number,
                     static_cast<int32_t>(i)};
-    step.proven = WorkedFor(step.tasks[i], id, kProving, now);
+    step.proven = HasRunFor(step.tasks[i], id, kProvingTime, now);
     if (!step.tasks[i].worker.empty()) quota.used.insert(step.tasks[i].worker);
   }
   if (step.proven) return WorkerQuota();
@@ -551,46 +574,49 @@
 double JobScheduler::ProbeScore(const Worker& worker, Now now) const {
   const Resources used = worker.record.capacity - worker.free;
   double score = DominantShare(used, worker.record.capacity);
-  const auto lasts = [&](const auto& run) {
+  const auto is_long_running = [&](const auto& run) {
     const auto job = jobs_.find(run.first.first.job);
-    return job != jobs_.end() && job->second->Lasts();
+    return job != jobs_.end() && job->second->HasLongRunningStep();
   };
-  if (std::any_of(worker.occupants.begin(), worker.occupants.end(), lasts))
-    score += kLastingBeside;
-  const auto fresh = [&](const auto& run) {
-    return now.mono - run.second.placed < kProbation;
+  if (std::any_of(worker.allocations.begin(), worker.allocations.end(),
+                  is_long_running))
+    score += kLongRunningPenalty;
+  const auto is_recent = [&](const auto& run) {
+    return now.mono - run.second.placed < kProbationTime;
   };
-  if (std::any_of(worker.occupants.begin(), worker.occupants.end(), fresh))
-    score += kFreshBeside;
-  const auto crashes = std::count_if(
-      crashes_.begin(), crashes_.end(), [&](const PastCrash& past) {
-        return past.machine == worker.record.machine;
-      });
-  return score + kWornMachine * static_cast<double>(crashes);
+  if (std::any_of(worker.allocations.begin(), worker.allocations.end(),
+                  is_recent))
+    score += kRecentStartPenalty;
+  const auto crashes =
+      std::count_if(recent_crashes_.begin(), recent_crashes_.end(),
+                    [&](const PastCrash& past) {
+                      return past.machine == worker.record.machine;
+                    });
+  return score + kMachineCrashPenalty * static_cast<double>(crashes);
 }
 
 void JobScheduler::PutOnProbation(ReadyStep& ready, int32_t index,
                                   Worker& worker, Now now) {
   const TaskState& task = ready.state->tasks[static_cast<size_t>(index)];
   const TaskId id{ready.job->id, ready.round->number, ready.number, index};
-  worker.probation_until = now.mono + kProbation;
+  worker.probation_until = now.mono + kProbationTime;
   if (ready.state->suspected && !ready.spec->gang) {
-    ready.state->probed = index;
-    ready.state->probed_until = worker.probation_until;
+    ready.state->probe_task = index;
+    ready.state->probe_ends_at = worker.probation_until;
   }
-  NoteExposed(*ready.job, id,
-              {worker.record.id, task.run, ToMillis(now.wall), -1, false});
-  Explain("start_on_probation",
-          {{"task", TaskIdText(id)},
-           {"run", absl::StrCat(task.run)},
-           {"worker", worker.record.id},
-           {"beside", absl::StrCat(worker.occupants.size() - 1)}});
-}
-
-void JobScheduler::ForgetSilence(Worker& worker) {
-  if (worker.lost_since == absl::InfiniteFuture()) return;
-  worker.lost_since = absl::InfiniteFuture();
-  for (const auto& [key, occupant] : worker.occupants) {
+  RecordExposedRun(*ready.job, id,
+                   {worker.record.id, task.run, ToMillis(now.wall), -1, false});
+  LogDecision("start_on_probation",
+              {{"task", TaskIdText(id)},
+               {"run", absl::StrCat(task.run)},
+               {"worker", worker.record.id},
+               {"beside", absl::StrCat(worker.allocations.size() - 1)}});
+}
+
+void JobScheduler::ClearUnresponsiveness(Worker& worker) {
+  if (worker.failing_since == absl::InfiniteFuture()) return;
+  worker.failing_since = absl::InfiniteFuture();
+  for (const auto& [key, allocation] : worker.allocations) {
     const auto job = jobs_.find(key.first.job);
     if (job == jobs_.end()) continue;
     TaskState* task = job->second->FindTask(key.first);
@@ -603,17 +629,17 @@
 }
 
 void JobScheduler::ExplainLostRun(const Worker& worker, const RunKey& key,
-                                  const Occupant& occupant, size_t beside,
-                                  absl::Time lost, Now now) {
-  const bool begun = occupant.start_answered <= now.mono;
-  Explain("run_lost",
-          {{"task", TaskIdText(key.first)},
-           {"run", absl::StrCat(key.second)},
-           {"worker", worker.record.id},
-           {"began", begun ? "yes" : "not known"},
-           {"ran_ms",
-            absl::StrCat(absl::ToInt64Milliseconds(RanUntil(occupant, lost)))},
-           {"beside", absl::StrCat(beside)}});
+                                  const Allocation& allocation,
+                                  size_t co_located_runs, absl::Time lost,
+                                  Now now) {
+  const bool begun = allocation.start_answered <= now.mono;
+  LogDecision("run_lost", {{"task", TaskIdText(key.first)},
+                           {"run", absl::StrCat(key.second)},
+                           {"worker", worker.record.id},
+                           {"began", begun ? "yes" : "not known"},
+                           {"ran_ms", absl::StrCat(absl::ToInt64Milliseconds(
+                                          RunDurationUntil(allocation, lost)))},
+                           {"beside", absl::StrCat(co_located_runs)}});
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/job_scheduler_losses_test.cc
+++ b/keelbridge/coordination/job_scheduler_losses_test.cc
@@ -12,18 +12,18 @@
 
 // What users allow: a task under which three workers have crashed may be
 // started twice more, and one under which two have crashed may be given up.
-constexpr int kMostStartsOfCrasher = 5;
-constexpr int kFewestCrashes = 2;
+constexpr int kMaxStartsOfCrashingTask = 5;
+constexpr int kMinCrashes = 2;
 
-const ExplainAction* LineOf(const SchedulerDriver& driver,
-                            const std::string& event) {
-  for (const ExplainAction& line : driver.lines) {
+const LogAction* LineOf(const SchedulerDriver& driver,
+                        const std::string& event) {
+  for (const LogAction& line : driver.log_lines) {
     if (line.event == event) return &line;
   }
   return nullptr;
 }
 
-std::string FieldOf(const ExplainAction& line, const std::string& name) {
+std::string FieldOf(const LogAction& line, const std::string& name) {
   for (const auto& [field, value] : line.fields) {
     if (field == name) return value;
   }
@@ -38,10 +38,10 @@
   site.Submit(7, OneTask());
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(6));
-  const ExplainAction* worker = LineOf(site.driver, "runs_lost");
+  const LogAction* worker = LineOf(site.driver, "runs_lost");
   REQUIRE(worker != nullptr);
   CHECK(FieldOf(*worker, "why") == "it crashed: another life answered");
-  const ExplainAction* run = LineOf(site.driver, "run_lost");
+  const LogAction* run = LineOf(site.driver, "run_lost");
   REQUIRE(run != nullptr);
   CHECK(FieldOf(*run, "task") == "0000000000000007.0.0.0");
   CHECK(FieldOf(*run, "beside") == "1");
@@ -55,7 +55,7 @@
   site.Run(absl::Seconds(2));
   site.Leave(site.WorkerAt("m0"));
   site.Run(absl::Seconds(9));
-  const ExplainAction* worker = LineOf(site.driver, "runs_lost");
+  const LogAction* worker = LineOf(site.driver, "runs_lost");
   REQUIRE(worker != nullptr);
   CHECK(FieldOf(*worker, "why") == "it left: another life answered");
 }
@@ -79,8 +79,8 @@
   CHECK(site.Status(7) == JobState::kFailed);
   // Users take it for an endless repeat at the third start after three crashes,
   // and for failed without a cause before two crashes.
-  CHECK(site.StartsOf(7) <= kMostStartsOfCrasher);
-  CHECK(site.StartsOf(7) >= kFewestCrashes);
+  CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
+  CHECK(site.StartsOf(7) >= kMinCrashes);
 }
 
 TEST_CASE(
@@ -93,11 +93,11 @@
   site.Run(absl::Seconds(60));
   for (JobId job = 1; job <= 3; ++job) {
     CHECK(site.Status(job) == JobState::kFailed);
-    CHECK(site.StartsOf(job) <= kMostStartsOfCrasher);
+    CHECK(site.StartsOf(job) <= kMaxStartsOfCrashingTask);
   }
   for (JobId job = 10; job < 18; ++job)
     CHECK(site.Status(job) == JobState::kCompleted);
-  CHECK(site.crashes_seen <= 3 * kMostStartsOfCrasher);
+  CHECK(site.crash_count <= 3 * kMaxStartsOfCrashingTask);
 }
 
 TEST_CASE(
@@ -113,30 +113,30 @@
   CHECK(site.Status(7) == JobState::kFailed);
   // A wide step may take a quarter of the workers before anything is known of
   // it, and then one at a time.
-  CHECK(site.most_down <= kWorkers / 4);
-  CHECK(site.crashes_seen <= kWorkers / 4 + kMostStartsOfCrasher);
+  CHECK(site.max_down <= kWorkers / 4);
+  CHECK(site.crash_count <= kWorkers / 4 + kMaxStartsOfCrashingTask);
 }
 
 TEST_CASE(
     "job scheduler: what is held against a task that crashes its workers "
     "outlives its leaders") {
   int starts = 0;
-  std::map<std::string, Record> kept;
+  std::map<std::string, Record> stored_records;
   bool failed = false;
   for (int64_t epoch = 1; epoch <= 8 && !failed; ++epoch) {
     // All power is lost in between: nothing but the records is left.
-    CrashingSite site(epoch, 3, 16000, kept);
+    CrashingSite site(epoch, 3, 16000, stored_records);
     if (epoch == 1) site.Submit(7, OneTask());
     site.crashes = [](const TaskId& task) { return task.job == 7; };
     // Until the worker is seen to be silent; its next life comes later.
     site.Run(absl::Seconds(2));
     starts += site.StartsOf(7);
     failed = site.Status(7) == JobState::kFailed;
-    kept = site.driver.kept;
+    stored_records = site.driver.stored_records;
   }
   CAPTURE(starts);
   CHECK(failed);
-  CHECK(starts <= kMostStartsOfCrasher);
+  CHECK(starts <= kMaxStartsOfCrashingTask);
 }
 
 // A worn machine crashes whatever runs there; so may a whole wave of workers.
@@ -189,15 +189,15 @@
     // Its worker is gone at once, and nobody answers in its place.
     site.Run(absl::Seconds(20 * i) + absl::Milliseconds(100));
     const std::string worker = site.driver.start_workers.back();
-    site.driver.lists.erase(worker);
+    site.driver.reports.erase(worker);
     site.After(absl::Seconds(12),
-               [&site, worker] { site.driver.lists[worker]; });
+               [&site, worker] { site.driver.reports[worker]; });
   }
   site.Run(absl::Seconds(110));
   CHECK(site.Status(7) != JobState::kFailed);
   CrashingSite leaving(1, 2);
   leaving.work = absl::Seconds(100);
-  leaving.Submit(7, LastingTask());
+  leaving.Submit(7, LongRunningTask());
   leaving.on_start = [&leaving](const StartOrder&, const std::string& worker) {
     leaving.After(absl::Milliseconds(100),
                   [&leaving, worker] { leaving.Leave(worker); });
@@ -221,24 +221,24 @@
   CHECK(site.Status(7) == JobState::kFailed);
   std::map<int32_t, int> runs;
   for (const StartOrder& start : site.driver.starts) ++runs[start.run];
-  CHECK(runs.size() <= kMostStartsOfCrasher);
-  CHECK(runs.size() >= kFewestCrashes);
+  CHECK(runs.size() <= kMaxStartsOfCrashingTask);
+  CHECK(runs.size() >= kMinCrashes);
 }
 
 TEST_CASE(
     "job scheduler: a lasting task that crashes its workers is given up") {
   CrashingSite site(1, 4);
-  site.Submit(7, LastingTask());
+  site.Submit(7, LongRunningTask());
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(60));
   CHECK(site.Status(7) == JobState::kFailed);
-  CHECK(site.StartsOf(7) <= kMostStartsOfCrasher);
+  CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
 }
 
 TEST_CASE("job scheduler: months of crashes do not end a lasting task") {
   CrashingSite site(1, 3);
   site.work = absl::InfiniteDuration();
-  site.Submit(7, LastingTask());
+  site.Submit(7, LongRunningTask());
   for (int i = 1; i <= 20; ++i) {
     site.Run(absl::Seconds(20 * i));
     site.Crash(site.driver.start_workers.back());
@@ -255,7 +255,7 @@
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(90));
   CHECK(site.Status(7) == JobState::kFailed);
-  CHECK(site.StartsOf(7) <= kMostStartsOfCrasher);
+  CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
 }
 
 TEST_CASE("job scheduler: nothing starts beside a task under suspicion") {
@@ -263,14 +263,15 @@
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Submit(7, OneTask());
   site.Run(absl::Seconds(2));
-  std::map<std::string, absl::Time> tried;
-  int beside = 0;
+  std::map<std::string, absl::Time> last_start;
+  int concurrent_starts = 0;
   site.on_start = [&](const StartOrder& order, const std::string& worker) {
     const absl::Time now = site.driver.now().mono;
-    const auto last = tried.find(worker);
-    if (last != tried.end() && now - last->second < absl::Milliseconds(100))
-      ++beside;
-    if (order.task.job == 7) tried[worker] = now;
+    const auto last = last_start.find(worker);
+    if (last != last_start.end() &&
+        now - last->second < absl::Milliseconds(100))
+      ++concurrent_starts;
+    if (order.task.job == 7) last_start[worker] = now;
   };
   // Short work comes all the time.
   for (JobId job = 100; job < 400; ++job) {
@@ -279,28 +280,28 @@
   }
   site.Run(absl::Seconds(40));
   CHECK(site.Status(7) == JobState::kFailed);
-  CHECK(beside == 0);
+  CHECK(concurrent_starts == 0);
 }
 
 TEST_CASE(
     "job scheduler: leaders that are lost with the worker before anything "
     "shows do not start a task for ever") {
   int starts = 0;
-  std::map<std::string, Record> kept;
+  std::map<std::string, Record> stored_records;
   bool failed = false;
   for (int64_t epoch = 1; epoch <= 8 && !failed; ++epoch) {
-    CrashingSite site(epoch, 3, 16000, kept);
+    CrashingSite site(epoch, 3, 16000, stored_records);
     if (epoch == 1) site.Submit(7, OneTask());
     // The worker dies of the task when all power is gone.
     site.work = absl::InfiniteDuration();
     site.Run(absl::Milliseconds(400));
     starts += site.StartsOf(7);
     failed = site.Status(7) == JobState::kFailed;
-    kept = site.driver.kept;
+    stored_records = site.driver.stored_records;
   }
   CAPTURE(starts);
   CHECK(failed);
-  CHECK(starts <= kMostStartsOfCrasher);
+  CHECK(starts <= kMaxStartsOfCrashingTask);
 }
 
 TEST_CASE("job scheduler: a crash that is first taken for a silence counts") {
@@ -311,7 +312,7 @@
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(120));
   CHECK(site.Status(7) == JobState::kFailed);
-  CHECK(site.StartsOf(7) <= kMostStartsOfCrasher);
+  CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
 }
 
 }  // namespace
--- a/keelbridge/coordination/job_scheduler_pending_starts.cc
+++ b/keelbridge/coordination/job_scheduler_pending_starts.cc
@@ -15,7 +15,7 @@
 
 void JobScheduler::StartOnceDurable(Job& job, TaskState& task,
                                     StartAction action) {
-  if (job.HasPlacementsOf(static_cast<size_t>(action.order.task.step)))
+  if (job.HasPersistedPlacements(static_cast<size_t>(action.order.task.step)))
     task.placed_on = action.worker.id;
   MarkDirty(job);
   pending_starts_.push_back({next_batch_, std::move(action)});
@@ -30,45 +30,46 @@
     const RunKey key{action.order.task, action.order.run};
     const auto worker = workers_.find(action.worker.id);
     if (worker == workers_.end()) continue;
-    const auto found = worker->second->occupants.find(key);
-    if (found == worker->second->occupants.end()) continue;
-    Occupant& occupant = found->second;
+    const auto found = worker->second->allocations.find(key);
+    if (found == worker->second->allocations.end()) continue;
+    Allocation& allocation = found->second;
     const Worker& at = *worker->second;
     const bool stays =
-        !at.record.draining && !at.record_removed && Reachable(at, now);
+        !at.record.draining && !at.record_removed && IsReachable(at, now);
     // It may have shrunk while the store was away, and would run the order all
     // the same.
     const bool fits = Resources().FitsIn(at.free);
-    if (occupant.stop_wanted || !stays || !fits) {
+    if (allocation.should_stop || !stays || !fits) {
       // No order to start it has left.
-      Explain("start_withdrawn",
-              {{"task", TaskIdText(key.first)},
-               {"run", absl::StrCat(key.second)},
-               {"worker", action.worker.id},
-               {"why", occupant.stop_wanted ? "it is to stop"
-                       : !stays             ? "its worker leaves or is silent"
-                                            : "its worker has shrunk"}});
+      LogDecision("start_withdrawn",
+                  {{"task", TaskIdText(key.first)},
+                   {"run", absl::StrCat(key.second)},
+                   {"worker", action.worker.id},
+                   {"why", allocation.should_stop ? "it is to stop"
+                           : !stays ? "its worker leaves or is silent"
+                                    : "its worker has shrunk"}});
       Release(*worker->second, key);
       Requeue(key.first, key.second, action.worker.id, now.mono);
       continue;
     }
     // What orders take counts from here, and so does a probation.
     Worker& to = *worker->second;
-    if (to.probation_until > occupant.placed)
-      to.probation_until += now.mono - occupant.placed;
-    occupant.placed = now.mono;
-    occupant.ordered = now.mono;
-    action.order.lease_until_ms = LeaseUntil(*worker->second, now.mono);
-    Explain("start_sent", {{"task", TaskIdText(key.first)},
-                           {"run", absl::StrCat(key.second)},
-                           {"worker", action.worker.id}});
+    if (to.probation_until > allocation.placed)
+      to.probation_until += now.mono - allocation.placed;
+    allocation.placed = now.mono;
+    allocation.ordered = now.mono;
+    action.order.lease_until_ms = GrantLease(*worker->second, now.mono);
+    LogDecision("start_sent", {{"task", TaskIdText(key.first)},
+                               {"run", absl::StrCat(key.second)},
+                               {"worker", action.worker.id}});
     actions_.push_back(std::move(action));
   }
 }
 
-void JobScheduler::NotePlacement(Job& job, const TaskId& task_id,
-                                 const std::string& worker) {
-  if (job.Ended() || !job.HasPlacementsOf(static_cast<size_t>(task_id.step)))
+void JobScheduler::RecordPlacement(Job& job, const TaskId& task_id,
+                                   const std::string& worker) {
+  if (job.Ended() ||
+      !job.HasPersistedPlacements(static_cast<size_t>(task_id.step)))
     return;
   TaskState* task = job.FindTask(task_id);
   if (task == nullptr || task->placed_on == worker) return;
@@ -79,7 +80,7 @@
 void JobScheduler::MovePlacements(const std::string& from,
                                   const std::string& to) {
   for (const auto& [id, job] : active_) {
-    if (!job->placements_on_record) continue;
+    if (!job->placements_persisted) continue;
     for (Round& round : job->rounds) {
       for (StepState& step : round.steps) {
         for (TaskState& task : step.tasks) {
@@ -95,8 +96,8 @@
 void JobScheduler::AdoptPlacements() {
   placements_adopted_ = true;
   for (const auto& [id, job] : active_) {
-    if (job->placements_on_record || !job->Lasts()) continue;
-    job->placements_on_record = true;
+    if (job->placements_persisted || !job->HasLongRunningStep()) continue;
+    job->placements_persisted = true;
     for (Round& round : job->rounds) {
       for (StepState& step : round.steps) {
         for (TaskState& task : step.tasks) task.placed_on = task.worker;
--- a/keelbridge/coordination/job_scheduler_placement_test.cc
+++ b/keelbridge/coordination/job_scheduler_placement_test.cc
@@ -10,19 +10,19 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr absl::Duration kSmallTakes = absl::Milliseconds(600);
+constexpr absl::Duration kSmallTaskDuration = absl::Milliseconds(600);
 
-StepSpec LargeLastingTask() {
-  StepSpec step = LastingTask();
+StepSpec LargeLongRunningTask() {
+  StepSpec step = LongRunningTask();
   step.need.cpu_milli = 6000;
   return step;
 }
 
 // Small tasks take all room, and many more of them wait: some end now and then,
 // never enough at a time for a task of three quarters of a worker.
-class BehindSite {
+class BackloggedSite {
  public:
-  explicit BehindSite(SchedulerDriver& site) : site_(site) {
+  explicit BackloggedSite(SchedulerDriver& site) : site_(site) {
     JobSpec small;
     small.steps = {OneTask()};
     for (JobId job = 100; job < 400; ++job)
@@ -32,10 +32,10 @@
   // Goes on from `from` to `until`, and ends a small task every 50 ms.
   void Run(absl::Duration from, absl::Duration until) {
     for (absl::Duration at = from; at < until;) {
-      at += kSmallTakes / 12;
+      at += kSmallTaskDuration / 12;
       site_.RunUntil(at);
       const std::string worker(1, static_cast<char>('a' + turn_++ % 3));
-      auto& running = site_.lists[worker].running;
+      auto& running = site_.reports[worker].running;
       const auto one =
           std::find_if(running.begin(), running.end(),
                        [](const auto& run) { return run.task.job != kJob; });
@@ -45,12 +45,12 @@
     }
   }
 
-  void FailLasting() {
+  void FailLongRunning() {
     site_.End(site_.start_workers[0],
               {++ends_, kTask, site_.starts[0].run, RunEnd::kFailed, ""});
   }
 
-  int64_t StartsOfLasting() const {
+  int64_t StartsOfLongRunning() const {
     return std::count_if(site_.starts.begin(), site_.starts.end(),
                          [](const auto& one) { return one.task == kTask; });
   }
@@ -64,7 +64,7 @@
 void AddWorkers(SchedulerDriver& site) {
   for (const char* worker : {"a", "b", "c"}) {
     site.AddWorker(worker);
-    site.lists[worker];
+    site.reports[worker];
   }
 }
 
@@ -78,16 +78,16 @@
   SchedulerDriver site(1);
   AddWorkers(site);
   site.RunUntil(absl::Milliseconds(100));
-  JobSpec lasts;
-  lasts.steps = {LargeLastingTask()};
-  site.scheduler().Submit(kJob, "restore", lasts, site.now());
+  JobSpec long_running;
+  long_running.steps = {LargeLongRunningTask()};
+  site.scheduler().Submit(kJob, "restore", long_running, site.now());
   site.RunUntil(absl::Seconds(30));
   REQUIRE(site.starts.size() == 1);
-  BehindSite behind(site);
-  behind.Run(absl::Seconds(30), absl::Seconds(31));
-  behind.FailLasting();
-  behind.Run(absl::Seconds(31), absl::Seconds(34));
-  CHECK(behind.StartsOfLasting() == 2);
+  BackloggedSite backlogged(site);
+  backlogged.Run(absl::Seconds(30), absl::Seconds(31));
+  backlogged.FailLongRunning();
+  backlogged.Run(absl::Seconds(31), absl::Seconds(34));
+  CHECK(backlogged.StartsOfLongRunning() == 2);
 }
 
 // A later leader does not know whether it had run: where a start was refused
@@ -96,26 +96,26 @@
     "job scheduler: a lasting task that a later leader finds not running "
     "starts on a site that is behind") {
   SchedulerDriver site(2);
-  site.Recover(LargeLastingTask());
+  site.Recover(LargeLongRunningTask());
   site.RunUntil(absl::Seconds(30));
-  BehindSite behind(site);
+  BackloggedSite backlogged(site);
   AddWorkers(site);
-  behind.Run(absl::Seconds(30), absl::Seconds(33));
-  CHECK(behind.StartsOfLasting() == 1);
+  backlogged.Run(absl::Seconds(30), absl::Seconds(33));
+  CHECK(backlogged.StartsOfLongRunning() == 1);
 }
 
 // Goes on for two seconds in which something comes in at every tick, and
 // returns how many looks for placements that led to.
-int64_t LooksInTwoSeconds(SchedulerDriver& site, JobId* next) {
+int64_t PassesInTwoSeconds(SchedulerDriver& site, JobId* next) {
   const absl::Duration begin = site.now().mono - kBegin;
-  const int64_t before = site.scheduler().figures().looks;
+  const int64_t before = site.scheduler().figures().placement_passes;
   JobSpec spec;
   spec.steps = {OneTask()};
   while (site.now().mono - kBegin < begin + absl::Seconds(2)) {
     site.scheduler().Submit((*next)++, "restore", spec, site.now());
     site.RunUntil(site.now().mono - kBegin + absl::Milliseconds(20));
   }
-  return site.scheduler().figures().looks - before;
+  return site.scheduler().figures().placement_passes - before;
 }
 
 // Looks took all of a leader's time as that got dearer.
@@ -123,33 +123,33 @@
   SchedulerDriver site(1);
   AddWorkers(site);
   JobId next = 100;
-  LooksInTwoSeconds(site, &next);
-  CHECK(LooksInTwoSeconds(site, &next) > 50);
-  site.tick_takes = absl::Milliseconds(50);
-  CHECK(LooksInTwoSeconds(site, &next) <= 2000 / (3 * 50) + 7);
+  PassesInTwoSeconds(site, &next);
+  CHECK(PassesInTwoSeconds(site, &next) > 50);
+  site.tick_duration = absl::Milliseconds(50);
+  CHECK(PassesInTwoSeconds(site, &next) <= 2000 / (3 * 50) + 7);
   // It stood still in its ticks: that is no reason to place nothing.
-  site.tick_takes = absl::Seconds(10);
-  CHECK(LooksInTwoSeconds(site, &next) >= 9);
+  site.tick_duration = absl::Seconds(10);
+  CHECK(PassesInTwoSeconds(site, &next) >= 9);
 }
 
 // A leader spent half of its looks on jobs that gain nothing by haste.
 TEST_CASE("job scheduler: late jobs take little of a leader's time") {
-  constexpr int kLate = 200;
+  constexpr int kLateJobs = 200;
   SchedulerDriver site(1);
   AddWorkers(site);
   JobSpec spec;
   spec.steps = {OneTask(8000)};
   JobId next = 100;
-  for (int i = 0; i < kLate + 3; ++i)
+  for (int i = 0; i < kLateJobs + 3; ++i)
     site.scheduler().Submit(next++, "restore", spec, site.now());
   site.RunUntil(absl::Seconds(30));
   REQUIRE(site.starts.size() == 3);
-  const int64_t before = site.scheduler().figures().late_steps_looked_at;
-  CHECK(LooksInTwoSeconds(site, &next) > 50);
-  const int64_t late = site.scheduler().figures().late_steps_looked_at - before;
-  CHECK(late >= 10 * kLate);
+  const int64_t before = site.scheduler().figures().late_steps_examined;
+  CHECK(PassesInTwoSeconds(site, &next) > 50);
+  const int64_t late = site.scheduler().figures().late_steps_examined - before;
+  CHECK(late >= 10 * kLateJobs);
   // Every 100 ms; those that came in meanwhile are late at the end, too.
-  CHECK(late <= 21 * (kLate + 100));
+  CHECK(late <= 21 * (kLateJobs + 100));
 }
 
 }  // namespace
--- a/keelbridge/coordination/job_scheduler_recovery_test.cc
+++ b/keelbridge/coordination/job_scheduler_recovery_test.cc
@@ -11,15 +11,15 @@
 namespace keelbridge::testing {
 namespace {
 
-const ExplainAction* LineOf(const SchedulerDriver& site,
-                            const std::string& event) {
+const LogAction* FindLogLine(const SchedulerDriver& site,
+                             const std::string& event) {
   const auto line =
-      std::find_if(site.lines.begin(), site.lines.end(),
+      std::find_if(site.log_lines.begin(), site.log_lines.end(),
                    [&](const auto& one) { return one.event == event; });
-  return line == site.lines.end() ? nullptr : &*line;
+  return line == site.log_lines.end() ? nullptr : &*line;
 }
 
-std::string FieldOf(const ExplainAction& line, const std::string& name) {
+std::string LogField(const LogAction& line, const std::string& name) {
   for (const auto& [key, value] : line.fields) {
     if (key == name) return value;
   }
@@ -32,19 +32,19 @@
   SchedulerDriver site(2);
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("gone", 8000), 1}});
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(1500));
-  const ExplainAction* waits = LineOf(site, "recovered_work_waits");
+  const LogAction* waits = FindLogLine(site, "recovered_work_waits");
   REQUIRE(waits != nullptr);
-  CHECK(FieldOf(*waits, "first") == TaskIdText(kTask));
-  CHECK(FieldOf(*waits, "tasks") == "1");
-  CHECK(FieldOf(*waits, "workers") == "1");
-  CHECK(FieldOf(*waits, "last_worker") == "gone");
-  CHECK(FieldOf(*waits, "held_by_epoch") == "1");
+  CHECK(LogField(*waits, "first") == TaskIdText(kTask));
+  CHECK(LogField(*waits, "tasks") == "1");
+  CHECK(LogField(*waits, "workers") == "1");
+  CHECK(LogField(*waits, "last_worker") == "gone");
+  CHECK(LogField(*waits, "held_by_epoch") == "1");
   CHECK(site.scheduler().figures().recovered_waiting == 1);
-  CHECK(LineOf(site, "recovered_work_free") == nullptr);
+  CHECK(FindLogLine(site, "recovered_work_free") == nullptr);
   site.RunUntil(absl::Seconds(14));
-  CHECK(LineOf(site, "recovered_work_free") != nullptr);
+  CHECK(FindLogLine(site, "recovered_work_free") != nullptr);
   CHECK(site.scheduler().figures().recovered_waiting == 0);
 }
 
@@ -67,11 +67,11 @@
     "job scheduler: a lasting task whose run ended while nobody led does not "
     "wait for another worker") {
   SchedulerDriver first(1);
-  for (const char* worker : {"w", "x", "y"}) first.lists[worker];
+  for (const char* worker : {"w", "x", "y"}) first.reports[worker];
   first.AddWorker("w");
   first.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   first.scheduler().Submit(kJob, "restore", spec, first.now());
   first.RunUntil(absl::Milliseconds(200));
   REQUIRE(first.start_workers == std::vector<std::string>{"w"});
@@ -83,8 +83,8 @@
   second.TakeOver(first);
   second.AddWorker("w");
   second.AddWorker("y");
-  second.lists["w"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
-  second.lists["y"];  // "x" answers nothing.
+  second.reports["w"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
+  second.reports["y"];  // "x" answers nothing.
   second.RunUntil(absl::Seconds(1));
   REQUIRE(second.starts.size() == 1);
   CHECK(second.starts[0].task == kTask);
@@ -96,7 +96,7 @@
     "as it left") {
   SchedulerDriver first(1);
   for (const char* worker : {"w", "x"}) {
-    first.lists[worker];
+    first.reports[worker];
     first.AddWorker(worker);
   }
   first.RunUntil(absl::Milliseconds(100));
@@ -112,8 +112,8 @@
   second.TakeOver(first);
   second.AddWorker("w");
   second.AddWorker("wide", 100000);
-  second.lists["w"];
-  second.lists["wide"];  // "x" is gone.
+  second.reports["w"];
+  second.reports["wide"];  // "x" is gone.
   second.RunUntil(absl::Seconds(1));
   CHECK(second.start_workers == std::vector<std::string>{"wide"});
 }
@@ -122,7 +122,7 @@
 TEST_CASE("job scheduler: only a worker that is empty and leaves is closed") {
   SchedulerDriver site(1);
   site.AddWorker("x");
-  site.lists["x"];
+  site.reports["x"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps = {OneTask()};
@@ -132,25 +132,26 @@
   WorkerRecord leaving = SchedulerDriver::RecordOf("x", 8000);
   leaving.draining = true;
   site.scheduler().OnWorkerRecord(leaving, site.now());
-  const auto closed = [&] {
-    return KnownWorkerFrom(site.kept.at(KnownWorkerKey("x")))->closed;
+  const auto retired = [&] {
+    return ParseKnownWorker(site.stored_records.at(KnownWorkerKey("x")))
+        ->retired;
   };
   site.RunUntil(absl::Milliseconds(400));
-  CHECK_FALSE(closed());
+  CHECK_FALSE(retired());
   site.End("x", {1, kTask, site.starts[0].run, RunEnd::kDone, ""});
   site.RunUntil(absl::Milliseconds(600));
-  CHECK(closed());
+  CHECK(retired());
   site.AddWorker("x");
   site.RunUntil(absl::Milliseconds(800));
-  CHECK_FALSE(closed());
+  CHECK_FALSE(retired());
 }
 
 // A site whose worker "x" left with one task of the job, as its first leader
 // left it; the other task found no room.
-class LeftWithATask {
+class DrainedWorkerFixture {
  public:
-  explicit LeftWithATask(bool gang) : first_(1) {
-    first_.lists["x"];
+  explicit DrainedWorkerFixture(bool gang) : first_(1) {
+    first_.reports["x"];
     first_.AddWorker("x");
     first_.RunUntil(absl::Milliseconds(100));
     JobSpec running;
@@ -167,7 +168,7 @@
   }
 
   SchedulerDriver& first() { return first_; }
-  void Leave() {
+  void DrainWorker() {
     WorkerRecord leaving = SchedulerDriver::RecordOf("x", 8000);
     leaving.draining = true;
     first_.scheduler().OnWorkerRecord(leaving, first_.now());
@@ -178,10 +179,10 @@
   SchedulerDriver first_;
 };
 
-void AddRoom(SchedulerDriver& site) {
+void AddIdleWorkers(SchedulerDriver& site) {
   for (const char* worker : {"a", "b", "c", "d"}) {
     site.AddWorker(worker);
-    site.lists[worker];
+    site.reports[worker];
   }
 }
 
@@ -190,11 +191,11 @@
 TEST_CASE(
     "job scheduler: of recovered work only what a worker left with waits for "
     "its lease") {
-  LeftWithATask site(/*gang=*/true);
-  site.Leave();
+  DrainedWorkerFixture site(/*gang=*/true);
+  site.DrainWorker();
   SchedulerDriver second(2);
   second.TakeOver(site.first());
-  AddRoom(second);
+  AddIdleWorkers(second);
   second.RunUntil(absl::Seconds(5));
   REQUIRE(second.starts.size() == 2);
   CHECK(second.starts[0].task.job == kJob + 1);
@@ -208,12 +209,12 @@
 TEST_CASE(
     "job scheduler: recovered work waits for a worker whose leaving is not "
     "kept for good") {
-  LeftWithATask site(/*gang=*/false);
+  DrainedWorkerFixture site(/*gang=*/false);
   site.first().hold_batches = true;
-  site.Leave();
+  site.DrainWorker();
   SchedulerDriver second(2);
   second.TakeOver(site.first());
-  AddRoom(second);
+  AddIdleWorkers(second);
   second.RunUntil(absl::Seconds(5));
   CHECK(second.starts.empty());
   second.RunUntil(absl::Seconds(8));
@@ -223,8 +224,8 @@
 // It stays after all, and may get work again.
 TEST_CASE(
     "job scheduler: recovered work waits for a worker that stayed after all") {
-  LeftWithATask site(/*gang=*/false);
-  site.Leave();
+  DrainedWorkerFixture site(/*gang=*/false);
+  site.DrainWorker();
   site.first().AddWorker("x");
   site.first().RunUntil(absl::Milliseconds(600));
   site.first().End("x",
@@ -233,7 +234,7 @@
   REQUIRE(site.first().starts.size() == 2);
   SchedulerDriver second(2);
   second.TakeOver(site.first());
-  AddRoom(second);
+  AddIdleWorkers(second);
   second.RunUntil(absl::Seconds(5));
   CHECK(second.starts.empty());
   second.RunUntil(absl::Seconds(8));
@@ -243,22 +244,22 @@
 // A run of an earlier leader that is heard of late is told of, too.
 TEST_CASE(
     "job scheduler: what a worker leaves with is on record, and no more") {
-  LeftWithATask site(/*gang=*/false);
-  const auto left_with = [&] {
-    return KnownWorkerFrom(site.first().kept.at(KnownWorkerKey("x")))
+  DrainedWorkerFixture site(/*gang=*/false);
+  const auto recorded_last_tasks = [&] {
+    return ParseKnownWorker(site.first().stored_records.at(KnownWorkerKey("x")))
         ->last_tasks;
   };
-  CHECK(left_with().empty());
-  site.Leave();
-  CHECK(left_with() == std::vector<TaskId>{kTask});
+  CHECK(recorded_last_tasks().empty());
+  site.DrainWorker();
+  CHECK(recorded_last_tasks() == std::vector<TaskId>{kTask});
   const TaskId other{kJob + 1, 0, 0, 1};
-  site.first().lists["x"].running.push_back({other, 1, "", 0});
+  site.first().reports["x"].running.push_back({other, 1, "", 0});
   site.first().RunUntil(absl::Milliseconds(600));
-  CHECK(left_with() == std::vector<TaskId>{kTask, other});
+  CHECK(recorded_last_tasks() == std::vector<TaskId>{kTask, other});
   site.first().End("x",
                    {1, kTask, site.first().starts[0].run, RunEnd::kDone, ""});
   site.first().RunUntil(absl::Milliseconds(800));
-  CHECK(left_with() == std::vector<TaskId>{kTask, other});
+  CHECK(recorded_last_tasks() == std::vector<TaskId>{kTask, other});
 }
 
 // With its placement on record a task waits for one worker; that one may still
@@ -267,11 +268,11 @@
     "job scheduler: a lasting task waits for the worker that it was placed "
     "on") {
   SchedulerDriver first(1);
-  first.lists["x"];
+  first.reports["x"];
   first.AddWorker("x");
   first.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   first.scheduler().Submit(kJob, "restore", spec, first.now());
   first.RunUntil(absl::Milliseconds(200));
   REQUIRE(first.starts.size() == 1);
@@ -279,7 +280,7 @@
   SchedulerDriver second(2);
   second.TakeOver(first);
   second.AddWorker("w");
-  second.lists["w"];  // "x" answers nothing.
+  second.reports["w"];  // "x" answers nothing.
   second.RunUntil(absl::Seconds(6));
   CHECK(second.starts.empty());
   second.RunUntil(absl::Seconds(8));
@@ -291,12 +292,12 @@
 TEST_CASE(
     "job scheduler: a lasting task is on record before its order leaves") {
   SchedulerDriver site(1);
-  site.lists["x"];
+  site.reports["x"];
   site.AddWorker("x");
   site.RunUntil(absl::Milliseconds(100));
   site.hold_batches = true;
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   const int64_t accepted =
       site.scheduler().Submit(kJob, "restore", spec, site.now());
   const auto batch = site.scheduler().TakeBatch();
@@ -314,11 +315,11 @@
     "job scheduler: a lasting task that is cancelled before its order leaves "
     "is not started") {
   SchedulerDriver site(1);
-  site.lists["x"];
+  site.reports["x"];
   site.AddWorker("x");
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   const int64_t accepted =
       site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.hold_batches = true;
@@ -338,11 +339,11 @@
     "job scheduler: a lasting task whose worker is gone does not wait for "
     "another worker") {
   SchedulerDriver first(1);
-  for (const char* worker : {"w", "x"}) first.lists[worker];
+  for (const char* worker : {"w", "x"}) first.reports[worker];
   first.AddWorker("w");
   first.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   first.scheduler().Submit(kJob, "restore", spec, first.now());
   first.RunUntil(absl::Milliseconds(200));
   REQUIRE(first.start_workers == std::vector<std::string>{"w"});
@@ -351,10 +352,10 @@
 
   SchedulerDriver second(2);
   second.TakeOver(first);
-  second.other_lives.insert("w");  // "x" answers nothing.
+  second.other_incarnations.insert("w");  // "x" answers nothing.
   second.RunUntil(absl::Milliseconds(300));
   second.AddWorker("y");  // Room comes when "w" is forgotten.
-  second.lists["y"];
+  second.reports["y"];
   second.RunUntil(absl::Seconds(1));
   CHECK(second.start_workers == std::vector<std::string>{"y"});
 }
@@ -365,7 +366,7 @@
     "job scheduler: a worker is closed once all ends that it listed are kept") {
   SchedulerDriver site(1);
   site.AddWorker("x");
-  site.lists["x"];
+  site.reports["x"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps = {OneTask()};
@@ -380,13 +381,13 @@
   site.RunUntil(absl::Milliseconds(600));
   const auto batch = site.scheduler().TakeBatch();
   for (const Record& record : batch.records) {
-    const auto worker = KnownWorkerFrom(record);
-    CHECK_FALSE((worker && worker->closed));
+    const auto worker = ParseKnownWorker(record);
+    CHECK_FALSE((worker && worker->retired));
   }
   site.scheduler().OnDurable(batch.number);
   site.hold_batches = false;
   site.RunUntil(absl::Milliseconds(800));
-  CHECK(KnownWorkerFrom(site.kept.at(KnownWorkerKey("x")))->closed);
+  CHECK(ParseKnownWorker(site.stored_records.at(KnownWorkerKey("x")))->retired);
 }
 
 // The key of a worker that is gone stands first in its batch, which may be kept
@@ -396,7 +397,7 @@
     "listed are kept") {
   SchedulerDriver site(1);
   site.AddWorker("x");
-  site.lists["x"];
+  site.reports["x"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps = {OneTask()};
@@ -414,8 +415,8 @@
   site.scheduler().OnDurable(batch.number);
   site.hold_batches = false;
   site.RunUntil(absl::Milliseconds(800));
-  CHECK(site.forgotten == std::vector<std::string>{"x"});
-  CHECK(site.kept.count(KnownWorkerKey("x")) == 0);
+  CHECK(site.forgotten_workers == std::vector<std::string>{"x"});
+  CHECK(site.stored_records.count(KnownWorkerKey("x")) == 0);
 }
 
 // Its record may be anybody's: an address where nobody answers.
@@ -426,7 +427,7 @@
   site.Recover(OneTask());
   site.AddWorker("a");
   site.AddWorker("new");  // Answers nothing.
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Seconds(1));
   CHECK(site.start_workers == std::vector<std::string>{"a"});
 }
@@ -437,12 +438,12 @@
     "then") {
   SchedulerDriver site(1);
   for (const char* worker : {"a", "b"}) {
-    site.lists[worker];
+    site.reports[worker];
     site.AddWorker(worker);
   }
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   const int64_t accepted =
       site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.hold_batches = true;
@@ -465,11 +466,11 @@
     "job scheduler: placements tell nothing of a worker whose last leader kept "
     "none") {
   SchedulerDriver first(1);
-  first.lists["w"];
+  first.reports["w"];
   first.AddWorker("w");
   first.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   first.scheduler().Submit(kJob, "restore", spec, first.now());
   first.RunUntil(absl::Milliseconds(200));
   REQUIRE(first.start_workers == std::vector<std::string>{"w"});
@@ -477,12 +478,12 @@
   KnownWorker known;
   known.worker = SchedulerDriver::RecordOf("z", 8000);
   known.epoch = 2;
-  first.kept[KnownWorkerKey("z")] = KnownWorkerRecord(known);
+  first.stored_records[KnownWorkerKey("z")] = KnownWorkerRecord(known);
 
   SchedulerDriver third(3);
   third.TakeOver(first);
   third.AddWorker("w");
-  third.lists["w"];  // "z" answers nothing.
+  third.reports["w"];  // "z" answers nothing.
   third.RunUntil(absl::Seconds(6));
   CHECK(third.starts.empty());
   third.RunUntil(absl::Seconds(8));
@@ -495,11 +496,11 @@
     "job scheduler: a lasting task whose worker leaves before its order does "
     "starts elsewhere") {
   SchedulerDriver site(1);
-  site.lists["x"];
+  site.reports["x"];
   site.AddWorker("x");
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {LastingTask()};
+  spec.steps = {LongRunningTask()};
   const int64_t accepted =
       site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.hold_batches = true;
@@ -509,7 +510,7 @@
   WorkerRecord leaving = SchedulerDriver::RecordOf("x", 8000);
   leaving.draining = true;
   site.scheduler().OnWorkerRecord(leaving, site.now());
-  site.lists["y"];
+  site.reports["y"];
   site.AddWorker("y");
   site.RunUntil(absl::Milliseconds(3400));
   CHECK(site.starts.empty());
--- a/keelbridge/coordination/job_scheduler_runs.cc
+++ b/keelbridge/coordination/job_scheduler_runs.cc
@@ -11,8 +11,8 @@
 namespace {
 
 // A worker that fails this many first tries in a row gets nothing for a while.
-constexpr int kFailuresInRowToSuspect = 2;
-constexpr absl::Duration kSuspectAfterFailures = absl::Seconds(5);
+constexpr int kMaxConsecutiveFailures = 2;
+constexpr absl::Duration kSuspectDuration = absl::Seconds(5);
 
 }  // namespace
 
@@ -30,7 +30,7 @@
       if (worker != workers_.end() &&
           (index != end.task.index || one.run != end.run)) {
         // Another copy, or a member of the gang whose end will be listed too.
-        if (!spec.gang) WantStop(*worker->second, key);
+        if (!spec.gang) RequestStop(*worker->second, key);
       }
     }
     one.phase = TaskPhase::kDone;
@@ -69,43 +69,43 @@
   std::vector<int32_t>& failed = account.failed_runs;
   if (std::find(failed.begin(), failed.end(), end.run) != failed.end()) return;
   task->failed_on = worker.record.id;
-  if (!spec.lasting) failed.push_back(end.run);
+  if (!spec.long_running) failed.push_back(end.run);
   if (failed.size() <= 1 &&
-      ++worker.failures_in_row >= kFailuresInRowToSuspect) {
-    worker.suspect_until = now.mono + kSuspectAfterFailures;
-    Explain("worker_suspected",
-            {{"worker", worker.record.id},
-             {"failures_in_row", absl::StrCat(worker.failures_in_row)}},
-            Severity::kWarning);
+      ++worker.failures_in_row >= kMaxConsecutiveFailures) {
+    worker.suspect_until = now.mono + kSuspectDuration;
+    LogDecision("worker_suspected",
+                {{"worker", worker.record.id},
+                 {"failures_in_row", absl::StrCat(worker.failures_in_row)}},
+                Severity::kWarning);
   }
   const auto failures = static_cast<int32_t>(failed.size());
   MarkDirty(job);
-  if (spec.lasting || job.Ended()) return;
-  const Queue* queue = QueueOf(job);
-  if (queue == nullptr || failures < queue->most_attempts) return;
+  if (spec.long_running || job.Ended()) return;
+  const Queue* queue = FindQueue(job);
+  if (queue == nullptr || failures < queue->max_attempts) return;
   EndJob(job, JobState::kFailed,
          absl::StrCat("task ", TaskIdText(end.task), " failed ", failures,
                       " times, last on ", worker.record.id),
          now);
 }
 
-const Queue* JobScheduler::QueueOf(const Job& job) const {
+const Queue* JobScheduler::FindQueue(const Job& job) const {
   return configuration_ != nullptr ? configuration_->FindQueueByName(job.queue)
                                    : nullptr;
 }
 
-void JobScheduler::FailUsedUp(Now now) {
-  const auto used_up = [this](const Job& job) {
-    const Queue* queue = QueueOf(job);
+void JobScheduler::FailExhaustedJobs(Now now) {
+  const auto is_exhausted = [this](const Job& job) {
+    const Queue* queue = FindQueue(job);
     if (queue == nullptr) return false;
-    const auto most = static_cast<size_t>(queue->most_attempts);
+    const auto max_attempts = static_cast<size_t>(queue->max_attempts);
     for (const Round& round : job.rounds) {
       for (const StepState& step : round.steps) {
         for (const TaskState& task : step.tasks) {
           const bool open = task.phase != TaskPhase::kDone;
           // Tasks that last keep no failed runs: they have no limit.
           if (open && !task.failed_runs.empty() &&
-              task.failed_runs.size() >= most)
+              task.failed_runs.size() >= max_attempts)
             return true;
         }
       }
@@ -114,7 +114,7 @@
   };
   std::vector<Job*> failed;
   for (const auto& [id, job] : active_) {
-    if (used_up(*job)) failed.push_back(job);
+    if (is_exhausted(*job)) failed.push_back(job);
   }
   for (Job* job : failed) {
     EndJob(*job, JobState::kFailed,
@@ -123,25 +123,26 @@
   }
 }
 
-void JobScheduler::OnEnd(Worker& worker, const EndedTask& end, Now now) {
+void JobScheduler::OnRunEnded(Worker& worker, const EndedTask& end, Now now) {
   const RunKey key{end.task, end.run};
   const auto found = jobs_.find(end.task.job);
   Job* job = found != jobs_.end() ? found->second.get() : nullptr;
   TaskState* task = job != nullptr ? job->FindTask(end.task) : nullptr;
-  Explain("run_ended", {{"task", TaskIdText(end.task)},
-                        {"run", absl::StrCat(end.run)},
-                        {"worker", worker.record.id},
-                        {"how", RunEndName(end.end)}});
+  LogDecision("run_ended", {{"task", TaskIdText(end.task)},
+                            {"run", absl::StrCat(end.run)},
+                            {"worker", worker.record.id},
+                            {"how", RunEndName(end.end)}});
   const bool current = task != nullptr && task->run == end.run &&
                        task->worker == worker.record.id;
   if (task != nullptr && end.run > task->run) task->run = end.run;
-  if (task != nullptr) ForgetUnanswered(*job, *task, end.run);
+  if (task != nullptr) ClearUnansweredStart(*job, *task, end.run);
   if (job != nullptr) job->begun = true;
   if (end.end == RunEnd::kDone) {
     ++figures_.ends_done;
     worker.failures_in_row = 0;
     if (task != nullptr && task->phase != TaskPhase::kDone && !job->Ended()) {
-      if (current && task->seen) job->FindStep(end.task)->ended_here = true;
+      if (current && task->observed)
+        job->FindStep(end.task)->observed_before_end = true;
       OnTaskDone(*job, end, now);
     }
   } else if (end.end == RunEnd::kFailed) {
@@ -159,27 +160,27 @@
   Release(worker, key);
 }
 
-void JobScheduler::OnRunning(Worker& worker, const RunningTask& running,
-                             Now now) {
+void JobScheduler::OnRunReported(Worker& worker, const RunningTask& running,
+                                 Now now) {
   const RunKey key{running.task, running.run};
   const auto found = jobs_.find(running.task.job);
   Job* job = found != jobs_.end() ? found->second.get() : nullptr;
   TaskState* task = job != nullptr ? job->FindTask(running.task) : nullptr;
-  const auto occupant = worker.occupants.find(key);
-  if (occupant != worker.occupants.end()) {
-    Occupant& known = occupant->second;
+  const auto allocation = worker.allocations.find(key);
+  if (allocation != worker.allocations.end()) {
+    Allocation& known = allocation->second;
     if (known.percent != running.percent) {
       known.percent = running.percent;
       known.percent_changed = now.mono;
     }
     known.start_answered = std::min(known.start_answered, now.mono);
     known.uncertain = false;
-    known.listed = true;
+    known.reported = true;
     if (job != nullptr) job->begun = true;
     if (task != nullptr && task->run == running.run &&
         task->worker == worker.record.id) {
       if (!running.checkpoint.empty()) task->checkpoint = running.checkpoint;
-      ForgetUnanswered(*job, *task, running.run);
+      ClearUnansweredStart(*job, *task, running.run);
       const bool was_starting = task->phase == TaskPhase::kStarting ||
                                 task->phase == TaskPhase::kUncertain;
       if (was_starting) task->phase = TaskPhase::kRunning;
@@ -193,62 +194,62 @@
   const Resources need =
       described ? job->spec.steps[static_cast<size_t>(running.task.step)].need
                 : Resources();
-  Occupant& added = Occupy(worker, running.task, running.run, need, now);
+  Allocation& added = Allocate(worker, running.task, running.run, need, now);
   added.unknown_size = !described;
-  if (!described) ++worker.unknown_sizes;
+  if (!described) ++worker.runs_of_unknown_size;
   added.start_answered = now.mono;
   added.adopted = true;
-  added.listed = true;
+  added.reported = true;
   added.percent = running.percent;
   const bool wanted = task != nullptr && !job->Ended() &&
                       task->phase == TaskPhase::kWaiting &&
                       running.run >= task->run;
   if (wanted) {
-    ForgetUnanswered(*job, *task, running.run);
+    ClearUnansweredStart(*job, *task, running.run);
     task->phase = TaskPhase::kRunning;
     task->worker = worker.record.id;
     task->run = running.run;
-    task->seen = true;
+    task->observed = true;
     if (!running.checkpoint.empty()) task->checkpoint = running.checkpoint;
     job->begun = true;
-    NotePlacement(*job, running.task, worker.record.id);
+    RecordPlacement(*job, running.task, worker.record.id);
     StepState* step = job->FindStep(running.task);
     if (step->gang_started == absl::InfinitePast())
       step->gang_started = now.mono;
-    Explain("run_adopted", {{"task", TaskIdText(running.task)},
-                            {"run", absl::StrCat(running.run)},
-                            {"worker", worker.record.id}});
+    LogDecision("run_adopted", {{"task", TaskIdText(running.task)},
+                                {"run", absl::StrCat(running.run)},
+                                {"worker", worker.record.id}});
     return;
   }
-  added.foreign = true;
+  added.unwanted = true;
   MarkStopping(worker, added);
-  Attend(worker);
-  Explain("run_unwanted", {{"task", TaskIdText(running.task)},
-                           {"run", absl::StrCat(running.run)},
-                           {"worker", worker.record.id},
-                           {"job_known", job != nullptr ? "yes" : "no"}});
+  ScheduleCheck(worker);
+  LogDecision("run_unwanted", {{"task", TaskIdText(running.task)},
+                               {"run", absl::StrCat(running.run)},
+                               {"worker", worker.record.id},
+                               {"job_known", job != nullptr ? "yes" : "no"}});
 }
 
-void JobScheduler::OnMissing(Worker& worker, const ObserveReply& reply,
-                             absl::Time sent, Now now) {
-  std::set<RunKey> listed;
+void JobScheduler::GiveUpMissingRuns(Worker& worker, const ObserveReply& reply,
+                                     absl::Time sent, Now now) {
+  std::set<RunKey> reported;
   for (const RunningTask& running : reply.running)
-    listed.insert({running.task, running.run});
+    reported.insert({running.task, running.run});
   std::vector<RunKey> missing;
-  for (const auto& [key, occupant] : worker.occupants) {
-    if (listed.count(key) > 0) continue;
+  for (const auto& [key, allocation] : worker.allocations) {
+    if (reported.count(key) > 0) continue;
     // Only a listing asked for after the start was answered, or after a stop
     // that keeps it from starting late, tells that the run is not there.
-    const bool told =
-        occupant.start_answered < sent || occupant.stop_answered < sent;
+    const bool is_conclusive =
+        allocation.start_answered < sent || allocation.stop_answered < sent;
     // Its end may be among those that did not fit into the answer.
-    if (told && !reply.more_ends) missing.push_back(key);
+    if (is_conclusive && !reply.more_ends) missing.push_back(key);
   }
   for (const RunKey& key : missing) {
-    Explain("run_missing", {{"task", TaskIdText(key.first)},
-                            {"run", absl::StrCat(key.second)},
-                            {"worker", worker.record.id}});
-    GiveUpRun(worker, key, worker.occupants.at(key), now);
+    LogDecision("run_missing", {{"task", TaskIdText(key.first)},
+                                {"run", absl::StrCat(key.second)},
+                                {"worker", worker.record.id}});
+    AbandonRun(worker, key, worker.allocations.at(key), now);
     Release(worker, key);
   }
 }
--- a/keelbridge/coordination/job_scheduler_test.cc
+++ b/keelbridge/coordination/job_scheduler_test.cc
@@ -24,10 +24,10 @@
   site.AddWorker("a");
   site.AddWorker("b");
   // Worker b, heard first, tells of the second run; a of the first.
-  site.lists["b"].ended = {{1, kTask, 2, RunEnd::kFailed, ""}};
+  site.reports["b"].ended = {{1, kTask, 2, RunEnd::kFailed, ""}};
   site.RunUntil(absl::Milliseconds(100));
   CHECK(site.scheduler().Status(kJob) == JobState::kRunning);
-  site.lists["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
+  site.reports["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
   site.RunUntil(absl::Milliseconds(600));
   CHECK(site.scheduler().Status(kJob) == JobState::kFailed);
   CHECK(site.starts.empty());
@@ -37,12 +37,12 @@
   SchedulerDriver first(1);
   first.Recover(OneTask());
   first.AddWorker("a");
-  first.lists["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
+  first.reports["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
   JobRecords records;
   first.scheduler().Tick(first.now());
   for (const Action& action : first.scheduler().TakeActions()) {
     if (const auto* look = std::get_if<ObserveAction>(&action)) {
-      ObserveReply reply = first.lists["a"];
+      ObserveReply reply = first.reports["a"];
       reply.order.result = OrderResult::kDone;
       reply.order.clock_ms = 1000;
       first.scheduler().OnObserveReply(*look, reply, first.now().mono,
@@ -58,7 +58,7 @@
   SchedulerDriver second(2);
   second.scheduler().Load(records.Build(), {}, second.now());
   second.AddWorker("a");
-  second.lists["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
+  second.reports["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
   second.RunUntil(absl::Milliseconds(500));
   CHECK(second.scheduler().Status(kJob) == JobState::kRunning);
   REQUIRE(second.starts.size() == 1);
@@ -68,7 +68,7 @@
 TEST_CASE("job scheduler: a job starts only once its acceptance is durable") {
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(OneTask());
@@ -88,24 +88,24 @@
     "job scheduler: an ended job stays known when the time of day jumps") {
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   JobSpec spec;
   spec.steps.push_back(OneTask());
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Milliseconds(300));
   REQUIRE(site.starts.size() == 1);
-  site.lists["a"].running.clear();
-  site.lists["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
+  site.reports["a"].running.clear();
+  site.reports["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
   site.RunUntil(absl::Seconds(1));
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
-  site.time_of_day_is_ahead = absl::Minutes(10);
+  site.wall_clock_offset = absl::Minutes(10);
   site.RunUntil(absl::Seconds(4));
   // Handed in again, seconds after its acceptance: it is the same job.
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Seconds(5));
   CHECK(site.starts.size() == 1);
-  site.time_of_day_is_ahead = -absl::Minutes(10);
+  site.wall_clock_offset = -absl::Minutes(10);
   site.RunUntil(absl::Seconds(140));
   CHECK(!site.scheduler().Status(kJob));
 }
@@ -119,11 +119,11 @@
   JobRecords records;
   records.Add(ProgressRecord(ended));
   SchedulerDriver site(2);
-  site.time_of_day_is_ahead = absl::Minutes(10);
+  site.wall_clock_offset = absl::Minutes(10);
   site.scheduler().Load(records.Build(), {}, site.now());
   site.RunUntil(absl::Seconds(100));
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
-  site.time_of_day_is_ahead = -absl::Minutes(10);
+  site.wall_clock_offset = -absl::Minutes(10);
   site.RunUntil(absl::Seconds(150));
   CHECK(!site.scheduler().Status(kJob));
 }
@@ -156,7 +156,7 @@
     "the queue is back") {
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   auto without = std::make_shared<SiteConfiguration>();
   without->version = 2;
   auto with = std::make_shared<SiteConfiguration>();
@@ -180,7 +180,7 @@
 TEST_CASE("job scheduler: a suspended leader starts nothing") {
   SchedulerDriver site(1);
   site.AddWorker("a");
-  site.lists["a"];
+  site.reports["a"];
   site.scheduler().SetSuspended(true);
   JobSpec spec;
   spec.steps.push_back(OneTask());
@@ -226,11 +226,11 @@
   auto without = std::make_shared<SiteConfiguration>();
   without->version = 0;
   site.scheduler().SetConfiguration(without);
-  site.lists["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
-  site.lists["b"].ended = {{1, kTask, 2, RunEnd::kFailed, ""}};
+  site.reports["a"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
+  site.reports["b"].ended = {{1, kTask, 2, RunEnd::kFailed, ""}};
   site.RunUntil(absl::Milliseconds(200));
   CHECK(site.scheduler().Status(kJob) == JobState::kRunning);
-  site.UseQueue(/*most_attempts=*/2);
+  site.SetQueue(/*max_attempts=*/2);
   site.RunUntil(absl::Milliseconds(600));
   CHECK(site.starts.empty());
   CHECK(site.scheduler().Status(kJob) == JobState::kFailed);
--- a/keelbridge/coordination/job_scheduler_unanswered.cc
+++ b/keelbridge/coordination/job_scheduler_unanswered.cc
@@ -23,36 +23,38 @@
 namespace {
 
 // Restarts come in series, with pauses in between.
-constexpr absl::Duration kRestartsRemembered = absl::Minutes(10);
+constexpr absl::Duration kRestartMemory = absl::Minutes(10);
 
 }  // namespace
 
-void JobScheduler::NoteRestart(Worker& next, Now now) {
-  restart_seen_ = now.mono;
+void JobScheduler::RecordRestart(Worker& next, Now now) {
+  last_restart_seen_ = now.mono;
   if (std::exchange(next.restarted, true)) return;
-  untold_workers_.insert(next.record.id);
+  unpersisted_workers_.insert(next.record.id);
 }
 
-bool JobScheduler::WorkersRestart(Now now) const {
-  return now.mono - restart_seen_ <= kRestartsRemembered;
+bool JobScheduler::WorkersRestartedRecently(Now now) const {
+  return now.mono - last_restart_seen_ <= kRestartMemory;
 }
 
-bool JobScheduler::IsUnanswered(const Occupant& run, Now now) {
-  return run.ordered > absl::InfinitePast() && !run.listed &&
+bool JobScheduler::IsStartUnanswered(const Allocation& run, Now now) {
+  return run.ordered > absl::InfinitePast() && !run.reported &&
          run.start_answered > now.mono;
 }
 
-void JobScheduler::GiveUpRun(const Worker& worker, const RunKey& key,
-                             const Occupant& run, Now now) {
-  if (IsUnanswered(run, now)) ++figures_.starts_unanswered;
-  NoteUnansweredStart(worker, key, run, now);
+void JobScheduler::AbandonRun(const Worker& worker, const RunKey& key,
+                              const Allocation& run, Now now) {
+  if (IsStartUnanswered(run, now)) ++figures_.starts_unanswered;
+  RecordUnansweredStart(worker, key, run, now);
   Requeue(key.first, key.second, worker.record.id, now.mono);
 }
 
-void JobScheduler::NoteUnansweredStart(const Worker& worker, const RunKey& key,
-                                       const Occupant& run, Now now) {
-  const absl::Time until = run.ordered + options_.longest_order_delay;
-  if (!IsUnanswered(run, now) || !WorkersRestart(now) || until <= now.mono)
+void JobScheduler::RecordUnansweredStart(const Worker& worker,
+                                         const RunKey& key,
+                                         const Allocation& run, Now now) {
+  const absl::Time may_arrive_until = run.ordered + options_.max_order_delay;
+  if (!IsStartUnanswered(run, now) || !WorkersRestartedRecently(now) ||
+      may_arrive_until <= now.mono)
     return;
   const auto job = jobs_.find(key.first.job);
   if (job == jobs_.end() || job->second->Ended()) return;
@@ -62,41 +64,43 @@
       job->second->spec.steps[step].duplicates)
     return;
   if (task->unanswered.run == key.second) return;
-  const std::string name = ParseWorkerLife(worker.record.id).name;
-  task->unanswered = {name, key.second, until};
+  const std::string name = ParseWorkerIncarnation(worker.record.id).name;
+  task->unanswered = {name, key.second, may_arrive_until};
   MarkDirty(*job->second);
-  Explain("start_unanswered",
-          {{"task", TaskIdText(key.first)},
-           {"run", absl::StrCat(key.second)},
-           {"worker", worker.record.id},
-           {"may_come_for_ms",
-            absl::StrCat(absl::ToInt64Milliseconds(until - now.mono))}});
+  LogDecision(
+      "start_unanswered",
+      {{"task", TaskIdText(key.first)},
+       {"run", absl::StrCat(key.second)},
+       {"worker", worker.record.id},
+       {"may_come_for_ms",
+        absl::StrCat(absl::ToInt64Milliseconds(may_arrive_until - now.mono))}});
 }
 
-void JobScheduler::ForgetUnanswered(Job& job, TaskState& task, int32_t run) {
+void JobScheduler::ClearUnansweredStart(Job& job, TaskState& task,
+                                        int32_t run) {
   if (task.unanswered.worker.empty() || task.unanswered.run != run) return;
   task.unanswered = UnansweredStart();
   MarkDirty(job);
 }
 
-bool JobScheduler::WaitsForUnanswered(const TaskState& task, Now now) const {
+bool JobScheduler::WaitsForUnansweredStart(const TaskState& task,
+                                           Now now) const {
   const UnansweredStart& start = task.unanswered;
   if (start.worker.empty()) return false;
   const int64_t epoch = EpochOfRun(start.run);
-  const absl::Time until = epoch == epoch_ ? start.until
-                                           : EarlierOrdersUntil(epoch) +
-                                                 options_.longest_order_delay;
-  return now.mono < until;
+  const absl::Time may_arrive_until =
+      epoch == epoch_ ? start.may_arrive_until
+                      : LatestEarlierOrder(epoch) + options_.max_order_delay;
+  return now.mono < may_arrive_until;
 }
 
 // Only a task that lasts: another could be done, and the order still be out.
-JobScheduler::Worker* JobScheduler::WorkerOfUnanswered(const ReadyStep& ready,
-                                                       const TaskState& task,
-                                                       Now now) {
-  if (!ready.spec->lasting || ready.spec->gang) return nullptr;
-  for (Worker* worker : LivesOf(task.unanswered.worker)) {
+JobScheduler::Worker* JobScheduler::WorkerOfUnansweredStart(
+    const ReadyStep& ready, const TaskState& task, Now now) {
+  if (!ready.spec->long_running || ready.spec->gang) return nullptr;
+  for (Worker* worker : IncarnationsOf(task.unanswered.worker)) {
     if (MayRun(*worker, ready, now) && HasTicket(*worker, ready, now) &&
-        Fits(*worker, ready, RoomOn(*worker)) > 0)
+        CountFittingTasks(*worker, ready, UnreservedCapacity(*worker)) > 0)
       return worker;
   }
   return nullptr;
--- a/keelbridge/coordination/job_scheduler_unanswered_test.cc
+++ b/keelbridge/coordination/job_scheduler_unanswered_test.cc
@@ -9,34 +9,35 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr absl::Duration kMayComeFor = absl::Seconds(12);
-constexpr absl::Duration kSubmitted = absl::Milliseconds(500);
+constexpr absl::Duration kMaxOrderDelay = absl::Seconds(12);
+constexpr absl::Duration kSubmittedAt = absl::Milliseconds(500);
 
 // Workers "a" and "b", of which "a" loses the start of the one task.
 // `restarts`: "c" was seen to start again under its name before.
-class UnansweredSite {
+class UnansweredStartFixture {
  public:
-  UnansweredSite(SchedulerDriver& site, const StepSpec& step, bool restarts)
+  UnansweredStartFixture(SchedulerDriver& site, const StepSpec& step,
+                         bool restarts)
       : site_(site) {
     if (restarts) {
       site.AddWorker("c@1000", 100);
       site.AddWorker("c@2000", 100);
     }
     site.AddWorker("a@1000", 4000);
-    site.lists["a@1000"];
-    site.loses_starts.insert("a@1000");
-    site.RunUntil(kSubmitted);
+    site.reports["a@1000"];
+    site.drops_starts.insert("a@1000");
+    site.RunUntil(kSubmittedAt);
     JobSpec spec;
     spec.steps = {step};
     site.scheduler().Submit(kJob, "restore", spec, site.now());
-    site.RunUntil(kSubmitted + absl::Milliseconds(100));
+    site.RunUntil(kSubmittedAt + absl::Milliseconds(100));
     REQUIRE(site.lost_starts.size() == 1);
     site.AddWorker("b@1000");
-    site.lists["b@1000"];
+    site.reports["b@1000"];
   }
 
   // The worker takes starts again.
-  void Heal() { site_.loses_starts.clear(); }
+  void AcceptStarts() { site_.drops_starts.clear(); }
 
  private:
   SchedulerDriver& site_;
@@ -46,10 +47,10 @@
     "job scheduler: a start without an answer keeps its task off other workers "
     "where workers restart") {
   SchedulerDriver site(1);
-  UnansweredSite workers(site, OneTask(), /*restarts=*/true);
-  site.RunUntil(kSubmitted + kMayComeFor - absl::Milliseconds(100));
+  UnansweredStartFixture workers(site, OneTask(), /*restarts=*/true);
+  site.RunUntil(kSubmittedAt + kMaxOrderDelay - absl::Milliseconds(100));
   CHECK(site.starts.empty());
-  site.RunUntil(kSubmitted + kMayComeFor + absl::Seconds(1));
+  site.RunUntil(kSubmittedAt + kMaxOrderDelay + absl::Seconds(1));
   CHECK(site.starts.size() + site.lost_starts.size() > 1);
 }
 
@@ -57,9 +58,9 @@
     "job scheduler: a start without an answer delays nothing where no worker "
     "restarts") {
   SchedulerDriver site(1);
-  UnansweredSite workers(site, OneTask(), /*restarts=*/false);
-  workers.Heal();
-  site.RunUntil(kSubmitted + absl::Seconds(1));
+  UnansweredStartFixture workers(site, OneTask(), /*restarts=*/false);
+  workers.AcceptStarts();
+  site.RunUntil(kSubmittedAt + absl::Seconds(1));
   CHECK(site.starts.size() == 1);
 }
 
@@ -69,9 +70,9 @@
     "job scheduler: a lasting task whose start had no answer starts again on "
     "the same worker") {
   SchedulerDriver site(1);
-  UnansweredSite workers(site, LastingTask(), /*restarts=*/true);
-  workers.Heal();
-  site.RunUntil(kSubmitted + absl::Seconds(2));
+  UnansweredStartFixture workers(site, LongRunningTask(), /*restarts=*/true);
+  workers.AcceptStarts();
+  site.RunUntil(kSubmittedAt + absl::Seconds(2));
   REQUIRE(site.starts.size() == 1);
   CHECK(site.start_workers[0] == "a@1000");
   CHECK(site.starts[0].run > site.lost_starts[0].run);
@@ -81,17 +82,17 @@
     "job scheduler: a later leader waits for an earlier one's start without an "
     "answer") {
   SchedulerDriver first(1);
-  UnansweredSite workers(first, OneTask(), /*restarts=*/true);
+  UnansweredStartFixture workers(first, OneTask(), /*restarts=*/true);
   SchedulerDriver second(2);
   second.TakeOver(first);
   for (const char* worker : {"a@1000", "b@1000"}) {
     second.AddWorker(worker);
-    second.lists[worker];
+    second.reports[worker];
   }
-  second.lists["c@2000"];
-  second.RunUntil(kMayComeFor - absl::Seconds(1));
+  second.reports["c@2000"];
+  second.RunUntil(kMaxOrderDelay - absl::Seconds(1));
   CHECK(second.starts.empty());
-  second.RunUntil(kMayComeFor + absl::Seconds(8));
+  second.RunUntil(kMaxOrderDelay + absl::Seconds(8));
   CHECK(second.starts.size() == 1);
 }
 
--- a/keelbridge/coordination/job_scheduler_waiting_test.cc
+++ b/keelbridge/coordination/job_scheduler_waiting_test.cc
@@ -13,7 +13,7 @@
 std::map<std::string, std::string> LastLine(const SchedulerDriver& site,
                                             const std::string& event) {
   std::map<std::string, std::string> fields;
-  for (const ExplainAction& line : site.lines) {
+  for (const LogAction& line : site.log_lines) {
     if (line.event != event) continue;
     fields.clear();
     for (const auto& [key, value] : line.fields)
@@ -28,7 +28,7 @@
   site.UseAdvice();
   for (const char* worker : {"a", "b"}) {
     site.AddWorker(worker, 8000);
-    site.lists[worker];
+    site.reports[worker];
   }
   site.good = {"a"};
   site.RunUntil(absl::Milliseconds(100));
