--- a/keelbridge/coordination/job_scheduler_workers.cc
+++ b/keelbridge/coordination/job_scheduler_workers.cc
@@ -13,48 +13,48 @@
 namespace {
 
 // Between two looks at all workers, for what falls due by time alone.
-constexpr absl::Duration kSweepEvery = absl::Milliseconds(50);
-constexpr absl::Duration kObserveRetry = absl::Milliseconds(300);
-constexpr absl::Duration kStopRetry = absl::Milliseconds(400);
+constexpr absl::Duration kSweepPeriod = absl::Milliseconds(50);
+constexpr absl::Duration kObserveRetryDelay = absl::Milliseconds(300);
+constexpr absl::Duration kStopRetryDelay = absl::Milliseconds(400);
 // The same for both where answers get lost: what was lost is asked again.
-constexpr absl::Duration kLossyRetry = absl::Milliseconds(30);
+constexpr absl::Duration kLossyRetryDelay = absl::Milliseconds(30);
 // How long the answer to a look waits for an end where answers get lost: a lost
 // one leaves the worker's ends unheard for that long.
 constexpr absl::Duration kLossyObserveWait = absl::Milliseconds(150);
 // An unanswered order was lost if the worker answers another this soon after.
-constexpr absl::Duration kLossSettled = absl::Seconds(1);
+constexpr absl::Duration kLostAnswerWindow = absl::Seconds(1);
 // Looks at one worker that may be under way at a time.
-constexpr int kMostLooks = 3;
+constexpr int kMaxObservationsInFlight = 3;
 // A task of at most this estimate is checked on once its end is overdue, after
 // so many times the estimate, and again after each pause.
-constexpr int64_t kCheckedEstimateMs = 2000;
+constexpr int64_t kMaxCheckedEstimateMs = 2000;
 constexpr double kOverdueFactor = 1.3;
-constexpr absl::Duration kCheckAgain = absl::Milliseconds(250);
+constexpr absl::Duration kOverdueCheckPeriod = absl::Milliseconds(250);
 // How long after a start without an answer a listing may still explain it.
-constexpr absl::Duration kUncertainPatience = absl::Milliseconds(300);
+constexpr absl::Duration kUncertainTimeout = absl::Milliseconds(300);
 constexpr absl::Duration kRetryAfterRefusal = absl::Milliseconds(100);
 constexpr absl::Duration kSuspectAfterRefusal = absl::Seconds(2);
 // A worker that answered nothing for this long gets no new work.
-constexpr absl::Duration kSilentAfter = absl::Milliseconds(2500);
+constexpr absl::Duration kUnresponsiveAfter = absl::Milliseconds(2500);
 // Runs of one leader's epoch are numbered from here on, so that a later leader
 // never gives a number again.
-constexpr int32_t kRunsInEpoch = 1000;
+constexpr int32_t kRunsPerEpoch = 1000;
 
 }  // namespace
 
 void JobScheduler::OnWorkerRecord(const WorkerRecord& record, Now now) {
-  const std::string name = ParseWorkerLife(record.id).name;
-  const auto unborn = workers_.find(name);
-  if (unborn != workers_.end() && workers_.count(record.id) == 0)
-    NameLife(*unborn->second, record.id);
+  const std::string name = ParseWorkerIncarnation(record.id).name;
+  const auto known_by_name = workers_.find(name);
+  if (known_by_name != workers_.end() && workers_.count(record.id) == 0)
+    SetIncarnationId(*known_by_name->second, record.id);
   auto& slot = workers_[record.id];
-  const bool fresh = slot == nullptr;
-  if (fresh) {
+  const bool is_new = slot == nullptr;
+  if (is_new) {
     slot = std::make_unique<Worker>();
     slot->free = record.capacity;
     slot->record = record;
     slot->fence = NextFence(name);
-    TellOf(*slot);
+    PersistWorker(*slot);
     // A machine runs one life at a time, but records do not tell which: that
     // of a life that is over may linger. The machine's answer tells.
     for (auto& [id, other] : workers_) {
@@ -62,52 +62,52 @@
           other->record.machine != record.machine)
         continue;
       other->next_observe = now.mono;
-      Attend(*other);
+      ScheduleCheck(*other);
     }
     // The platform lists one life of a worker, and that is not these.
-    for (Worker* other : LivesOf(name)) {
+    for (Worker* other : IncarnationsOf(name)) {
       if (other == slot.get()) continue;
       other->record_removed = true;
       other->next_observe = now.mono;
-      Attend(*other);
-      NoteRestart(*slot, now);
+      ScheduleCheck(*other);
+      RecordRestart(*slot, now);
     }
-    Explain("worker_found", {{"worker", record.id},
-                             {"machine", record.machine},
-                             {"zone", record.zone}});
+    LogDecision("worker_found", {{"worker", record.id},
+                                 {"machine", record.machine},
+                                 {"zone", record.zone}});
   }
   Worker& worker = *slot;
-  if (!fresh && record.draining && !worker.record.draining) {
-    Explain("worker_draining",
-            {{"worker", record.id},
-             {"leaves_in_ms", absl::StrCat(record.leaves_in_ms)}});
+  if (!is_new && record.draining && !worker.record.draining) {
+    LogDecision("worker_draining",
+                {{"worker", record.id},
+                 {"leaves_in_ms", absl::StrCat(record.leaves_in_ms)}});
   }
-  if (!fresh && record.capacity != worker.record.capacity) {
-    Explain(
+  if (!is_new && record.capacity != worker.record.capacity) {
+    LogDecision(
         "worker_capacity",
         {{"worker", record.id},
          {"cpu_milli_before", absl::StrCat(worker.record.capacity.cpu_milli)},
          {"cpu_milli", absl::StrCat(record.capacity.cpu_milli)},
          {"memory_mib", absl::StrCat(record.capacity.memory_mib)},
          {"accelerators", absl::StrCat(record.capacity.accelerators)},
-         {"runs", absl::StrCat(worker.occupants.size())}});
+         {"runs", absl::StrCat(worker.allocations.size())}});
   }
-  const bool closes = worker.closed || !worker.last_tasks.empty();
-  if (closes && !record.draining) TellOf(worker);
+  const bool recorded_as_leaving = worker.retired || !worker.last_tasks.empty();
+  if (recorded_as_leaving && !record.draining) PersistWorker(worker);
   const Resources used = worker.record.capacity - worker.free;
-  if (!fresh) worker.free = record.capacity - used;
+  if (!is_new) worker.free = record.capacity - used;
   worker.record = record;
   worker.record_removed = false;
-  if (fresh) Attend(worker);
+  if (is_new) ScheduleCheck(worker);
   placement_wanted_ = true;
 }
 
-void JobScheduler::TellOf(Worker& worker) {
-  worker.leased_by = epoch_;
-  worker.closed = false;
+void JobScheduler::PersistWorker(Worker& worker) {
+  worker.leased_by_epoch = epoch_;
+  worker.retired = false;
   worker.last_tasks.clear();
   worker.known_at_batch = next_batch_;
-  untold_workers_.insert(worker.record.id);
+  unpersisted_workers_.insert(worker.record.id);
 }
 
 // A worker that has left does not answer the next leader, which then held back
@@ -115,47 +115,48 @@
 // of 10 s, though nothing had run there for seconds. Not before its ends are
 // kept: a batch may be kept in part, its workers first, and a leader that did
 // not wait would start again what only this worker knows to be done.
-void JobScheduler::CloseLeaving(Worker& worker) {
-  if (worker.closed || !worker.record.draining || !worker.listed ||
-      !worker.unnoted.empty())
+void JobScheduler::RetireDrainingWorker(Worker& worker) {
+  if (worker.retired || !worker.record.draining || !worker.reported ||
+      !worker.unacknowledged_ends.empty())
     return;
   std::vector<TaskId> tasks;
-  for (const auto& [key, occupant] : worker.occupants) {
+  for (const auto& [key, allocation] : worker.allocations) {
     if (tasks.empty() || tasks.back() != key.first) tasks.push_back(key.first);
   }
   // What was told names all that is left: it need not be told again.
-  const bool told =
+  const bool already_recorded =
       std::includes(worker.last_tasks.begin(), worker.last_tasks.end(),
                     tasks.begin(), tasks.end());
-  if (told && !tasks.empty()) return;
-  worker.closed = tasks.empty();
+  if (already_recorded && !tasks.empty()) return;
+  worker.retired = tasks.empty();
   worker.last_tasks = std::move(tasks);
-  untold_workers_.insert(worker.record.id);
-  Explain("worker_closed",
-          {{"worker", worker.record.id},
-           {"tasks_left", absl::StrCat(worker.last_tasks.size())}});
+  unpersisted_workers_.insert(worker.record.id);
+  LogDecision("worker_closed",
+              {{"worker", worker.record.id},
+               {"tasks_left", absl::StrCat(worker.last_tasks.size())}});
 }
 
 void JobScheduler::OnWorkerRemoved(const std::string& name) {
-  for (Worker* worker : LivesOf(name)) {
+  for (Worker* worker : IncarnationsOf(name)) {
     if (std::exchange(worker->record_removed, true)) continue;
-    Explain("worker_record_removed",
-            {{"worker", worker->record.id},
-             {"runs", absl::StrCat(worker->occupants.size())}});
+    LogDecision("worker_record_removed",
+                {{"worker", worker->record.id},
+                 {"runs", absl::StrCat(worker->allocations.size())}});
   }
 }
 
-void JobScheduler::TakeClock(Worker& worker, int64_t clock_ms, absl::Time at) {
+void JobScheduler::UpdateClock(Worker& worker, int64_t clock_ms,
+                               absl::Time at) {
   if (clock_ms < 0) return;
   // Answers on different connections may overtake each other.
   if (worker.clock_ms >= 0 && clock_ms < worker.clock_ms) return;
   // From its first answer on this leader may extend its lease.
-  if (worker.leased_by != epoch_) TellOf(worker);
+  if (worker.leased_by_epoch != epoch_) PersistWorker(worker);
   worker.clock_ms = clock_ms;
   worker.clock_at = at;
 }
 
-int64_t JobScheduler::LeaseUntil(Worker& worker, absl::Time now) {
+int64_t JobScheduler::GrantLease(Worker& worker, absl::Time now) {
   if (worker.clock_ms < 0) return 0;
   const int64_t since = absl::ToInt64Milliseconds(now - worker.clock_at);
   const int64_t lease = absl::ToInt64Milliseconds(options_.lease);
@@ -163,34 +164,37 @@
   const absl::Duration longest =
       absl::Milliseconds(static_cast<double>(since + lease) /
                          (1.0 - options_.clock_error)) +
-      kLapseMargin;
-  worker.lapse_at = std::max(worker.lapse_at, worker.clock_at + longest);
+      kLeaseExpiryMargin;
+  worker.lease_expires_at =
+      std::max(worker.lease_expires_at, worker.clock_at + longest);
   return until;
 }
 
-JobScheduler::Occupant& JobScheduler::Occupy(Worker& worker, const TaskId& task,
-                                             int32_t run, const Resources& need,
-                                             Now now) {
-  const auto [it, inserted] = worker.occupants.try_emplace({task, run});
+JobScheduler::Allocation& JobScheduler::Allocate(Worker& worker,
+                                                 const TaskId& task,
+                                                 int32_t run,
+                                                 const Resources& need,
+                                                 Now now) {
+  const auto [it, inserted] = worker.allocations.try_emplace({task, run});
   if (inserted) {
     it->second.need = need;
     it->second.placed = now.mono;
     it->second.percent_changed = now.mono;
-    it->second.check_at = CheckTime(task, now.mono);
+    it->second.check_at = OverdueCheckTime(task, now.mono);
     worker.next_check = std::min(worker.next_check, it->second.check_at);
-    NoteYield(it->second, task, now);
+    UpdatePreemptibility(it->second, task, now);
     worker.free -= need;
   }
   return it->second;
 }
 
 void JobScheduler::Release(Worker& worker, const RunKey& key) {
-  const auto it = worker.occupants.find(key);
-  if (it == worker.occupants.end()) return;
+  const auto it = worker.allocations.find(key);
+  if (it == worker.allocations.end()) return;
   worker.free += it->second.need;
-  if (it->second.stop_wanted) worker.stopping -= it->second.need;
-  if (it->second.unknown_size) --worker.unknown_sizes;
-  worker.occupants.erase(it);
+  if (it->second.should_stop) worker.stopping -= it->second.need;
+  if (it->second.unknown_size) --worker.runs_of_unknown_size;
+  worker.allocations.erase(it);
   placement_wanted_ = true;
 }
 
@@ -206,7 +210,7 @@
   task->retry_at = retry_at;
   if (!task->exposed.worker.empty()) MarkDirty(*job->second);
   task->exposed = ExposedRun();
-  NotePlacement(*job->second, task_id, "");
+  RecordPlacement(*job->second, task_id, "");
   placement_wanted_ = true;
 }
 
@@ -215,18 +219,18 @@
   const auto found = workers_.find(action.worker.id);
   if (found == workers_.end()) return;
   Worker& worker = *found->second;
-  TakeClock(worker, reply.clock_ms, now.mono);
+  UpdateClock(worker, reply.clock_ms, now.mono);
   const RunKey key{action.order.task, action.order.run};
-  const auto occupant = worker.occupants.find(key);
+  const auto allocation = worker.allocations.find(key);
   if (reply.result != OrderResult::kDone) {
     ++figures_.starts_refused;
-    Explain("start_not_done", {{"task", TaskIdText(key.first)},
-                               {"run", absl::StrCat(key.second)},
-                               {"worker", action.worker.id},
-                               {"result", OrderResultName(reply.result)},
-                               {"detail", reply.message}});
+    LogDecision("start_not_done", {{"task", TaskIdText(key.first)},
+                                   {"run", absl::StrCat(key.second)},
+                                   {"worker", action.worker.id},
+                                   {"result", OrderResultName(reply.result)},
+                                   {"detail", reply.message}});
   }
-  if (occupant == worker.occupants.end()) return;
+  if (allocation == worker.allocations.end()) return;
   Job* job =
       jobs_.count(key.first.job) > 0 ? jobs_[key.first.job].get() : nullptr;
   TaskState* task = job != nullptr ? job->FindTask(key.first) : nullptr;
@@ -234,28 +238,29 @@
                        task->worker == action.worker.id;
   switch (reply.result) {
     case OrderResult::kDone:
-      answer_times_.OnAnswer(now.mono - occupant->second.placed);
-      NoteAnswered(worker, now);
-      occupant->second.start_answered = now.mono;
+      answer_times_.OnAnswer(now.mono - allocation->second.placed);
+      RecordAnswered(worker, now);
+      allocation->second.start_answered = now.mono;
       worker.last_answer = now.mono;
       if (current && task->phase == TaskPhase::kStarting)
         task->phase = TaskPhase::kRunning;
       if (job != nullptr) job->begun = true;
       return;
     case OrderResult::kUnknown:
-      NoteUnanswered(worker, now);
-      if (occupant->second.start_answered <= now.mono) return;  // It was seen.
-      occupant->second.uncertain = true;
-      occupant->second.uncertain_since = now.mono;
-      worker.unsettled = true;
+      RecordUnanswered(worker, now);
+      if (allocation->second.start_answered <= now.mono)
+        return;  // It was seen.
+      allocation->second.uncertain = true;
+      allocation->second.uncertain_since = now.mono;
+      worker.unresolved = true;
       if (current) task->phase = TaskPhase::kUncertain;
-      NoteUnansweredStart(worker, key, occupant->second, now);
+      RecordUnansweredStart(worker, key, allocation->second, now);
       worker.next_observe = now.mono;
-      worker.look_wanted = options_.policy.settle_soon;
-      Attend(worker);
+      worker.observe_now = options_.policy.settle_soon;
+      ScheduleCheck(worker);
       return;
-    case OrderResult::kOtherLife:
-      return OnOtherLife(worker, reply.life, now);
+    case OrderResult::kOtherIncarnation:
+      return OnOtherIncarnation(worker, reply.incarnation, now);
     case OrderResult::kFenced:
       HasSeenOwnFence(worker, action.order.fence, now);
       break;
@@ -269,7 +274,7 @@
       if (StepState* step = job != nullptr ? job->FindStep(key.first) : nullptr)
         step->advice.tickets.erase(action.worker.id);
       break;
-    case OrderResult::kNoRoom:
+    case OrderResult::kNoCapacity:
       worker.suspect_until = now.mono + kRetryAfterRefusal;
       break;
     default:
@@ -283,18 +288,18 @@
               : now.mono + kRetryAfterRefusal);
 }
 
-void JobScheduler::MarkStopping(Worker& worker, Occupant& occupant) {
-  if (occupant.stop_wanted) return;
-  occupant.stop_wanted = true;
-  worker.unsettled = true;
-  worker.stopping += occupant.need;
+void JobScheduler::MarkStopping(Worker& worker, Allocation& allocation) {
+  if (allocation.should_stop) return;
+  allocation.should_stop = true;
+  worker.unresolved = true;
+  worker.stopping += allocation.need;
 }
 
-void JobScheduler::WantStop(Worker& worker, const RunKey& key) {
-  const auto it = worker.occupants.find(key);
-  if (it == worker.occupants.end()) return;
+void JobScheduler::RequestStop(Worker& worker, const RunKey& key) {
+  const auto it = worker.allocations.find(key);
+  if (it == worker.allocations.end()) return;
   MarkStopping(worker, it->second);
-  Attend(worker);
+  ScheduleCheck(worker);
   const auto job = jobs_.find(key.first.job);
   if (job == jobs_.end()) return;
   TaskState* task = job->second->FindTask(key.first);
@@ -305,32 +310,35 @@
 }
 
 void JobScheduler::SendStops(Worker& worker, Now now) {
-  if (!std::exchange(worker.unsettled, false)) return;
-  const absl::Duration retry =
-      answer_times_.AnswersGetLost(now.mono) ? kLossyRetry : kStopRetry;
-  for (auto& [key, occupant] : worker.occupants) {
-    worker.unsettled =
-        worker.unsettled || occupant.uncertain || occupant.stop_wanted;
-    const bool unsettled = occupant.uncertain && !occupant.stop_wanted;
+  if (!std::exchange(worker.unresolved, false)) return;
+  const absl::Duration retry = answer_times_.AnswersAreLossy(now.mono)
+                                   ? kLossyRetryDelay
+                                   : kStopRetryDelay;
+  for (auto& [key, allocation] : worker.allocations) {
+    worker.unresolved =
+        worker.unresolved || allocation.uncertain || allocation.should_stop;
+    const bool unresolved = allocation.uncertain && !allocation.should_stop;
     // A listing from after it was given up does not show it: it may still come.
-    const bool not_listed = options_.policy.settle_soon &&
-                            worker.listing_sent >= occupant.uncertain_since;
+    const bool not_reported =
+        options_.policy.settle_soon &&
+        worker.report_requested_at >= allocation.uncertain_since;
     const bool overdue =
-        now.mono - occupant.placed > kUncertainPatience &&
-        worker.last_answer > occupant.placed + kUncertainPatience;
-    if (unsettled && (not_listed || overdue)) MarkStopping(worker, occupant);
-    const bool due = occupant.stop_wanted && !occupant.stop_in_flight &&
-                     now.mono - occupant.stop_sent > retry;
+        now.mono - allocation.placed > kUncertainTimeout &&
+        worker.last_answer > allocation.placed + kUncertainTimeout;
+    if (unresolved && (not_reported || overdue))
+      MarkStopping(worker, allocation);
+    const bool due = allocation.should_stop && !allocation.stop_in_flight &&
+                     now.mono - allocation.stop_sent > retry;
     if (!due) continue;
-    occupant.stop_sent = now.mono;
-    occupant.stop_in_flight = true;
+    allocation.stop_sent = now.mono;
+    allocation.stop_in_flight = true;
     StopAction action{worker.record, {key.first, key.second, worker.fence}};
     if (options_.policy.settle_soon)
-      action.order.timeout = answer_times_.Patience();
+      action.order.timeout = answer_times_.AnswerTimeout();
     actions_.push_back(std::move(action));
-    Explain("stop_sent", {{"task", TaskIdText(key.first)},
-                          {"run", absl::StrCat(key.second)},
-                          {"worker", worker.record.id}});
+    LogDecision("stop_sent", {{"task", TaskIdText(key.first)},
+                              {"run", absl::StrCat(key.second)},
+                              {"worker", worker.record.id}});
   }
 }
 
@@ -339,22 +347,23 @@
   const auto found = workers_.find(action.worker.id);
   if (found == workers_.end()) return;
   Worker& worker = *found->second;
-  TakeClock(worker, reply.clock_ms, now.mono);
+  UpdateClock(worker, reply.clock_ms, now.mono);
   if (reply.result == OrderResult::kFenced)
     HasSeenOwnFence(worker, action.order.fence, now);
-  if (reply.result == OrderResult::kOtherLife)
-    return OnOtherLife(worker, reply.life, now);
-  const auto it = worker.occupants.find({action.order.task, action.order.run});
-  if (it == worker.occupants.end()) return;
+  if (reply.result == OrderResult::kOtherIncarnation)
+    return OnOtherIncarnation(worker, reply.incarnation, now);
+  const auto it =
+      worker.allocations.find({action.order.task, action.order.run});
+  if (it == worker.allocations.end()) return;
   it->second.stop_in_flight = false;
-  if (reply.result == OrderResult::kUnknown) NoteUnanswered(worker, now);
+  if (reply.result == OrderResult::kUnknown) RecordUnanswered(worker, now);
   if (reply.result == OrderResult::kDone) {
     it->second.stop_answered = std::min(it->second.stop_answered, now.mono);
-    NoteAnswered(worker, now);
+    RecordAnswered(worker, now);
     worker.next_observe = now.mono;
     // A run that is there ends soon, and a look that waits hears of that.
-    worker.look_wanted = options_.policy.settle_soon && it->second.uncertain;
-    Attend(worker);
+    worker.observe_now = options_.policy.settle_soon && it->second.uncertain;
+    ScheduleCheck(worker);
   }
 }
 
@@ -364,139 +373,145 @@
   const auto found = workers_.find(action.worker.id);
   if (found == workers_.end()) return;
   Worker& worker = *found->second;
-  --worker.looks_open;
-  if (reply.order.result == OrderResult::kOtherLife) {
-    OnOtherLife(worker, reply.order.life, now);
-    worker.next_observe = now.mono + kObserveRetry;
+  --worker.observations_in_flight;
+  if (reply.order.result == OrderResult::kOtherIncarnation) {
+    OnOtherIncarnation(worker, reply.order.incarnation, now);
+    worker.next_observe = now.mono + kObserveRetryDelay;
     return;
   }
   if (reply.order.result != OrderResult::kDone)
-    return OnLookFailed(worker, action, reply.order, sent, now);
-  if (!reply.order.life.empty()) {
-    if (workers_.count(reply.order.life) > 0)
-      return OnOtherLife(worker, reply.order.life, now);
-    NameLife(worker, reply.order.life);
+    return OnObservationFailed(worker, action, reply.order, sent, now);
+  if (!reply.order.incarnation.empty()) {
+    if (workers_.count(reply.order.incarnation) > 0)
+      return OnOtherIncarnation(worker, reply.order.incarnation, now);
+    SetIncarnationId(worker, reply.order.incarnation);
   }
-  ForgetSilence(worker);
+  ClearUnresponsiveness(worker);
   if (worker.failed_observations > 0) {
     worker.failed_observations = 0;
-    Explain("worker_back", {{"worker", worker.record.id}});
+    LogDecision("worker_back", {{"worker", worker.record.id}});
   }
-  TakeClock(worker, reply.order.clock_ms, now.mono);
+  UpdateClock(worker, reply.order.clock_ms, now.mono);
   worker.last_answer = now.mono;
-  NoteAnswered(worker, now);
-  HoldSilentLosses(worker, now);
+  RecordAnswered(worker, now);
+  AttributeUnresponsiveLosses(worker, now);
   // A later listing was taken already: what this one shows as running may have
   // ended.
-  if (reply.order.clock_ms < worker.listing_clock_ms) {
-    ++figures_.listings_passed_over;
+  if (reply.order.clock_ms < worker.report_clock_ms) {
+    ++figures_.stale_reports_skipped;
     return;
   }
-  worker.listing_clock_ms = reply.order.clock_ms;
-  worker.listing_sent = std::max(worker.listing_sent, sent);
+  worker.report_clock_ms = reply.order.clock_ms;
+  worker.report_requested_at = std::max(worker.report_requested_at, sent);
   for (const EndedTask& end : reply.ended) {
     if (end.number <= worker.ends_processed) continue;
-    OnEnd(worker, end, now);
+    OnRunEnded(worker, end, now);
     worker.ends_processed = end.number;
-    if (worker.unnoted.empty()) unnoted_workers_.push_back(&worker);
-    worker.unnoted.emplace_back(end.number, next_batch_);
-    batch_wanted_ = true;
+    if (worker.unacknowledged_ends.empty())
+      workers_with_unacknowledged_ends_.push_back(&worker);
+    worker.unacknowledged_ends.emplace_back(end.number, next_batch_);
+    batch_needed_ = true;
   }
   for (const RunningTask& running : reply.running)
-    OnRunning(worker, running, now);
-  OnMissing(worker, reply, sent, now);
+    OnRunReported(worker, running, now);
+  GiveUpMissingRuns(worker, reply, sent, now);
   // While it holds more ends than it listed, not all that it ran is known.
-  if (!worker.listed && !reply.more_ends) {
-    worker.listed = true;
+  if (!worker.reported && !reply.more_ends) {
+    worker.reported = true;
     placement_wanted_ = true;
-    if (!std::exchange(worker.keeps_placements, true))
-      untold_workers_.insert(worker.record.id);
+    if (!std::exchange(worker.persists_placements, true))
+      unpersisted_workers_.insert(worker.record.id);
     // An earlier leader may just have given the longest lease.
-    worker.lapse_at = std::max(worker.lapse_at, now.mono + LongestLease());
+    worker.lease_expires_at =
+        std::max(worker.lease_expires_at, now.mono + MaxLeaseDuration());
   }
   // While ends wait to be kept for good, another look would only list them
   // again.
-  worker.next_observe =
-      worker.unnoted.empty() ? now.mono : now.mono + kObserveRetry;
-  Attend(worker);
+  worker.next_observe = worker.unacknowledged_ends.empty()
+                            ? now.mono
+                            : now.mono + kObserveRetryDelay;
+  ScheduleCheck(worker);
 }
 
-void JobScheduler::NoteUnanswered(Worker& worker, Now now) {
+void JobScheduler::RecordUnanswered(Worker& worker, Now now) {
   worker.unanswered_since = std::min(worker.unanswered_since, now.mono);
 }
 
-void JobScheduler::NoteAnswered(Worker& worker, Now now) {
+void JobScheduler::RecordAnswered(Worker& worker, Now now) {
   const absl::Time since =
       std::exchange(worker.unanswered_since, absl::InfiniteFuture());
   // A worker that was out of reach for longer lost no single answers.
-  if (since <= now.mono && now.mono - since < kLossSettled)
+  if (since <= now.mono && now.mono - since < kLostAnswerWindow)
     answer_times_.OnLost(worker.record.id, now.mono);
 }
 
-void JobScheduler::OnLookFailed(Worker& worker, const ObserveAction& action,
-                                const OrderReply& reply, absl::Time sent,
-                                Now now) {
+void JobScheduler::OnObservationFailed(Worker& worker,
+                                       const ObserveAction& action,
+                                       const OrderReply& reply, absl::Time sent,
+                                       Now now) {
   if (reply.result == OrderResult::kFenced &&
       HasSeenOwnFence(worker, action.order.fence, now))
     return;
-  if (reply.result == OrderResult::kUnknown) NoteUnanswered(worker, now);
+  if (reply.result == OrderResult::kUnknown) RecordUnanswered(worker, now);
   // Nobody listens there: a start would only come back.
   if (reply.result == OrderResult::kNotSent)
-    worker.suspect_until = std::max(
-        worker.suspect_until, now.mono + kObserveRetry + kRetryAfterRefusal);
-  if (worker.lost_since == absl::InfiniteFuture()) {
-    worker.lost_since = now.mono;
-    NoteSilence(worker, now);
+    worker.suspect_until =
+        std::max(worker.suspect_until,
+                 now.mono + kObserveRetryDelay + kRetryAfterRefusal);
+  if (worker.failing_since == absl::InfiniteFuture()) {
+    worker.failing_since = now.mono;
+    RecordUnresponsiveness(worker, now);
   }
   // Another look was answered meanwhile: it is not silent.
   if (worker.last_answer > sent) return;
   if (++worker.failed_observations == 1) {
-    Explain("worker_silent",
-            {{"worker", worker.record.id},
-             {"result", OrderResultName(reply.result)},
-             {"detail", reply.message}},
-            Severity::kWarning);
+    LogDecision("worker_silent",
+                {{"worker", worker.record.id},
+                 {"result", OrderResultName(reply.result)},
+                 {"detail", reply.message}},
+                Severity::kWarning);
   }
-  const bool at_once =
-      worker.failed_observations == 1 && answer_times_.AnswersGetLost(now.mono);
-  worker.next_observe = now.mono + (at_once ? kLossyRetry : kObserveRetry);
+  const bool at_once = worker.failed_observations == 1 &&
+                       answer_times_.AnswersAreLossy(now.mono);
+  worker.next_observe =
+      now.mono + (at_once ? kLossyRetryDelay : kObserveRetryDelay);
 }
 
-void JobScheduler::NoteDurableEnds(Worker& worker) {
-  bool noted = false;
-  while (!worker.unnoted.empty() &&
-         worker.unnoted.front().second <= durable_batch_) {
-    worker.ends_noted = worker.unnoted.front().first;
-    worker.unnoted.pop_front();
-    noted = true;
+void JobScheduler::AcknowledgeDurableEnds(Worker& worker) {
+  bool acknowledged = false;
+  while (!worker.unacknowledged_ends.empty() &&
+         worker.unacknowledged_ends.front().second <= durable_batch_) {
+    worker.ends_acknowledged = worker.unacknowledged_ends.front().first;
+    worker.unacknowledged_ends.pop_front();
+    acknowledged = true;
   }
-  if (!noted || !worker.unnoted.empty()) return;
+  if (!acknowledged || !worker.unacknowledged_ends.empty()) return;
   worker.next_observe = absl::InfinitePast();
-  Attend(worker);
+  ScheduleCheck(worker);
 }
 
-bool JobScheduler::Reachable(const Worker& worker, Now now) const {
-  return now.mono - worker.last_answer < kSilentAfter;
+bool JobScheduler::IsReachable(const Worker& worker, Now now) const {
+  return now.mono - worker.last_answer < kUnresponsiveAfter;
 }
 
-void JobScheduler::Attend(Worker& worker) {
-  if (worker.in_attention) return;
-  worker.in_attention = true;
-  attention_.push_back(&worker);
+void JobScheduler::ScheduleCheck(Worker& worker) {
+  if (worker.check_scheduled) return;
+  worker.check_scheduled = true;
+  scheduled_checks_.push_back(&worker);
 }
 
 void JobScheduler::TickWorkers(Now now) {
-  for (Worker* worker : std::exchange(attention_, {})) {
-    worker->in_attention = false;
+  for (Worker* worker : std::exchange(scheduled_checks_, {})) {
+    worker->check_scheduled = false;
     TickWorker(*worker, now);
   }
   if (now.mono < next_sweep_) return;
-  next_sweep_ = now.mono + kSweepEvery;
+  next_sweep_ = now.mono + kSweepPeriod;
   std::vector<std::string> gone;
   for (auto& [id, worker] : workers_) {
     TickWorker(*worker, now);
-    CloseLeaving(*worker);
-    if (IsGone(*worker, now)) gone.push_back(id);
+    RetireDrainingWorker(*worker);
+    if (CanBeForgotten(*worker, now)) gone.push_back(id);
   }
   for (const std::string& id : gone) {
     const auto worker = workers_.find(id);
@@ -504,10 +519,10 @@
       list.erase(std::remove(list.begin(), list.end(), worker->second.get()),
                  list.end());
     };
-    forget(attention_);
-    forget(unnoted_workers_);
+    forget(scheduled_checks_);
+    forget(workers_with_unacknowledged_ends_);
     actions_.push_back(ForgetWorkerAction{id});
-    dropped_keys_.push_back(KnownWorkerKey(id));
+    keys_to_drop_.push_back(KnownWorkerKey(id));
     // A task that was placed there would else wait for all other workers.
     MovePlacements(id, "");
     workers_.erase(worker);
@@ -518,99 +533,104 @@
 // nothing there is waited for, whatever lease it had. Kept for that long, 82
 // workers that had left were still on record when all nodes lost power, and the
 // next leader's recovered work waited 11 s for them.
-bool JobScheduler::IsGone(const Worker& worker, Now now) const {
-  if (!worker.record_removed || !worker.occupants.empty()) return false;
+bool JobScheduler::CanBeForgotten(const Worker& worker, Now now) const {
+  if (!worker.record_removed || !worker.allocations.empty()) return false;
   // Its key is dropped in the first part of a batch that may be kept in part.
-  if (!worker.unnoted.empty()) return false;
-  if (worker.listed) return true;
-  return now.mono > worker.lapse_at && AllAccountedFor(now);
+  if (!worker.unacknowledged_ends.empty()) return false;
+  if (worker.reported) return true;
+  return now.mono > worker.lease_expires_at && AllAccountedFor(now);
 }
 
 void JobScheduler::TickWorker(Worker& worker, Now now) {
-  const bool may_be_lost = worker.listed || worker.took_over;
-  if (!worker.occupants.empty() && may_be_lost && !Reachable(worker, now) &&
-      now.mono > worker.lapse_at)
-    LoseAll(
-        worker,
-        AnotherLifeAnswered(worker) ? WorkerLoss::kCrash : WorkerLoss::kSilence,
-        nullptr, now);
-  if (options_.policy.settle_soon) CheckOverdue(worker, now);
+  const bool may_be_lost = worker.reported || worker.inherited_runs;
+  if (!worker.allocations.empty() && may_be_lost && !IsReachable(worker, now) &&
+      now.mono > worker.lease_expires_at)
+    HandleWorkerLoss(worker,
+                     AnotherIncarnationAnswered(worker)
+                         ? WorkerLoss::kCrash
+                         : WorkerLoss::kUnresponsive,
+                     nullptr, now);
+  if (options_.policy.settle_soon) CheckOverdueRuns(worker, now);
   if (IsOnProbation(worker)) AnsweredSince(worker, worker.probation_until, now);
   SendStops(worker, now);
-  if (LookIsDue(worker, now)) SendLook(worker, now);
+  if (ObservationIsDue(worker, now)) SendObservation(worker, now);
 }
 
-bool JobScheduler::LookIsDue(const Worker& worker, Now now) const {
-  if (worker.look_wanted) return worker.looks_open < kMostLooks;
-  if (worker.looks_open == 0) return now.mono >= worker.next_observe;
+bool JobScheduler::ObservationIsDue(const Worker& worker, Now now) const {
+  if (worker.observe_now)
+    return worker.observations_in_flight < kMaxObservationsInFlight;
+  if (worker.observations_in_flight == 0)
+    return now.mono >= worker.next_observe;
   // The answer to the one under way may be lost.
-  return options_.policy.settle_soon && worker.looks_open == 1 &&
+  return options_.policy.settle_soon && worker.observations_in_flight == 1 &&
          worker.failed_observations == 0 &&
-         answer_times_.AnswersGetLost(now.mono) &&
-         now.mono - worker.look_sent >
-             kLossyObserveWait + answer_times_.Patience();
+         answer_times_.AnswersAreLossy(now.mono) &&
+         now.mono - worker.last_observation_sent >
+             kLossyObserveWait + answer_times_.AnswerTimeout();
 }
 
-absl::Time JobScheduler::CheckTime(const TaskId& task, absl::Time now) const {
+absl::Time JobScheduler::OverdueCheckTime(const TaskId& task,
+                                          absl::Time now) const {
   const auto job = jobs_.find(task.job);
   if (job == jobs_.end()) return absl::InfiniteFuture();
   const std::vector<StepSpec>& steps = job->second->spec.steps;
   if (static_cast<size_t>(task.step) >= steps.size())
     return absl::InfiniteFuture();
   const StepSpec& step = steps[static_cast<size_t>(task.step)];
-  if (step.lasting || step.estimated_ms > kCheckedEstimateMs)
+  if (step.long_running || step.estimated_ms > kMaxCheckedEstimateMs)
     return absl::InfiniteFuture();
   return now + absl::Milliseconds(step.estimated_ms) * kOverdueFactor;
 }
 
-void JobScheduler::CheckOverdue(Worker& worker, Now now) {
-  if (worker.next_check > now.mono || !answer_times_.AnswersGetLost(now.mono))
+void JobScheduler::CheckOverdueRuns(Worker& worker, Now now) {
+  if (worker.next_check > now.mono || !answer_times_.AnswersAreLossy(now.mono))
     return;
   worker.next_check = absl::InfiniteFuture();
   bool overdue = false;
-  for (auto& [key, occupant] : worker.occupants) {
-    if (occupant.check_at <= now.mono) {
+  for (auto& [key, allocation] : worker.allocations) {
+    if (allocation.check_at <= now.mono) {
       overdue = true;
-      occupant.check_at = now.mono + kCheckAgain;
+      allocation.check_at = now.mono + kOverdueCheckPeriod;
     }
-    worker.next_check = std::min(worker.next_check, occupant.check_at);
+    worker.next_check = std::min(worker.next_check, allocation.check_at);
   }
   // A busy worker's listings come all the time.
-  const bool listed_lately = now.mono - worker.listing_sent < kCheckAgain;
-  if (overdue && !listed_lately && worker.failed_observations == 0)
-    worker.look_wanted = true;
+  const bool reported_recently =
+      now.mono - worker.report_requested_at < kOverdueCheckPeriod;
+  if (overdue && !reported_recently && worker.failed_observations == 0)
+    worker.observe_now = true;
 }
 
-void JobScheduler::SendLook(Worker& worker, Now now) {
+void JobScheduler::SendObservation(Worker& worker, Now now) {
   const bool lossy =
-      options_.policy.settle_soon && answer_times_.AnswersGetLost(now.mono);
-  ++worker.looks_open;
-  worker.look_sent = now.mono;
+      options_.policy.settle_soon && answer_times_.AnswersAreLossy(now.mono);
+  ++worker.observations_in_flight;
+  worker.last_observation_sent = now.mono;
   ObserveAction action;
   action.worker = worker.record;
   action.order.fence = worker.fence;
-  action.order.ends_noted = worker.ends_noted;
+  action.order.ends_acknowledged = worker.ends_acknowledged;
   // A silent worker's lease is left alone: each try might extend it unseen, and
   // then nobody could tell when it has passed.
   // Nor is it extended before later leaders are told that it may be.
   const bool extend = !suspended_ && worker.failed_observations == 0 &&
                       worker.known_at_batch <= durable_batch_;
-  action.order.lease_until_ms = extend ? LeaseUntil(worker, now.mono) : 0;
-  const bool wait = worker.listed && worker.unnoted.empty() &&
-                    worker.failed_observations == 0 && !worker.look_wanted;
-  worker.look_wanted = false;
+  action.order.lease_until_ms = extend ? GrantLease(worker, now.mono) : 0;
+  const bool wait = worker.reported && worker.unacknowledged_ends.empty() &&
+                    worker.failed_observations == 0 && !worker.observe_now;
+  worker.observe_now = false;
   const absl::Duration longest =
-      lossy ? kLossyObserveWait : options_.observe_wait;
+      lossy ? kLossyObserveWait : options_.max_observe_wait;
   action.order.wait_ms = wait ? absl::ToInt64Milliseconds(longest) : 0;
-  if (lossy) action.order.timeout = 2 * answer_times_.Patience();
+  if (lossy) action.order.timeout = 2 * answer_times_.AnswerTimeout();
   actions_.push_back(std::move(action));
 }
 
-// The first run number of an epoch; see kRunsInEpoch.
+// The first run number of an epoch; see kRunsPerEpoch.
 int32_t FirstRunOfEpoch(int64_t epoch) {
-  return static_cast<int32_t>(epoch - 1) * kRunsInEpoch + 1;
+  return static_cast<int32_t>(epoch - 1) * kRunsPerEpoch + 1;
 }
 
-int64_t EpochOfRun(int32_t run) { return (run - 1) / kRunsInEpoch + 1; }
+int64_t EpochOfRun(int32_t run) { return (run - 1) / kRunsPerEpoch + 1; }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/leadership.cc
+++ b/keelbridge/coordination/leadership.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Between two requests for the same hold.
-constexpr absl::Duration kSoonest = absl::Milliseconds(30);
+constexpr absl::Duration kMinRetryDelay = absl::Milliseconds(30);
 
 }  // namespace
 
@@ -25,62 +25,62 @@
   votes_ = std::move(votes);
 }
 
-absl::Duration Leadership::Jitter(double least, double most) {
-  return options_.hold_ttl *
-         std::uniform_real_distribution<double>(least, most)(random_);
+absl::Duration Leadership::Jitter(double min_fraction, double max_fraction) {
+  return options_.hold_ttl * std::uniform_real_distribution<double>(
+                                 min_fraction, max_fraction)(random_);
 }
 
-std::vector<HoldOrder> Leadership::ToAll(HoldMode mode) const {
+std::vector<HoldOrder> Leadership::OrdersToAll(HoldMode mode) const {
   std::vector<HoldOrder> out;
   for (const auto& [name, vote] : votes_) out.push_back({name, mode, epoch_});
   return out;
 }
 
-std::vector<HoldOrder> Leadership::Tick(Now both) {
+std::vector<HoldOrder> Leadership::Tick(Now clocks) {
   if (votes_.empty()) return {};
-  const absl::Time now = both.mono;
+  const absl::Time now = clocks.mono;
   switch (role_) {
     case Role::kStandby: {
       if (now < next_poll_) return {};
       next_poll_ = now + options_.poll_every;
-      const auto at =
+      const auto index =
           std::uniform_int_distribution<size_t>(0, votes_.size() - 1)(random_);
-      return {{std::next(votes_.begin(), static_cast<ptrdiff_t>(at))->first,
+      return {{std::next(votes_.begin(), static_cast<ptrdiff_t>(index))->first,
                HoldMode::kQuery, 0}};
     }
-    case Role::kAsking:
+    case Role::kQuerying:
       if (FreeVotes() >= Majority()) {
-        Campaign(both);
-        return ToAll(HoldMode::kAcquire);
+        StartCampaign(clocks);
+        return OrdersToAll(HoldMode::kAcquire);
       }
-      if (now >= campaign_ends_) StandBy(now + Jitter(0.1, 0.5));
-      return std::exchange(ask_all_, false) ? ToAll(HoldMode::kQuery)
-                                            : std::vector<HoldOrder>();
+      if (now >= campaign_ends_) BecomeStandby(now + Jitter(0.1, 0.5));
+      return std::exchange(query_all_, false) ? OrdersToAll(HoldMode::kQuery)
+                                              : std::vector<HoldOrder>();
     case Role::kCandidate:
-      if (overtaken_) {
-        Campaign(both);
-        return ToAll(HoldMode::kAcquire);
+      if (saw_higher_epoch_) {
+        StartCampaign(clocks);
+        return OrdersToAll(HoldMode::kAcquire);
       }
       // Those that were held are asked again when that hold has lapsed.
-      if (now < campaign_ends_) return Renewals(now);
+      if (now < campaign_ends_) return DueRenewals(now);
       return Resign(now, Jitter(0.1, 0.6));
     case Role::kLeader:
-      Recount(now);
+      UpdateLeadership(now);
       if (now >= leads_until_) {
-        StandBy(now + Jitter(0.1, 0.5));
+        BecomeStandby(now + Jitter(0.1, 0.5));
         return {};
       }
-      if (overtaken_) {
+      if (saw_higher_epoch_) {
         // The holds are still ours, so nobody can come between.
-        Campaign(both);
-        return ToAll(HoldMode::kAcquire);
+        StartCampaign(clocks);
+        return OrdersToAll(HoldMode::kAcquire);
       }
-      return Renewals(now);
+      return DueRenewals(now);
   }
   return {};
 }
 
-std::vector<HoldOrder> Leadership::Renewals(absl::Time now) {
+std::vector<HoldOrder> Leadership::DueRenewals(absl::Time now) {
   std::vector<HoldOrder> out;
   for (auto& [name, vote] : votes_) {
     if (now < vote.next_renewal) continue;
@@ -90,7 +90,7 @@
   return out;
 }
 
-void Leadership::StandBy(absl::Time until) {
+void Leadership::BecomeStandby(absl::Time until) {
   role_ = Role::kStandby;
   leads_until_ = absl::InfinitePast();
   next_poll_ = until;
@@ -101,8 +101,8 @@
                                           absl::Duration stay_out) {
   std::vector<HoldOrder> out;
   if (role_ == Role::kLeader || role_ == Role::kCandidate)
-    out = ToAll(HoldMode::kRelease);
-  StandBy(now + stay_out);
+    out = OrdersToAll(HoldMode::kRelease);
+  BecomeStandby(now + stay_out);
   return out;
 }
 
@@ -110,17 +110,17 @@
                               absl::Time now) {
   // A worker that restarted may have promised a hold that it no longer knows
   // of.
-  vote.free = reply.hold_left <= absl::ZeroDuration() &&
-              reply.up >= options_.hold_ttl + options_.margin;
+  vote.free = reply.hold_remaining <= absl::ZeroDuration() &&
+              reply.uptime >= options_.hold_ttl + options_.margin;
   if (role_ == Role::kStandby) {
     if (!vote.free) {
       next_poll_ = now + std::min(options_.poll_every,
-                                  reply.hold_left + Jitter(0.01, 0.05));
+                                  reply.hold_remaining + Jitter(0.01, 0.05));
       return;
     }
-    role_ = Role::kAsking;
-    campaign_ends_ = now + options_.asking_timeout;
-    ask_all_ = true;
+    role_ = Role::kQuerying;
+    campaign_ends_ = now + options_.query_timeout;
+    query_all_ = true;
   }
 }
 
@@ -130,9 +130,9 @@
                     [](const auto& entry) { return entry.second.free; }));
 }
 
-void Leadership::Campaign(Now now) {
+void Leadership::StartCampaign(Now now) {
   role_ = Role::kCandidate;
-  overtaken_ = false;
+  saw_higher_epoch_ = false;
   epoch_ = std::max(highest_seen_ + 1, absl::ToUnixSeconds(now.wall));
   campaign_ends_ = now.mono + options_.hold_ttl;
   for (auto& [name, vote] : votes_)
@@ -151,18 +151,19 @@
   if (role_ != Role::kCandidate && role_ != Role::kLeader) return;
   if (!reply->granted) {
     it->second.held_until = absl::InfinitePast();
-    it->second.next_renewal = now + std::max(reply->hold_left, kSoonest);
+    it->second.next_renewal =
+        now + std::max(reply->hold_remaining, kMinRetryDelay);
     // A campaign that failed left a higher epoch there, and this worker will
     // never take our orders again.
-    overtaken_ = overtaken_ || reply->epoch > epoch_;
-  } else if (reply->up >= options_.hold_ttl + options_.margin) {
+    saw_higher_epoch_ = saw_higher_epoch_ || reply->epoch > epoch_;
+  } else if (reply->uptime >= options_.hold_ttl + options_.margin) {
     it->second.held_until =
         std::max(it->second.held_until, sent_at + options_.hold_ttl);
   }
-  Recount(now);
+  UpdateLeadership(now);
 }
 
-void Leadership::Recount(absl::Time now) {
+void Leadership::UpdateLeadership(absl::Time now) {
   if (votes_.empty()) {
     leads_until_ = absl::InfinitePast();
     return;
--- a/keelbridge/coordination/leadership.h
+++ b/keelbridge/coordination/leadership.h
@@ -53,7 +53,7 @@
     absl::Duration poll_every =
         absl::Milliseconds(750);  // A standby asks one worker this often.
     // How long a standby that found one worker free asks all the others.
-    absl::Duration asking_timeout = absl::Milliseconds(800);
+    absl::Duration query_timeout = absl::Milliseconds(800);
     absl::Duration margin = absl::Milliseconds(
         150);  // For clock rates and for acting on the answer.
   };
@@ -63,7 +63,7 @@
   // The zone's workers by the configuration in force.
   void SetWorkers(const std::vector<std::string>& names);
   // An epoch that is known from elsewhere (the log); ours will be higher.
-  void NoteEpoch(int64_t epoch) {
+  void RecordEpoch(int64_t epoch) {
     highest_seen_ = std::max(highest_seen_, epoch);
   }
 
@@ -90,7 +90,7 @@
   absl::Time won_at() const { return won_at_; }
 
  private:
-  enum class Role { kStandby, kAsking, kCandidate, kLeader };
+  enum class Role { kStandby, kQuerying, kCandidate, kLeader };
   struct Vote {
     absl::Time held_until = absl::InfinitePast();
     absl::Time next_renewal = absl::InfinitePast();
@@ -98,12 +98,12 @@
   };
 
   size_t Majority() const { return votes_.size() / 2 + 1; }
-  void Recount(absl::Time now);
-  void Campaign(Now now);
-  void StandBy(absl::Time until);
-  absl::Duration Jitter(double least, double most);
-  std::vector<HoldOrder> ToAll(HoldMode mode) const;
-  std::vector<HoldOrder> Renewals(absl::Time now);
+  void UpdateLeadership(absl::Time now);
+  void StartCampaign(Now now);
+  void BecomeStandby(absl::Time until);
+  absl::Duration Jitter(double min_fraction, double max_fraction);
+  std::vector<HoldOrder> OrdersToAll(HoldMode mode) const;
+  std::vector<HoldOrder> DueRenewals(absl::Time now);
   void OnQueryReply(Vote& vote, const HoldReply& reply, absl::Time now);
   size_t FreeVotes() const;
 
@@ -117,8 +117,9 @@
   absl::Time won_at_ = absl::InfinitePast();
   absl::Time next_poll_ = absl::InfinitePast();
   absl::Time campaign_ends_ = absl::InfinitePast();
-  bool overtaken_ = false;  // A worker has seen a higher epoch than ours.
-  bool ask_all_ = false;    // A broadcast of queries is due.
+  bool saw_higher_epoch_ =
+      false;                // A worker has seen a higher epoch than ours.
+  bool query_all_ = false;  // A broadcast of queries is due.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/lease_tracker.h
+++ b/keelbridge/coordination/lease_tracker.h
@@ -8,7 +8,7 @@
 // end for certain only when the last message that could have renewed them has
 // lapsed; until then nothing exclusive of it starts elsewhere.
 //
-//   LeaseBook book(options);
+//   LeaseTracker book(options);
 //   book.BeginLeadership(epoch, now);
 //   book.Starting(task, attempt, worker, need, sent_at);
 //   for (const LeaseEvent& event : book.OnHoldReply(worker, sent_at, reply,
@@ -31,8 +31,8 @@
 namespace keelbridge {
 
 enum class LeasePhase {
-  kStarting,   // The start is on its way.
-  kUnsettled,  // Its answer was lost.
+  kStarting,    // The start is on its way.
+  kUnresolved,  // Its answer was lost.
   kRunning,
   kStopping,  // Asked to stop, or to save its progress and stop.
 };
@@ -43,11 +43,11 @@
   std::string worker;
   Resources resources;
   LeasePhase phase = LeasePhase::kStarting;
-  absl::Time known_since;  // When the phase began; a listing asked for earlier
+  absl::Time phase_since;  // When the phase began; a listing asked for earlier
                            // says nothing about it.
   // Of an unsettled one: a listing asked for between these times proves by the
   // task's absence that it never started. Later, its lease may have lapsed.
-  absl::Time settles_after;
+  absl::Time resolvable_after;
   absl::Time sent_at;
   uint64_t incarnation = 0;  // Of the worker that the start was sent to.
   int64_t started_ms = 0;    // Wall clock of the worker.
@@ -63,9 +63,9 @@
   kStopped,     // The worker says that it stopped; `progress_ms` is saved.
   kVanished,    // It ended for certain, and nobody knows how far it came.
   kFound,       // The worker runs a lease that this book does not know.
-  kSealed,  // The worker's table is known, anew after a doubt or for the first
-            // time in this leadership.
-  kSilent,  // The worker does not answer; its leases are unknown.
+  kReconciled,  // The worker's table is known, anew after a doubt or for the
+                // first time in this leadership.
+  kUnresponsive,  // The worker does not answer; its leases are unknown.
   kLapsed,  // Every lease that the silent worker may have had has ended for
             // certain.
 };
@@ -82,7 +82,7 @@
 };
 
 // Pure. Times are monotonic.
-class LeaseBook {
+class LeaseTracker {
  public:
   struct Options {
     absl::Duration lease_ttl = absl::Seconds(10);
@@ -91,28 +91,28 @@
     absl::Duration clock_error = absl::Milliseconds(
         250);  // Most that two wall clocks differ from true time.
     absl::Duration margin = absl::Milliseconds(250);
-    int silent_after = 3;  // Holds without answer.
+    int unresponsive_after = 3;  // Holds without answer.
     // Test builds only: without it an unsettled start counts as not started at
     // once, and a silent worker's leases as ended.
     bool wait_for_certainty = true;
   };
 
-  explicit LeaseBook(Options options) : options_(options) {}
+  explicit LeaseTracker(Options options) : options_(options) {}
 
   // Forgets everything: each worker has to be sealed anew.
   void BeginLeadership(absl::Time now);
   void SetWorkers(const std::vector<std::string>& names);
 
   // A start is being sent.
-  void Starting(const std::string& task, int64_t attempt,
-                const std::string& worker, const Resources& resources,
-                const std::string& decision, absl::Time now);
+  void OnStartSent(const std::string& task, int64_t attempt,
+                   const std::string& worker, const Resources& resources,
+                   const std::string& decision, absl::Time now);
   // Takes in a lease that was found, as running.
   void Adopt(const std::string& worker, const LeaseRow& row, absl::Time now);
-  // A stop is wanted; `StopsDue` repeats it until the worker's table says that
-  // the lease is gone.
-  void Stopping(const std::string& task, StopMode mode, absl::Time now);
-  std::vector<Lease> StopsDue(absl::Time now);
+  // A stop is wanted; `TakeDueStops` repeats it until the worker's table says
+  // that the lease is gone.
+  void RequestStop(const std::string& task, StopMode mode, absl::Time now);
+  std::vector<Lease> TakeDueStops(absl::Time now);
   // A found lease that nobody wants; it is stopped like one of ours.
   void StopUnwanted(const std::string& worker, const LeaseRow& row,
                     absl::Time now);
@@ -144,10 +144,10 @@
 
   // Forgets a lease whose task may run twice; should the worker come back with
   // it, it is found and stopped.
-  void Abandon(const std::string& task) { Drop(task); }
+  void Abandon(const std::string& task) { Remove(task); }
 
   // The worker answers, and its table is as this book says.
-  bool Sealed(const std::string& worker) const;
+  bool IsReconciled(const std::string& worker) const;
   // True while the worker runs a lease that nobody wants: its room is not what
   // the accounts say.
   bool HasUnwanted(const std::string& worker) const;
@@ -155,39 +155,44 @@
   bool HasUnwantedOf(const std::string& task) const;
   // Every worker is sealed, or what it had has lapsed: a task that nobody has
   // found runs nowhere.
-  bool AllSettled() const;
+  bool AllResolved() const;
   const Lease* Find(const std::string& task) const;
   const std::map<std::string, Lease>& leases() const { return leases_; }
   // Workers on which a stop is under way, so that it is worth asking them more
   // often.
-  std::set<std::string> WorkersStopping() const;
+  std::set<std::string> WorkersWithPendingStops() const;
 
  private:
-  enum class Contact { kUnsealed, kSealed, kSilent, kLapsed };
+  enum class ContactState {
+    kUnreconciled,
+    kReconciled,
+    kUnresponsive,
+    kLapsed
+  };
   struct WorkerView {
-    Contact contact = Contact::kUnsealed;
+    ContactState contact = ContactState::kUnreconciled;
     absl::Time renewed_until;  // The last moment at which a message of ours, or
                                // of the leader before, may take effect.
-    int missed = 0;
+    int missed_replies = 0;
     uint64_t incarnation = 0;  // As of the last answer.
-    bool relist = true;
+    bool needs_report = true;
     std::set<int64_t> acknowledged;
     std::set<std::string> tasks;
   };
 
-  absl::Duration Certainty() const {
+  absl::Duration SafetyMargin() const {
     return 2 * options_.clock_error + options_.margin;
   }
-  void Drop(const std::string& task);
-  void Settle(WorkerView& view, absl::Time sent_at, absl::Time now,
-              std::vector<LeaseEvent>& events);
-  void TakeRows(WorkerView& view, const std::string& worker, absl::Time sent_at,
-                const HoldReply& reply, absl::Time now,
-                std::vector<LeaseEvent>& events);
-  void TakeEndedRow(WorkerView& view, const std::string& worker,
-                    const LeaseRow& row, std::vector<LeaseEvent>& events);
-  void OnMissed(WorkerView& view, const std::string& worker,
-                std::vector<LeaseEvent>& events);
+  void Remove(const std::string& task);
+  void ResolveStarts(WorkerView& view, absl::Time sent_at, absl::Time now,
+                     std::vector<LeaseEvent>& events);
+  void ApplyRows(WorkerView& view, const std::string& worker,
+                 absl::Time sent_at, const HoldReply& reply, absl::Time now,
+                 std::vector<LeaseEvent>& events);
+  void ApplyEndedRow(WorkerView& view, const std::string& worker,
+                     const LeaseRow& row, std::vector<LeaseEvent>& events);
+  void OnMissedReply(WorkerView& view, const std::string& worker,
+                     std::vector<LeaseEvent>& events);
 
   const Options options_;
   std::map<std::string, WorkerView> workers_;
--- a/keelbridge/coordination/log_writer.cc
+++ b/keelbridge/coordination/log_writer.cc
@@ -6,7 +6,7 @@
 namespace keelbridge {
 namespace {
 
-constexpr int kMostDoublings = 10;
+constexpr int kMaxBackoffDoublings = 10;
 
 // A rough size, to keep envelopes small; only snapshots and configurations are
 // large.
@@ -22,21 +22,23 @@
 }  // namespace
 
 bool LogWriter::Add(LogEntry entry) {
-  if (queue_.size() >= options_.most_waiting) return false;
+  if (queue_.size() >= options_.max_queued_entries) return false;
   queue_.push_back(std::move(entry));
   return true;
 }
 
 std::optional<Envelope> LogWriter::Next(absl::Time now) {
-  if (awaiting_answer_ || now < not_before_) return std::nullopt;
+  if (awaiting_answer_ || now < next_send_at_) return std::nullopt;
   if (!in_flight_) {
     if (queue_.empty()) return std::nullopt;
     Envelope envelope;
     envelope.id = {options_.incarnation, ++sequence_};
     size_t bytes = 0;
-    while (!queue_.empty() && envelope.entries.size() < options_.most_entries) {
+    while (!queue_.empty() &&
+           envelope.entries.size() < options_.max_envelope_entries) {
       bytes += SizeOf(queue_.front());
-      if (!envelope.entries.empty() && bytes > options_.most_bytes) break;
+      if (!envelope.entries.empty() && bytes > options_.max_envelope_bytes)
+        break;
       envelope.entries.push_back(std::move(queue_.front()));
       queue_.pop_front();
     }
@@ -52,25 +54,25 @@
   if (offset) {
     in_flight_.reset();
     failures_ = 0;
-    not_before_ = now + options_.append_every;
+    next_send_at_ = now + options_.append_every;
     return;
   }
   ++failures_;
-  not_before_ = now + BackOff();
+  next_send_at_ = now + NextBackoff();
 }
 
-void LogWriter::OnSeen(absl::Time now) {
-  if (!unsettled()) return;
+void LogWriter::OnSeenInLog(absl::Time now) {
+  if (!unacknowledged()) return;
   in_flight_.reset();
   failures_ = 0;
-  not_before_ = now + options_.append_every;
+  next_send_at_ = now + options_.append_every;
 }
 
-absl::Duration LogWriter::BackOff() {
-  const int doublings = std::min(failures_ - 1, kMostDoublings);
-  const absl::Duration most = std::min(
-      options_.first_back_off * (1 << doublings), options_.longest_back_off);
-  return most * std::uniform_real_distribution<double>(0.5, 1.0)(random_);
+absl::Duration LogWriter::NextBackoff() {
+  const int doublings = std::min(failures_ - 1, kMaxBackoffDoublings);
+  const absl::Duration max_delay = std::min(
+      options_.initial_backoff * (1 << doublings), options_.max_backoff);
+  return max_delay * std::uniform_real_distribution<double>(0.5, 1.0)(random_);
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/log_writer.h
+++ b/keelbridge/coordination/log_writer.h
@@ -29,13 +29,13 @@
   struct Options {
     uint64_t incarnation = 0;
     uint64_t seed = 1;  // For the jitter of the back-off.
-    size_t most_waiting = 20000;
-    size_t most_entries = 2000;  // In one envelope.
-    size_t most_bytes = 256 << 10;
+    size_t max_queued_entries = 20000;
+    size_t max_envelope_entries = 2000;  // In one envelope.
+    size_t max_envelope_bytes = 256 << 10;
     absl::Duration append_every =
         absl::Milliseconds(100);  // Least time between appends.
-    absl::Duration first_back_off = absl::Milliseconds(200);
-    absl::Duration longest_back_off = absl::Seconds(5);
+    absl::Duration initial_backoff = absl::Milliseconds(200);
+    absl::Duration max_backoff = absl::Seconds(5);
   };
 
   explicit LogWriter(Options options)
@@ -53,23 +53,23 @@
   void OnAnswer(std::optional<int64_t> offset, absl::Time now);
 
   // The envelope whose answer was lost, if any. When a reader meets it in the
-  // log, `OnSeen` settles it without another append.
-  std::optional<EnvelopeId> unsettled() const {
+  // log, `OnSeenInLog` settles it without another append.
+  std::optional<EnvelopeId> unacknowledged() const {
     if (!in_flight_ || awaiting_answer_) return std::nullopt;
     return in_flight_->id;
   }
-  void OnSeen(absl::Time now);
+  void OnSeenInLog(absl::Time now);
 
-  size_t waiting() const {
+  size_t pending_entries() const {
     return queue_.size() + (in_flight_ ? in_flight_->entries.size() : 0);
   }
-  bool idle() const { return waiting() == 0; }
+  bool idle() const { return pending_entries() == 0; }
   int64_t appends() const { return appends_; }
   // Failures since the last success: 0 while the log answers.
   int failures() const { return failures_; }
 
  private:
-  absl::Duration BackOff();
+  absl::Duration NextBackoff();
 
   const Options options_;
   std::mt19937_64 random_;
@@ -77,7 +77,7 @@
   std::optional<Envelope> in_flight_;
   bool awaiting_answer_ = false;
   int64_t sequence_ = 0;
-  absl::Time not_before_ = absl::InfinitePast();
+  absl::Time next_send_at_ = absl::InfinitePast();
   int failures_ = 0;
   int64_t appends_ = 0;
 };
--- a/keelbridge/coordination/log_writer_test.cc
+++ b/keelbridge/coordination/log_writer_test.cc
@@ -36,14 +36,14 @@
   }
   CHECK(sends >= 12);
   CHECK(sends <= 30);
-  REQUIRE(writer.unsettled().has_value());
-  writer.OnSeen(now);
+  REQUIRE(writer.unacknowledged().has_value());
+  writer.OnSeenInLog(now);
   CHECK(writer.idle());
 }
 
 TEST_CASE("log writer: bounded, and says so") {
   LogWriter::Options options;
-  options.most_waiting = 10;
+  options.max_queued_entries = 10;
   LogWriter writer(options);
   for (int i = 0; i < 10; ++i) CHECK(writer.Add(LeaderEntry{i, "s"}));
   CHECK_FALSE(writer.Add(LeaderEntry{11, "s"}));
@@ -51,7 +51,7 @@
 
 TEST_CASE("log writer: large entries travel alone") {
   LogWriter::Options options;
-  options.most_bytes = 1000;
+  options.max_envelope_bytes = 1000;
   LogWriter writer(options);
   for (int i = 0; i < 3; ++i) {
     writer.Add(SnapshotEntry{"s", 0, i, 3, 0, std::string(900, 'x')});
--- a/keelbridge/coordination/membership.cc
+++ b/keelbridge/coordination/membership.cc
@@ -24,10 +24,10 @@
 
 // Whether `news` replaces `known`: a later incarnation, or of the same one a
 // graver state.
-bool Replaces(const Member& news, const Member& known) {
-  if (news.incarnation != known.incarnation)
-    return news.incarnation > known.incarnation;
-  return news.state > known.state;
+bool Replaces(const Member& update, const Member& known) {
+  if (update.incarnation != known.incarnation)
+    return update.incarnation > known.incarnation;
+  return update.state > known.state;
 }
 
 }  // namespace
@@ -58,7 +58,7 @@
       seeds_(std::move(seeds)),
       random_(seed) {}
 
-void Membership::Spread(const std::string& name) {
+void Membership::QueueChange(const std::string& name) {
   const auto it = std::find_if(changes_.begin(), changes_.end(),
                                [&](const Change& c) { return c.name == name; });
   if (it != changes_.end()) {
@@ -68,24 +68,24 @@
   }
 }
 
-void Membership::Learn(const Member& member, absl::Time now) {
+void Membership::ApplyUpdate(const Member& member, absl::Time now) {
   if (member.name.empty()) return;
   if (member.name == self_.name) {
     // Somebody doubts this host, or knows a former run of it under a higher
     // number: say otherwise.
-    const bool doubted = member.state != MemberState::kAlive &&
-                         member.incarnation >= self_.incarnation;
-    if (doubted && self_.state == MemberState::kAlive) {
+    const bool reported_not_alive = member.state != MemberState::kAlive &&
+                                    member.incarnation >= self_.incarnation;
+    if (reported_not_alive && self_.state == MemberState::kAlive) {
       self_.incarnation = member.incarnation + 1;
-      Spread(self_.name);
+      QueueChange(self_.name);
     }
     return;
   }
   const auto it = view_.find(member.name);
   if (it != view_.end() && !Replaces(member, it->second)) return;
   view_[member.name] = member;
-  since_[member.name] = now;
-  Spread(member.name);
+  state_since_[member.name] = now;
+  QueueChange(member.name);
 }
 
 MemberMessage Membership::MakeMessage() {
@@ -98,7 +98,7 @@
       [](const Change& a, const Change& b) { return a.sends < b.sends; });
   for (Change& change : changes_) {
     if (message.changes.size() >=
-        static_cast<size_t>(options_.changes_a_message))
+        static_cast<size_t>(options_.max_changes_per_message))
       break;
     ++change.sends;
     const auto it = view_.find(change.name);
@@ -106,7 +106,7 @@
   }
   changes_.erase(std::remove_if(changes_.begin(), changes_.end(),
                                 [this](const Change& c) {
-                                  return c.sends >= options_.sends_a_change;
+                                  return c.sends >= options_.sends_per_change;
                                 }),
                  changes_.end());
   return message;
@@ -115,39 +115,40 @@
 std::optional<Membership::Probe> Membership::Tick(absl::Time now) {
   for (auto it = view_.begin(); it != view_.end();) {
     Member& member = it->second;
-    const absl::Duration age = now - since_[member.name];
-    if (member.state == MemberState::kSuspect && age >= options_.suspect_for) {
+    const absl::Duration age = now - state_since_[member.name];
+    if (member.state == MemberState::kSuspect &&
+        age >= options_.suspect_timeout) {
       member.state = MemberState::kDead;
-      since_[member.name] = now;
-      Spread(member.name);
+      state_since_[member.name] = now;
+      QueueChange(member.name);
     }
     const bool gone = member.state == MemberState::kDead ||
                       member.state == MemberState::kLeft;
     if (gone && age >= options_.forget_after) {
-      since_.erase(member.name);
+      state_since_.erase(member.name);
       it = view_.erase(it);
     } else {
       ++it;
     }
   }
-  if (now < next_round_) return std::nullopt;
-  next_round_ = now + options_.round;
-  if (turns_.empty()) {
+  if (now < next_probe_at_) return std::nullopt;
+  next_probe_at_ = now + options_.probe_interval;
+  if (probe_order_.empty()) {
     for (const auto& [name, member] : view_) {
       if (member.state == MemberState::kAlive ||
           member.state == MemberState::kSuspect)
-        turns_.push_back(name);
+        probe_order_.push_back(name);
     }
-    std::shuffle(turns_.begin(), turns_.end(), random_);
+    std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
     // One seed a turn, so that two halves that once lost each other meet again.
     if (!seeds_.empty()) {
       const std::string& address = seeds_[next_seed_++ % seeds_.size()];
       if (address != self_.address) return Probe{"", address, MakeMessage()};
     }
   }
-  while (!turns_.empty()) {
-    const std::string name = turns_.back();
-    turns_.pop_back();
+  while (!probe_order_.empty()) {
+    const std::string name = probe_order_.back();
+    probe_order_.pop_back();
     const auto it = view_.find(name);
     if (it == view_.end()) continue;
     return Probe{name, it->second.address, MakeMessage()};
@@ -155,33 +156,33 @@
   return std::nullopt;
 }
 
-void Membership::Note(const MemberMessage& message, absl::Time now) {
-  Learn(message.sender, now);
-  for (const Member& member : message.changes) Learn(member, now);
+void Membership::ApplyMessage(const MemberMessage& message, absl::Time now) {
+  ApplyUpdate(message.sender, now);
+  for (const Member& member : message.changes) ApplyUpdate(member, now);
   if (message.configuration_version > version_) {
-    newer_at_ = message.sender.address;
-  } else if (newer_at_ == message.sender.address) {
-    newer_at_.reset();
+    newer_configuration_at_ = message.sender.address;
+  } else if (newer_configuration_at_ == message.sender.address) {
+    newer_configuration_at_.reset();
   }
 }
 
 MemberMessage Membership::OnProbe(const MemberMessage& probe, absl::Time now) {
-  Note(probe, now);
+  ApplyMessage(probe, now);
   return MakeMessage();
 }
 
 void Membership::OnAnswer(const Probe& probe,
                           const std::optional<MemberMessage>& answer,
                           absl::Time now) {
-  if (answer) return Note(*answer, now);
+  if (answer) return ApplyMessage(*answer, now);
   const auto it = view_.find(probe.name);
   if (it == view_.end() || it->second.state != MemberState::kAlive) return;
   it->second.state = MemberState::kSuspect;
-  since_[probe.name] = now;
-  Spread(probe.name);
+  state_since_[probe.name] = now;
+  QueueChange(probe.name);
 }
 
-MemberMessage Membership::Farewell() {
+MemberMessage Membership::MakeLeaveMessage() {
   self_.state = MemberState::kLeft;
   return MakeMessage();
 }
--- a/keelbridge/coordination/membership.h
+++ b/keelbridge/coordination/membership.h
@@ -51,11 +51,11 @@
 class Membership {
  public:
   struct Options {
-    absl::Duration round = absl::Seconds(1);
-    absl::Duration suspect_for = absl::Seconds(3);
+    absl::Duration probe_interval = absl::Seconds(1);
+    absl::Duration suspect_timeout = absl::Seconds(3);
     absl::Duration forget_after = absl::Minutes(5);
-    int changes_a_message = 6;
-    int sends_a_change = 8;  // How often a change is passed on.
+    int max_changes_per_message = 6;
+    int sends_per_change = 8;  // How often a change is passed on.
   };
 
   struct Probe {
@@ -75,14 +75,16 @@
   void OnAnswer(const Probe& probe, const std::optional<MemberMessage>& answer,
                 absl::Time now);
   // What to tell others when this host leaves on purpose.
-  MemberMessage Farewell();
+  MemberMessage MakeLeaveMessage();
 
   void SetConfigurationVersion(int64_t version) { version_ = version; }
   // Alive and suspected members with this host, by name.
   std::vector<Member> Live() const;
   const std::map<std::string, Member>& all() const { return view_; }
   // A peer that said it has a newer configuration than this host.
-  std::optional<std::string> NewerConfigurationAt() const { return newer_at_; }
+  std::optional<std::string> NewerConfigurationAt() const {
+    return newer_configuration_at_;
+  }
 
  private:
   struct Change {
@@ -90,23 +92,23 @@
     int sends = 0;
   };
 
-  void Learn(const Member& member, absl::Time now);
-  void Spread(const std::string& name);
+  void ApplyUpdate(const Member& member, absl::Time now);
+  void QueueChange(const std::string& name);
   MemberMessage MakeMessage();
-  void Note(const MemberMessage& message, absl::Time now);
+  void ApplyMessage(const MemberMessage& message, absl::Time now);
 
   const Options options_;
   Member self_;
   const std::vector<std::string> seeds_;
   std::mt19937_64 random_;
   std::map<std::string, Member> view_;  // Without this host.
-  std::map<std::string, absl::Time> since_;
+  std::map<std::string, absl::Time> state_since_;
   std::vector<Change> changes_;
-  std::vector<std::string> turns_;
+  std::vector<std::string> probe_order_;
   size_t next_seed_ = 0;
-  absl::Time next_round_ = absl::InfinitePast();
+  absl::Time next_probe_at_ = absl::InfinitePast();
   int64_t version_ = -1;
-  std::optional<std::string> newer_at_;
+  std::optional<std::string> newer_configuration_at_;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/membership_test.cc
+++ b/keelbridge/coordination/membership_test.cc
@@ -30,7 +30,7 @@
     for (int step = 0; step < rounds * 4; ++step) {
       now_ += absl::Milliseconds(250);
       for (size_t i = 0; i < hosts_.size(); ++i) {
-        if (hosts_[i]) Round(*hosts_[i]);
+        if (hosts_[i]) ProbeOnce(*hosts_[i]);
       }
     }
   }
@@ -41,7 +41,7 @@
   double bytes = 0;
 
  private:
-  void Round(Membership& host) {
+  void ProbeOnce(Membership& host) {
     const auto probe = host.Tick(now_);
     if (!probe) return;
     const int to = std::stoi(probe->address.substr(1));
@@ -88,8 +88,8 @@
 TEST_CASE("membership: a farewell is believed at once") {
   Hosts hosts(4);
   hosts.RunFor(20);
-  const MemberMessage farewell = hosts.at(2).Farewell();
-  hosts.at(0).OnProbe(farewell, absl::FromUnixSeconds(2000));
+  const MemberMessage leave_message = hosts.at(2).MakeLeaveMessage();
+  hosts.at(0).OnProbe(leave_message, absl::FromUnixSeconds(2000));
   CHECK(hosts.LiveAt(0) == 3);
 }
 
--- a/keelbridge/coordination/order_routing.cc
+++ b/keelbridge/coordination/order_routing.cc
@@ -32,7 +32,7 @@
   zone_of_worker_.erase(found);
 }
 
-bool OrderRouting::relays() const {
+bool OrderRouting::UsesRelays() const {
   return static_cast<double>(zone_of_worker_.size()) >
          options_.direct_workers_per_processor * own_capacity_;
 }
@@ -40,33 +40,33 @@
 const OrderRouting::Node* OrderRouting::RouteOf(const std::string& worker,
                                                 const std::string& zone,
                                                 absl::Time now) const {
-  if (!relays()) return nullptr;
+  if (!UsesRelays()) return nullptr;
   const auto nodes = by_zone_.find(zone);
   const auto workers = workers_in_zone_.find(zone);
   if (nodes == by_zone_.end() || workers == workers_in_zone_.end())
     return nullptr;
-  const size_t wanted = 1 + workers->second / options_.workers_per_relay;
-  const auto chosen = [&](bool avoid) {
-    std::vector<const Node*> able;
+  const size_t relay_count = 1 + workers->second / options_.workers_per_relay;
+  const auto choose = [&](bool avoid) {
+    std::vector<const Node*> candidates;
     for (const Node& node : nodes->second) {
-      if (able.size() == wanted) break;
+      if (candidates.size() == relay_count) break;
       const auto avoided = avoided_until_.find(node.name);
       if (!avoid || avoided == avoided_until_.end() || avoided->second <= now)
-        able.push_back(&node);
+        candidates.push_back(&node);
     }
-    return able;
+    return candidates;
   };
-  std::vector<const Node*> able = chosen(true);
-  if (able.empty()) able = chosen(false);
-  return able[std::hash<std::string>()(worker) % able.size()];
+  std::vector<const Node*> candidates = choose(true);
+  if (candidates.empty()) candidates = choose(false);
+  return candidates[std::hash<std::string>()(worker) % candidates.size()];
 }
 
-bool OrderRouting::OnUnanswered(const std::string& node, absl::Time now) {
+bool OrderRouting::OnRelayFailure(const std::string& node, absl::Time now) {
   absl::Time& until =
       avoided_until_.try_emplace(node, absl::InfinitePast()).first->second;
-  const bool fresh = until <= now;
+  const bool newly_avoided = until <= now;
   until = now + options_.avoid;
-  return fresh;
+  return newly_avoided;
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/order_routing.h
+++ b/keelbridge/coordination/order_routing.h
@@ -60,9 +60,9 @@
   const Node* RouteOf(const std::string& worker, const std::string& zone,
                       absl::Time now) const;
   // Whether it was not avoided before.
-  bool OnUnanswered(const std::string& node, absl::Time now);
+  bool OnRelayFailure(const std::string& node, absl::Time now);
   // Whether other nodes carry orders.
-  bool relays() const;
+  bool UsesRelays() const;
 
  private:
   const Options options_;
--- a/keelbridge/coordination/order_routing_test.cc
+++ b/keelbridge/coordination/order_routing_test.cc
@@ -39,41 +39,41 @@
 
 TEST_CASE("order routing: a leader of few workers carries its orders itself") {
   OrderRouting routing = TwoZones();
-  CHECK(routing.relays());
+  CHECK(routing.UsesRelays());
   for (int i = 0; i < 10; ++i) routing.RemoveWorker("e" + std::to_string(i));
-  CHECK_FALSE(routing.relays());
+  CHECK_FALSE(routing.UsesRelays());
   CHECK(RelayOf(routing, "w1", "west").empty());
 }
 
 TEST_CASE("order routing: the ablest nodes of a worker's zone carry orders") {
   const OrderRouting routing = TwoZones();
-  std::map<std::string, int> carried;
+  std::map<std::string, int> orders_by_relay;
   for (int i = 0; i < 10; ++i) {
-    ++carried[RelayOf(routing, "w" + std::to_string(i), "west")];
+    ++orders_by_relay[RelayOf(routing, "w" + std::to_string(i), "west")];
     CHECK(RelayOf(routing, "e" + std::to_string(i), "east") == "east");
   }
-  CHECK(carried.size() == 2);
-  CHECK(carried["able"] > 0);
-  CHECK(carried["middle"] > 0);
+  CHECK(orders_by_relay.size() == 2);
+  CHECK(orders_by_relay["able"] > 0);
+  CHECK(orders_by_relay["middle"] > 0);
 }
 
 TEST_CASE("order routing: one that did not answer is avoided for a while") {
   OrderRouting routing = TwoZones();
-  routing.OnUnanswered("east", kBegin);
-  routing.OnUnanswered("able", kBegin);
+  routing.OnRelayFailure("east", kBegin);
+  routing.OnRelayFailure("able", kBegin);
   for (int i = 0; i < 10; ++i)
     CHECK(RelayOf(routing, "w" + std::to_string(i), "west") != "able");
-  bool again = false;
+  bool used_again = false;
   for (int i = 0; i < 10; ++i)
-    again = again || RelayOf(routing, "w" + std::to_string(i), "west",
-                             kBegin + absl::Seconds(2)) == "able";
-  CHECK(again);
+    used_again = used_again || RelayOf(routing, "w" + std::to_string(i), "west",
+                                       kBegin + absl::Seconds(2)) == "able";
+  CHECK(used_again);
 }
 
 // A leader that overloads its link must not take all orders back.
 TEST_CASE("order routing: the last relay of a zone is never passed over") {
   OrderRouting routing = TwoZones();
-  routing.OnUnanswered("east", kBegin);
+  routing.OnRelayFailure("east", kBegin);
   CHECK(RelayOf(routing, "e1", "east") == "east");
 }
 
--- a/keelbridge/coordination/planner.cc
+++ b/keelbridge/coordination/planner.cc
@@ -15,9 +15,9 @@
 
 // The forecast stops after this many starts and ends; what is later is said to
 // be beyond it.
-constexpr int kMostForecastEvents = 60000;
+constexpr int kMaxForecastEvents = 60000;
 constexpr int kDecideBudget = 4000;
-constexpr int kMostWorkersShown = 4;
+constexpr int kMaxWorkersShown = 4;
 constexpr int32_t kFirstForecastGroup = 1 << 30;
 constexpr absl::Duration kForecastStopTime =
     absl::Seconds(1);  // What a yield takes in the forecast.
@@ -74,7 +74,7 @@
 }
 
 // What the forecast saw of one intent.
-struct Outlook {
+struct ForecastSummary {
   int64_t started = 0;
   int64_t started_at_once = 0;
   int64_t last_end_ms = 0;
@@ -89,14 +89,15 @@
       : decider_(decider), start_ms_(MonoMillis(now)), now_ms_(start_ms_) {
     for (WorkerId w = 0; w < static_cast<WorkerId>(decider_.cell().size());
          ++w) {
-      for (const TaskId id : decider_.TasksOn(w)) NoteEnd(id);
+      for (const TaskId id : decider_.TasksOn(w)) ScheduleEnd(id);
     }
   }
 
   void Submit(const Intent& intent, int32_t group, Now now) {
     const int16_t team = decider_.FindTeam(intent.team);
     for (int64_t i = 0; i < intent.tasks; ++i)
-      mine_[decider_.Submit(SpecOf(intent, group, team, now), now_ms_)] = group;
+      submitted_[decider_.Submit(MakeTaskSpec(intent, group, team, now),
+                                 now_ms_)] = group;
   }
 
   void Drain(const std::string& worker) {
@@ -106,45 +107,47 @@
     drained_ += static_cast<int64_t>(decider_.TasksOn(id).size());
     const std::vector<TaskId> tasks = decider_.TasksOn(id);
     for (const TaskId task : tasks)
-      decider_.OnStopped(task, decider_.task(task).done_ms, now_ms_);
+      decider_.OnStopped(task, decider_.task(task).saved_progress_ms, now_ms_);
   }
 
   void Run() {
     int events = 0;
-    while (events < kMostForecastEvents) {
+    while (events < kMaxForecastEvents) {
       for (const Order& order : decider_.Decide(now_ms_, kDecideBudget)) {
         ++events;
-        Take(order);
+        ApplyOrder(order);
       }
-      const bool more = !ends_.empty() && WaitingOfMine() > 0;
+      const bool more = !ends_.empty() && WaitingSubmitted() > 0;
       if (!more) break;
       now_ms_ = std::max(now_ms_, ends_.top().first);
       while (!ends_.empty() && ends_.top().first <= now_ms_) {
         const TaskId id = ends_.top().second;
         ends_.pop();
         ++events;
-        End(id);
+        EndTask(id);
       }
     }
   }
 
   const Decider& decider() const { return decider_; }
-  Outlook& outlook(int32_t group) { return outlooks_[group]; }
-  int64_t WaitingOfMine() const {
-    int64_t waiting = static_cast<int64_t>(mine_.size());
-    for (const auto& [group, outlook] : outlooks_) waiting -= outlook.started;
+  ForecastSummary& summary(int32_t group) { return summaries_[group]; }
+  int64_t WaitingSubmitted() const {
+    int64_t waiting = static_cast<int64_t>(submitted_.size());
+    for (const auto& [group, summary] : summaries_) waiting -= summary.started;
     return waiting;
   }
   int64_t drained() const { return drained_; }
-  const std::vector<TaskId>& yielded() const { return yielded_; }
-  double yield_cost_s() const { return decider_.counts().yield_cost_s; }
+  const std::vector<TaskId>& preempted() const { return preempted_; }
+  double preemption_cost_s() const {
+    return decider_.counts().preemption_cost_s;
+  }
 
  private:
-  using End_ = std::pair<int64_t, TaskId>;
+  using EndEvent = std::pair<int64_t, TaskId>;
 
-  void NoteEnd(TaskId id) {
+  void ScheduleEnd(TaskId id) {
     const TaskRow& row = decider_.task(id);
-    if (row.state == TaskState::kYielding) {
+    if (row.state == TaskState::kBeingPreempted) {
       ends_.emplace(now_ms_ + absl::ToInt64Milliseconds(kForecastStopTime), id);
     } else if (!row.service && row.state == TaskState::kPlaced) {
       ends_.emplace(std::max(now_ms_ + 1, row.started_ms + row.duration_ms),
@@ -152,34 +155,34 @@
     }
   }
 
-  void Take(const Order& order) {
-    if (order.kind == Order::Kind::kYield) {
-      yielded_.push_back(order.task);
-      NoteEnd(order.task);
+  void ApplyOrder(const Order& order) {
+    if (order.kind == Order::Kind::kPreempt) {
+      preempted_.push_back(order.task);
+      ScheduleEnd(order.task);
       return;
     }
-    NoteEnd(order.task);
-    const auto it = mine_.find(order.task);
-    if (it == mine_.end()) return;
-    Outlook& outlook = outlooks_[it->second];
-    ++outlook.started;
+    ScheduleEnd(order.task);
+    const auto it = submitted_.find(order.task);
+    if (it == submitted_.end()) return;
+    ForecastSummary& summary = summaries_[it->second];
+    ++summary.started;
     if (now_ms_ <= start_ms_ + absl::ToInt64Milliseconds(kForecastStopTime))
-      ++outlook.started_at_once;
-    outlook.last_start_ms = now_ms_ - start_ms_;
-    outlook.last_end_ms =
-        std::max(outlook.last_end_ms,
-                 now_ms_ - start_ms_ + decider_.task(order.task).longest_ms);
-    ++outlook.workers[decider_.cell().Name(order.worker)];
+      ++summary.started_at_once;
+    summary.last_start_ms = now_ms_ - start_ms_;
+    summary.last_end_ms = std::max(
+        summary.last_end_ms,
+        now_ms_ - start_ms_ + decider_.task(order.task).max_duration_ms);
+    ++summary.workers[decider_.cell().Name(order.worker)];
   }
 
-  void End(TaskId id) {
+  void EndTask(TaskId id) {
     const TaskRow& row = decider_.task(id);
-    if (row.state == TaskState::kYielding) {
-      decider_.OnStopped(id,
-                         row.checkpoints
-                             ? row.done_ms + (now_ms_ - row.started_ms)
-                             : row.done_ms,
-                         now_ms_);
+    if (row.state == TaskState::kBeingPreempted) {
+      decider_.OnStopped(
+          id,
+          row.checkpoints ? row.saved_progress_ms + (now_ms_ - row.started_ms)
+                          : row.saved_progress_ms,
+          now_ms_);
     } else if (row.state == TaskState::kPlaced &&
                row.started_ms + row.duration_ms <= now_ms_) {
       decider_.OnEnded(id, now_ms_);
@@ -189,10 +192,10 @@
   Decider decider_;
   const int64_t start_ms_;
   int64_t now_ms_;
-  std::map<TaskId, int32_t> mine_;
-  std::map<int32_t, Outlook> outlooks_;
-  std::priority_queue<End_, std::vector<End_>, std::greater<>> ends_;
-  std::vector<TaskId> yielded_;
+  std::map<TaskId, int32_t> submitted_;
+  std::map<int32_t, ForecastSummary> summaries_;
+  std::priority_queue<EndEvent, std::vector<EndEvent>, std::greater<>> ends_;
+  std::vector<TaskId> preempted_;
   int64_t drained_ = 0;
 };
 
@@ -200,55 +203,56 @@
   return absl::FormatDuration(absl::Seconds((ms + 999) / 1000));
 }
 
-std::string WorkersText(const Outlook& outlook) {
-  std::vector<std::pair<std::string, int64_t>> workers(outlook.workers.begin(),
-                                                       outlook.workers.end());
+std::string WorkersText(const ForecastSummary& summary) {
+  std::vector<std::pair<std::string, int64_t>> workers(summary.workers.begin(),
+                                                       summary.workers.end());
   std::sort(workers.begin(), workers.end(),
             [](const auto& a, const auto& b) { return a.second > b.second; });
   std::vector<std::string> parts;
-  for (size_t i = 0; i < workers.size() && i < kMostWorkersShown; ++i) {
+  for (size_t i = 0; i < workers.size() && i < kMaxWorkersShown; ++i) {
     parts.push_back(absl::StrCat(workers[i].first, " ", workers[i].second));
   }
-  if (workers.size() > kMostWorkersShown) {
+  if (workers.size() > kMaxWorkersShown) {
     parts.push_back(
-        absl::StrCat(workers.size() - kMostWorkersShown, " workers more"));
+        absl::StrCat(workers.size() - kMaxWorkersShown, " workers more"));
   }
   return absl::StrJoin(parts, ", ");
 }
 
-void DescribeWork(const Intent& intent, Outlook& outlook, Now now, Plan& plan) {
-  if (outlook.started_at_once > 0) {
-    plan.steps.push_back({"start", intent.id, "", outlook.started_at_once, 0,
-                          "on " + WorkersText(outlook)});
+void DescribeWork(const Intent& intent, ForecastSummary& summary, Now now,
+                  Plan& plan) {
+  if (summary.started_at_once > 0) {
+    plan.steps.push_back({"start", intent.id, "", summary.started_at_once, 0,
+                          "on " + WorkersText(summary)});
   }
-  const int64_t later = outlook.started - outlook.started_at_once;
+  const int64_t later = summary.started - summary.started_at_once;
   if (later > 0) {
-    plan.steps.push_back({"wait", intent.id, "", later, outlook.last_start_ms,
+    plan.steps.push_back({"wait", intent.id, "", later, summary.last_start_ms,
                           absl::StrCat("the last of them starts in about ",
-                                       Seconds(outlook.last_start_ms))});
+                                       Seconds(summary.last_start_ms))});
   }
-  const int64_t never = intent.tasks - outlook.started;
-  if (never > 0) {
+  const int64_t unplaced = intent.tasks - summary.started;
+  if (unplaced > 0) {
     plan.risks.push_back(
-        absl::StrCat(intent.id, ": ", never,
+        absl::StrCat(intent.id, ": ", unplaced,
                      " tasks find no room within the forecast; add workers, or "
                      "cancel other work"));
   }
   if (intent.deadline_ms == 0 || intent.kind != IntentKind::kBatch) return;
   const int64_t deadline_in = intent.deadline_ms - ToMillis(now.wall);
-  if (never == 0 && outlook.last_end_ms <= deadline_in) return;
-  const std::string earliest = never > 0
+  if (unplaced == 0 && summary.last_end_ms <= deadline_in) return;
+  const std::string earliest = unplaced > 0
                                    ? "none within the forecast"
-                                   : Seconds(outlook.last_end_ms) + " from now";
+                                   : Seconds(summary.last_end_ms) + " from now";
   plan.risks.push_back(
       absl::StrCat(intent.id, ": the deadline in ", Seconds(deadline_in),
                    " cannot be kept; the earliest that can: ", earliest));
 }
 
-void DescribeYields(const Forecast& forecast, const PlanContext& context,
-                    Plan& plan) {
+void DescribePreemptions(const Forecast& forecast, const PlanContext& context,
+                         Plan& plan) {
   std::map<std::string, int64_t> by_intent;
-  for (const TaskId id : forecast.yielded()) {
+  for (const TaskId id : forecast.preempted()) {
     const std::string name = context.name_of(id);
     ++by_intent[name.substr(0, name.rfind('/'))];
   }
@@ -257,11 +261,11 @@
                           "makes room and waits for its turn again"});
   }
   if (!by_intent.empty()) {
-    plan.weighed.push_back(
+    plan.rejected_alternatives.push_back(
         absl::StrFormat("yields lose about %.0f s of work; waiting for room in "
                         "place of them was weighed "
                         "and ruled out by the class of the new work",
-                        forecast.yield_cost_s()));
+                        forecast.preemption_cost_s()));
   }
 }
 
@@ -275,7 +279,7 @@
         absl::StrFormat("%s: %.1f%% -> %.1f%% of the zone at the end of the "
                         "forecast (quota %.1f%%)",
                         before.TeamName(team), 100 * from, 100 * to,
-                        100 * before.QuotaOf(team)));
+                        100 * before.ComputeWorkerQuota(team)));
   }
 }
 
@@ -292,7 +296,8 @@
 
 }  // namespace
 
-TaskSpec SpecOf(const Intent& intent, int32_t group, int16_t team, Now now) {
+TaskSpec MakeTaskSpec(const Intent& intent, int32_t group, int16_t team,
+                      Now now) {
   TaskSpec spec;
   spec.need = intent.resources;
   spec.group = group;
@@ -300,7 +305,7 @@
   spec.work_class = intent.work_class;
   spec.checkpoints = intent.checkpoints;
   spec.spread = intent.spread_racks;
-  spec.pinned = !intent.repeatable && !intent.checkpoints;
+  spec.non_preemptible = !intent.repeatable && !intent.checkpoints;
   spec.duration_ms = absl::ToInt64Milliseconds(intent.task_duration);
   spec.estimate_error = intent.estimate_error;
   if (intent.deadline_ms != 0)
@@ -343,7 +348,7 @@
     if (IsWork(intents[i])) {
       DescribeWork(
           intents[i],
-          forecast.outlook(kFirstForecastGroup + static_cast<int32_t>(i)), now,
+          forecast.summary(kFirstForecastGroup + static_cast<int32_t>(i)), now,
           plan);
     } else {
       DescribeChange(intents[i], plan);
@@ -354,7 +359,7 @@
         {"move", "", "", forecast.drained(), 0,
          "tasks of drained hosts stop there and start elsewhere"});
   }
-  DescribeYields(forecast, context, plan);
+  DescribePreemptions(forecast, context, plan);
   DescribeQuotas(context.decider, forecast.decider(), plan);
   plan.intents = std::move(intents);
   return plan;
--- a/keelbridge/coordination/planner.h
+++ b/keelbridge/coordination/planner.h
@@ -34,7 +34,8 @@
                       Now now);
 
 // How the decision core sees one task of `intent`.
-TaskSpec SpecOf(const Intent& intent, int32_t group, int16_t team, Now now);
+TaskSpec MakeTaskSpec(const Intent& intent, int32_t group, int16_t team,
+                      Now now);
 
 }  // namespace keelbridge
 
--- a/keelbridge/coordination/router.cc
+++ b/keelbridge/coordination/router.cc
@@ -18,11 +18,11 @@
     services_[service.name] = service;
   for (const TargetConfig& config : configuration.targets) {
     if (config.zone != zone) continue;
-    const auto old = targets_.find(config.name);
+    const auto previous = targets_.find(config.name);
     // What is in flight stays counted when the configuration changes.
-    Target target = old == targets_.end() ? Target() : old->second;
+    Target target = previous == targets_.end() ? Target() : previous->second;
     target.config = config;
-    Reshare(target);
+    UpdateShare(target);
     for (const std::string& service : config.services)
       by_service_[service].push_back(config.name);
     targets[config.name] = std::move(target);
@@ -33,18 +33,18 @@
 void Router::SetShare(int index, int count) {
   index_ = index;
   count_ = std::max(1, count);
-  for (auto& [name, target] : targets_) Reshare(target);
+  for (auto& [name, target] : targets_) UpdateShare(target);
 }
 
-void Router::Reshare(Target& target) const {
+void Router::UpdateShare(Target& target) const {
   // The remainder goes round by target, so that no gateway always gets it.
   // Connections bind where they are fewer.
   const int64_t limit =
       std::min(target.config.slots, target.config.connections);
-  const int64_t turn = static_cast<int64_t>(
+  const int64_t rotation = static_cast<int64_t>(
       XXH64(target.config.name.data(), target.config.name.size(), 0) % count_);
-  const int64_t place = (index_ + turn) % count_;
-  target.share = limit / count_ + (place < limit % count_ ? 1 : 0);
+  const int64_t position = (index_ + rotation) % count_;
+  target.share = limit / count_ + (position < limit % count_ ? 1 : 0);
 }
 
 const ServiceConfig* Router::FindService(const std::string& name) const {
@@ -100,9 +100,9 @@
                      absl::StrCat("all targets for ", service, " are busy"),
                      options_.retry_after);
   }
-  std::uniform_int_distribution<size_t> any(0, free.size() - 1);
-  Target* a = free[any(random_)];
-  Target* b = free[any(random_)];
+  std::uniform_int_distribution<size_t> random_index(0, free.size() - 1);
+  Target* a = free[random_index(random_)];
+  Target* b = free[random_index(random_)];
   // Compared as fractions of their shares, by cross multiplication.
   Target* pick = a->in_flight * b->share <= b->in_flight * a->share ? a : b;
   ++pick->in_flight;
@@ -125,9 +125,10 @@
       ++target.failures < options_.eject_after)
     return;
   target.failures = 0;
-  const absl::Duration length =
-      options_.first_ejection * (1 << std::min(target.ejections++, 8));
-  target.ejected_until = now + std::min(length, options_.longest_ejection);
+  const absl::Duration ejection_duration =
+      options_.initial_ejection * (1 << std::min(target.ejections++, 8));
+  target.ejected_until =
+      now + std::min(ejection_duration, options_.max_ejection);
 }
 
 bool Router::MayRetry(AttemptResult result, bool repeatable) {
--- a/keelbridge/coordination/router.h
+++ b/keelbridge/coordination/router.h
@@ -41,17 +41,18 @@
 class RetryBudget {
  public:
   struct Options {
-    double earned = 0.2;  // For each first try.
-    double most = 20;
+    double tokens_per_first_try = 0.2;  // For each first try.
+    double max_tokens = 20;
   };
   explicit RetryBudget(Options options)
-      : options_(options), tokens_(options.most) {}
+      : options_(options), tokens_(options.max_tokens) {}
 
   void OnFirstTry() {
-    tokens_ = std::min(options_.most, tokens_ + options_.earned);
+    tokens_ =
+        std::min(options_.max_tokens, tokens_ + options_.tokens_per_first_try);
   }
   // True when a retry is allowed, and then pays for it.
-  bool Spend() {
+  bool TrySpend() {
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
@@ -67,8 +68,8 @@
  public:
   struct Options {
     int eject_after = 5;  // Failures in a row.
-    absl::Duration first_ejection = absl::Seconds(2);
-    absl::Duration longest_ejection = absl::Seconds(30);
+    absl::Duration initial_ejection = absl::Seconds(2);
+    absl::Duration max_ejection = absl::Seconds(30);
     absl::Duration retry_after =
         absl::Seconds(1);  // Told to callers who find no room.
     uint64_t seed = 1;
@@ -119,7 +120,7 @@
     absl::Time ejected_until = absl::InfinitePast();
   };
 
-  void Reshare(Target& target) const;
+  void UpdateShare(Target& target) const;
 
   const Options options_;
   std::mt19937_64 random_;
--- a/keelbridge/coordination/router_test.cc
+++ b/keelbridge/coordination/router_test.cc
@@ -9,7 +9,7 @@
 
 const absl::Time kNow = absl::FromUnixSeconds(1000);
 
-Configuration Targets(int count, int64_t slots) {
+Configuration MakeConfiguration(int count, int64_t slots) {
   Configuration configuration;
   configuration.services = {{"licence", true, absl::Seconds(1)}};
   for (int i = 0; i < count; ++i) {
@@ -24,7 +24,7 @@
     std::vector<int64_t> sums(5, 0);
     for (int g = 0; g < gateways; ++g) {
       Router router({});
-      router.SetConfiguration(Targets(5, 8), "z");
+      router.SetConfiguration(MakeConfiguration(5, 8), "z");
       router.SetShare(g, gateways);
       for (int t = 0; t < 5; ++t) {
         sums[t] += router.ShareOf(absl::StrCat("t", t));
@@ -36,7 +36,7 @@
 
 TEST_CASE("no more in flight than the share; then overload is said at once") {
   Router router({});
-  router.SetConfiguration(Targets(3, 4), "z");
+  router.SetConfiguration(MakeConfiguration(3, 4), "z");
   for (int i = 0; i < 12; ++i) {
     CHECK(router.Choose("licence", {}, kNow).has_value());
   }
@@ -50,7 +50,7 @@
 
 TEST_CASE("leaving targets and those tried before get nothing") {
   Router router({});
-  router.SetConfiguration(Targets(3, 100), "z");
+  router.SetConfiguration(MakeConfiguration(3, 100), "z");
   router.SetLeaving({"t0"});
   for (int i = 0; i < 50; ++i) {
     CHECK(router.Choose("licence", {"t1"}, kNow).value().target == "t2");
@@ -60,7 +60,7 @@
 
 TEST_CASE("a target that fails again and again is left out, then tried again") {
   Router router({});
-  router.SetConfiguration(Targets(4, 100), "z");
+  router.SetConfiguration(MakeConfiguration(4, 100), "z");
   for (int i = 0; i < 5; ++i) {
     router.Done("t2", AttemptResult::kNoAnswer, kNow);
   }
@@ -74,7 +74,7 @@
 TEST_CASE(
     "when most targets fail all are used: the fault is more likely ours") {
   Router router({});
-  router.SetConfiguration(Targets(3, 100), "z");
+  router.SetConfiguration(MakeConfiguration(3, 100), "z");
   for (const char* target : {"t0", "t1", "t2"}) {
     for (int i = 0; i < 5; ++i) {
       router.Done(target, AttemptResult::kNoAnswer, kNow);
@@ -96,7 +96,7 @@
   int retries = 0;
   for (int i = 0; i < 10000; ++i) {
     budget.OnFirstTry();
-    while (budget.Spend()) ++retries;
+    while (budget.TrySpend()) ++retries;
   }
   CHECK(retries <= 0.2 * 10000 + 20);
 }
--- a/keelbridge/coordination/site_election.cc
+++ b/keelbridge/coordination/site_election.cc
@@ -12,13 +12,13 @@
 namespace {
 
 // After this long no earlier leader gives orders, whatever it believes.
-constexpr int64_t kEarlierLeaderMs = 30000;
+constexpr int64_t kEarlierLeaderExpiryMs = 30000;
 // A node with less than this share of the best one's capacity is weak.
-constexpr double kWeakShare = 0.5;
+constexpr double kWeakCapacityRatio = 0.5;
 // Without peers to compare with, a node with less than this many processors
 // gives others a head start, the longer the less it has.
-constexpr double kAmpleProcessors = 0.25;
-constexpr absl::Duration kHeadStart = absl::Seconds(1);
+constexpr double kSufficientProcessors = 0.25;
+constexpr absl::Duration kMaxHeadStart = absl::Seconds(1);
 
 bool IsEarlierLeader(const Json::Value& value) {
   return value.isObject() && value["address"].isString() &&
@@ -35,10 +35,10 @@
   value["address"] = leader.address;
   value["claimed_ms"] = Json::Int64(leader.claimed_ms);
   for (const EarlierLeader& earlier : leader.earlier) {
-    Json::Value one(Json::objectValue);
-    one["address"] = earlier.address;
-    one["claimed_ms"] = Json::Int64(earlier.claimed_ms);
-    value["earlier"].append(one);
+    Json::Value entry(Json::objectValue);
+    entry["address"] = earlier.address;
+    entry["claimed_ms"] = Json::Int64(earlier.claimed_ms);
+    value["earlier"].append(entry);
   }
   return Record{kLeaderKey, ToJsonText(value)};
 }
@@ -63,9 +63,9 @@
   leader.boot = value["boot"].asUInt64();
   leader.address = value["address"].asString();
   leader.claimed_ms = value["claimed_ms"].asInt64();
-  for (const Json::Value& one : earlier)
+  for (const Json::Value& entry : earlier)
     leader.earlier.push_back(
-        {one["address"].asString(), one["claimed_ms"].asInt64()});
+        {entry["address"].asString(), entry["claimed_ms"].asInt64()});
   return leader;
 }
 
@@ -75,9 +75,9 @@
       records.begin(), records.end(),
       [](const Record& record) { return record.key == kLeaderKey; });
   for (const UnreadableItem& item : reply.unreadable) {
-    const bool leaders =
+    const bool is_leader_record =
         item.key == kLeaderKey || (item.key.empty() && !leader_read);
-    if (leaders) records.push_back({kLeaderKey, "", -1});
+    if (is_leader_record) records.push_back({kLeaderKey, "", -1});
   }
   return records;
 }
@@ -95,7 +95,7 @@
   leader_ = leader;
   leads_ = leader.boot == boot_;
   leader_gone_ = false;
-  last_heard_ = now;  // A new leader gets time to be heard.
+  last_contact_ = now;  // A new leader gets time to be heard.
   // This process's record from before it was started again: nobody leads.
   if (!leads_ && leader.node == node_) OnLeaderGone(now);
 }
@@ -112,25 +112,26 @@
     const bool confirmed = control_end_ > 0 && end > control_end_ &&
                            leader->boot == leader_.boot &&
                            leader->epoch == leader_.epoch;
-    if (confirmed) last_heard_ = std::max(last_heard_, now);
+    if (confirmed) last_contact_ = std::max(last_contact_, now);
     Follow(*leader, now);
   }
-  control_known_ = true;
+  control_current_ = true;
   control_end_ = std::max(control_end_, end);
 }
 
-void SiteElection::OnLeaderHeard(const LeaderRecord& leader, absl::Time now) {
-  if (leader.epoch > leader_.epoch) control_known_ = false;
+void SiteElection::OnLeaderReported(const LeaderRecord& leader,
+                                    absl::Time now) {
+  if (leader.epoch > leader_.epoch) control_current_ = false;
   Follow(leader, now);
 }
 
 void SiteElection::OnHeartbeatAnswered(absl::Time now) {
-  last_heard_ = now;
+  last_contact_ = now;
   leader_gone_ = false;
 }
 
-void SiteElection::OnLeaderVouched(absl::Time answered) {
-  last_heard_ = std::max(last_heard_, answered);
+void SiteElection::OnLeaderConfirmedByPeer(absl::Time answered) {
+  last_contact_ = std::max(last_contact_, answered);
   leader_gone_ = false;
 }
 
@@ -142,25 +143,25 @@
 void SiteElection::OnClaimed(int64_t end, absl::Time now) {
   control_end_ = std::max(control_end_, end);
   // The answer was slow, and a successor was heard of meanwhile.
-  if (claim_.epoch < leader_.epoch) return;
-  leader_ = claim_;
+  if (pending_claim_.epoch < leader_.epoch) return;
+  leader_ = pending_claim_;
   leads_ = true;
-  last_heard_ = now;
+  last_contact_ = now;
   leader_gone_ = false;
 }
 
-void SiteElection::OnClaimFailed() { control_known_ = false; }
+void SiteElection::OnClaimFailed() { control_current_ = false; }
 
 void SiteElection::StepDown(absl::Time now) {
   leads_ = false;
-  control_known_ = false;
-  last_heard_ = now;
+  control_current_ = false;
+  last_contact_ = now;
 }
 
 bool SiteElection::IsWeak(double capacity) const {
   double best = options_.capacity;
   for (const ElectionPeer& peer : peers_) best = std::max(best, peer.capacity);
-  return capacity < kWeakShare * best;
+  return capacity < kWeakCapacityRatio * best;
 }
 
 const ElectionPeer* SiteElection::BestPeer() const {
@@ -185,11 +186,11 @@
   return best->node;
 }
 
-double SiteElection::Lack() const {
-  return std::max(0.0, 1.0 - options_.capacity / kAmpleProcessors);
+double SiteElection::CapacityShortfall() const {
+  return std::max(0.0, 1.0 - options_.capacity / kSufficientProcessors);
 }
 
-absl::Duration SiteElection::Stagger() const {
+absl::Duration SiteElection::ClaimDelay() const {
   const auto hash = [&](const std::string& node) {
     return XXH64(node.data(), node.size(),
                  static_cast<uint64_t>(leader_.epoch));
@@ -208,44 +209,48 @@
   if (others > 0) return options_.rank_step * static_cast<double>(ahead);
   // Without peers, names alone must spread the tries.
   return options_.rank_step * static_cast<double>(hash(node_) % 4) +
-         kHeadStart * Lack();
+         kMaxHeadStart * CapacityShortfall();
 }
 
 ElectionStep SiteElection::Decide(absl::Time now) {
   if (started_ == absl::InfiniteFuture()) started_ = now;
-  const bool stood_still = last_look_ != absl::InfinitePast() &&
-                           now - last_look_ > options_.standstill;
-  last_look_ = now;
-  if (stood_still) last_heard_ = std::max(last_heard_, now);
+  const bool was_paused = last_decision_ != absl::InfinitePast() &&
+                          now - last_decision_ > options_.pause_threshold;
+  last_decision_ = now;
+  if (was_paused) last_contact_ = std::max(last_contact_, now);
   if (leads_ || retired_) return ElectionStep::kNone;
-  if (!control_known_) return ElectionStep::kReadControl;
+  if (!control_current_) return ElectionStep::kReadControl;
   if (control_unreadable_) return ElectionStep::kNone;
   if (leader_.epoch == 0)
-    return now - started_ > Stagger() ? ElectionStep::kClaim
-                                      : ElectionStep::kNone;
+    return now - started_ > ClaimDelay() ? ElectionStep::kClaim
+                                         : ElectionStep::kNone;
   if (leader_gone_) {
     // Nobody is nearer to it than this node, unless it is a weak one.
-    if (leader_.node == node_ && now - gone_since_ >= kHeadStart * Lack())
+    if (leader_.node == node_ &&
+        now - gone_since_ >= kMaxHeadStart * CapacityShortfall())
       return ElectionStep::kClaim;
-    return now - gone_since_ > Stagger() ? ElectionStep::kClaim
-                                         : ElectionStep::kNone;
+    return now - gone_since_ > ClaimDelay() ? ElectionStep::kClaim
+                                            : ElectionStep::kNone;
   }
-  return now - last_heard_ > suspect_after_ + Stagger() ? ElectionStep::kClaim
-                                                        : ElectionStep::kNone;
+  return now - last_contact_ > suspect_after_ + ClaimDelay()
+             ? ElectionStep::kClaim
+             : ElectionStep::kNone;
 }
 
 AppendOrder SiteElection::Claim(int64_t wall_ms) {
-  claim_ = LeaderRecord{leader_.epoch + 1, node_, boot_, address_, wall_ms, {}};
+  pending_claim_ =
+      LeaderRecord{leader_.epoch + 1, node_, boot_, address_, wall_ms, {}};
   for (const EarlierLeader& earlier : leader_.earlier) {
-    const bool past = wall_ms - leader_.claimed_ms > kEarlierLeaderMs;
-    if (!past && earlier.address != address_) claim_.earlier.push_back(earlier);
+    const bool expired = wall_ms - leader_.claimed_ms > kEarlierLeaderExpiryMs;
+    if (!expired && earlier.address != address_)
+      pending_claim_.earlier.push_back(earlier);
   }
   if (leader_.epoch > 0 && leader_.address != address_)
-    claim_.earlier.push_back({leader_.address, leader_.claimed_ms});
+    pending_claim_.earlier.push_back({leader_.address, leader_.claimed_ms});
   AppendOrder order;
   order.stream = Stream::kControl;
   order.expected_end = control_end_;
-  order.records.push_back(ToRecord(claim_));
+  order.records.push_back(ToRecord(pending_claim_));
   return order;
 }
 
--- a/keelbridge/coordination/site_election.h
+++ b/keelbridge/coordination/site_election.h
@@ -67,7 +67,7 @@
     absl::Duration rank_step = absl::Milliseconds(250);
     // A gap between two looks this long means that this process stood still:
     // what it believes about others is then worth nothing.
-    absl::Duration standstill = absl::Seconds(1);
+    absl::Duration pause_threshold = absl::Seconds(1);
     // What this node can spend on leading, in processors.
     double capacity = 1;
   };
@@ -79,13 +79,13 @@
   void OnControlRead(const std::vector<Record>& records, int64_t end,
                      absl::Time now);
   // A peer named a leader.
-  void OnLeaderHeard(const LeaderRecord& leader, absl::Time now);
+  void OnLeaderReported(const LeaderRecord& leader, absl::Time now);
   // The leader answered a heartbeat in time.
   void OnHeartbeatAnswered(absl::Time now);
   // The process that leads is not there: its port refused, or another answered.
   void OnLeaderGone(absl::Time now);
   // The leader answered a peer then.
-  void OnLeaderVouched(absl::Time answered);
+  void OnLeaderConfirmedByPeer(absl::Time answered);
   // Heartbeats that fail for this long make a leader suspect from now on.
   void SetSuspectAfter(absl::Duration time) { suspect_after_ = time; }
   absl::Duration suspect_after() const { return suspect_after_; }
@@ -117,15 +117,15 @@
   bool control_unreadable() const { return control_unreadable_; }
   const LeaderRecord& leader() const { return leader_; }
   bool Leads() const { return leads_; }
-  absl::Time last_heard() const { return last_heard_; }
+  absl::Time last_contact() const { return last_contact_; }
   // The leader was replaced while this node led.
   void StepDown(absl::Time now);
 
  private:
-  absl::Duration Stagger() const;
+  absl::Duration ClaimDelay() const;
   const ElectionPeer* BestPeer() const;
   // The share of ample processors that this node lacks.
-  double Lack() const;
+  double CapacityShortfall() const;
   // Whether a node of that capacity should leave leading to better ones.
   bool IsWeak(double capacity) const;
   void Follow(const LeaderRecord& leader, absl::Time now);
@@ -136,15 +136,15 @@
   const Options options_;
   absl::Duration suspect_after_;
   LeaderRecord leader_;
-  LeaderRecord claim_;  // What this node tries to become.
+  LeaderRecord pending_claim_;  // What this node tries to become.
   bool leads_ = false;
   bool retired_ = false;
-  bool control_known_ = false;
+  bool control_current_ = false;
   bool control_unreadable_ = false;
   int64_t control_end_ = 0;
   absl::Time started_ = absl::InfiniteFuture();
-  absl::Time last_heard_ = absl::InfinitePast();
-  absl::Time last_look_ = absl::InfinitePast();
+  absl::Time last_contact_ = absl::InfinitePast();
+  absl::Time last_decision_ = absl::InfinitePast();
   bool leader_gone_ = false;
   absl::Time gone_since_ = absl::InfinitePast();
   std::vector<ElectionPeer> peers_;
--- a/keelbridge/coordination/site_election_test.cc
+++ b/keelbridge/coordination/site_election_test.cc
@@ -7,7 +7,7 @@
 
 const absl::Time kBegin = absl::UnixEpoch() + absl::Hours(1);
 
-SiteElection Make(const std::string& node, uint64_t boot) {
+SiteElection MakeElection(const std::string& node, uint64_t boot) {
   return {node, boot, node + ":1", SiteElection::Options()};
 }
 
@@ -23,8 +23,8 @@
 
 // Looks every 100 ms until `time` after `from`; the first step that is not
 // kNone, or kNone.
-ElectionStep LookUntil(SiteElection& election, absl::Time from,
-                       absl::Duration time) {
+ElectionStep FirstStepWithin(SiteElection& election, absl::Time from,
+                             absl::Duration time) {
   for (absl::Time at = from; at < from + time; at += absl::Milliseconds(100)) {
     const ElectionStep step = election.Decide(at);
     if (step != ElectionStep::kNone) return step;
@@ -33,10 +33,10 @@
 }
 
 TEST_CASE("site election: an empty control stream is claimed, once read") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   CHECK(a.Decide(kBegin) == ElectionStep::kReadControl);
   a.OnControlRead({}, 0, kBegin);
-  CHECK(LookUntil(a, kBegin, absl::Seconds(2)) == ElectionStep::kClaim);
+  CHECK(FirstStepWithin(a, kBegin, absl::Seconds(2)) == ElectionStep::kClaim);
   const AppendOrder order = a.Claim(5000);
   CHECK(order.expected_end == 0);
   a.OnClaimed(1, kBegin);
@@ -47,10 +47,10 @@
 TEST_CASE(
     "site election: a claim whose answer comes after a successor was heard of "
     "does not lead") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.Claim(5000);  // Epoch 4; it is done, and its answer is slow.
-  a.OnLeaderHeard(Leader(5, "c", 9), kBegin);
+  a.OnLeaderReported(Leader(5, "c", 9), kBegin);
   a.OnClaimed(4, kBegin);
   CHECK(!a.Leads());
   CHECK(a.leader().epoch == 5);
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("site election: a silent leader is replaced, a heard one is not") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   absl::Time now = kBegin;
   for (int i = 0; i < 50; ++i) {
@@ -66,51 +66,53 @@
     a.OnHeartbeatAnswered(now);
     CHECK(a.Decide(now) == ElectionStep::kNone);
   }
-  CHECK(LookUntil(a, now, absl::Seconds(1)) == ElectionStep::kNone);
-  CHECK(LookUntil(a, now + absl::Seconds(1), absl::Seconds(3)) ==
+  CHECK(FirstStepWithin(a, now, absl::Seconds(1)) == ElectionStep::kNone);
+  CHECK(FirstStepWithin(a, now + absl::Seconds(1), absl::Seconds(3)) ==
         ElectionStep::kClaim);
 }
 
 TEST_CASE("site election: a leader whose port is closed is replaced soon") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.Decide(kBegin);
   a.OnLeaderGone(kBegin);
-  CHECK(LookUntil(a, kBegin, absl::Milliseconds(900)) == ElectionStep::kClaim);
+  CHECK(FirstStepWithin(a, kBegin, absl::Milliseconds(900)) ==
+        ElectionStep::kClaim);
 }
 
 TEST_CASE("site election: peers that hear the leader hold a claim back") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
-  REQUIRE(LookUntil(a, kBegin, absl::Seconds(4)) == ElectionStep::kClaim);
-  a.OnLeaderVouched(kBegin + absl::Seconds(4));
-  CHECK(LookUntil(a, kBegin + absl::Seconds(4), absl::Seconds(1)) ==
+  REQUIRE(FirstStepWithin(a, kBegin, absl::Seconds(4)) == ElectionStep::kClaim);
+  a.OnLeaderConfirmedByPeer(kBegin + absl::Seconds(4));
+  CHECK(FirstStepWithin(a, kBegin + absl::Seconds(4), absl::Seconds(1)) ==
         ElectionStep::kNone);
 }
 
 // Where answers take milliseconds a silent leader is replaced sooner: after
 // 0.8 s instead of 1.4 s, to which ranks add up to 0.75 s.
 TEST_CASE("site election: how long answers take decides about silence") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.SetSuspectAfter(absl::Milliseconds(800));
-  CHECK(LookUntil(a, kBegin, absl::Milliseconds(750)) == ElectionStep::kNone);
-  CHECK(LookUntil(a, kBegin + absl::Milliseconds(750),
-                  absl::Milliseconds(900)) == ElectionStep::kClaim);
+  CHECK(FirstStepWithin(a, kBegin, absl::Milliseconds(750)) ==
+        ElectionStep::kNone);
+  CHECK(FirstStepWithin(a, kBegin + absl::Milliseconds(750),
+                        absl::Milliseconds(900)) == ElectionStep::kClaim);
   // A peer heard it later: its silence counts from there.
-  a.OnLeaderVouched(kBegin + absl::Milliseconds(1500));
+  a.OnLeaderConfirmedByPeer(kBegin + absl::Milliseconds(1500));
   CHECK(a.Decide(kBegin + absl::Milliseconds(2200)) == ElectionStep::kNone);
 }
 
 TEST_CASE("site election: a process that stood still believes nothing") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.Decide(kBegin);
   CHECK(a.Decide(kBegin + absl::Seconds(20)) == ElectionStep::kNone);
 }
 
 TEST_CASE("site election: a restarted leader claims at once, above itself") {
-  SiteElection a = Make("a", 2);
+  SiteElection a = MakeElection("a", 2);
   a.OnControlRead({ToRecord(Leader(3, "a", 1))}, 3, kBegin);
   CHECK(a.Decide(kBegin) == ElectionStep::kClaim);
   a.Claim(5000);
@@ -121,7 +123,7 @@
 
 TEST_CASE(
     "site election: earlier leaders not heard to have stopped are named") {
-  SiteElection c = Make("c", 9);
+  SiteElection c = MakeElection("c", 9);
   LeaderRecord b = Leader(3, "b", 7);
   b.earlier.push_back({"a:1", 500});
   c.OnControlRead({ToRecord(b)}, 3, kBegin);
@@ -138,7 +140,7 @@
 }
 
 TEST_CASE("site election: a lost claim is learnt from the stream") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({}, 0, kBegin);
   const AppendOrder order = a.Claim(5000);
   a.OnClaimFailed();
@@ -150,27 +152,27 @@
 TEST_CASE(
     "site election: a claim from before an outage fails once the leader "
     "has said again that it leads") {
-  SiteElection b = Make("b", 5);
+  SiteElection b = MakeElection("b", 5);
   b.OnControlRead({ToRecord(Leader(1, "a", 1))}, 1, kBegin);
-  const AppendOrder late = b.Claim(5000);
-  SiteElection a = Make("a", 1);
+  const AppendOrder delayed_claim = b.Claim(5000);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(1, "a", 1))}, 1, kBegin);
-  const AppendOrder again = a.Reaffirm();
-  CHECK(again.expected_end == 1);
-  CHECK(LeaderFromRecord(again.records[0])->epoch == 1);
+  const AppendOrder reaffirmation = a.Reaffirm();
+  CHECK(reaffirmation.expected_end == 1);
+  CHECK(LeaderFromRecord(reaffirmation.records[0])->epoch == 1);
   a.OnReaffirmed(2);
-  CHECK(late.expected_end == 1);  // The stream now ends at 2.
+  CHECK(delayed_claim.expected_end == 1);  // The stream now ends at 2.
   // Nobody takes the record for a new leader's.
-  b.OnControlRead(again.records, 2, kBegin);
+  b.OnControlRead(reaffirmation.records, 2, kBegin);
   CHECK(b.leader().epoch == 1);
   CHECK_FALSE(b.Leads());
 }
 
 TEST_CASE("site election: a leader that hears of a later one does not lead") {
-  SiteElection a = Make("a", 1);
+  SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(1, "a", 1))}, 1, kBegin);
   REQUIRE(a.Leads());
-  a.OnLeaderHeard(Leader(2, "b", 5), kBegin);
+  a.OnLeaderReported(Leader(2, "b", 5), kBegin);
   CHECK_FALSE(a.Leads());
 }
 
@@ -181,40 +183,41 @@
 }
 
 TEST_CASE("site election: weak nodes claim after all that are able") {
-  std::vector<ElectionPeer> able;
-  able.reserve(6);
-  for (int i = 0; i < 6; ++i) able.push_back({"able" + std::to_string(i), 0.5});
+  std::vector<ElectionPeer> capable;
+  capable.reserve(6);
+  for (int i = 0; i < 6; ++i)
+    capable.push_back({"able" + std::to_string(i), 0.5});
   for (int i = 0; i < 30; ++i) {
     SiteElection weak =
         MakeWithCapacity("weak" + std::to_string(i), /*capacity=*/0.12);
     weak.OnControlRead({ToRecord(Leader(3, "gone", 7))}, 3, kBegin);
-    weak.SetPeers(able);
+    weak.SetPeers(capable);
     weak.OnLeaderGone(kBegin);
     // Six able nodes try before it, 250 ms apart.
-    CHECK(LookUntil(weak, kBegin, absl::Milliseconds(1400)) ==
+    CHECK(FirstStepWithin(weak, kBegin, absl::Milliseconds(1400)) ==
           ElectionStep::kNone);
-    CHECK(LookUntil(weak, kBegin + absl::Milliseconds(1400),
-                    absl::Seconds(2)) == ElectionStep::kClaim);
+    CHECK(FirstStepWithin(weak, kBegin + absl::Milliseconds(1400),
+                          absl::Seconds(2)) == ElectionStep::kClaim);
   }
-  SiteElection one = MakeWithCapacity("able0", 0.5);
+  SiteElection candidate = MakeWithCapacity("able0", 0.5);
   std::vector<ElectionPeer> peers;
   peers.reserve(30);
   for (int i = 0; i < 30; ++i)
     peers.push_back({"weak" + std::to_string(i), 0.12});
-  one.OnControlRead({ToRecord(Leader(3, "gone", 7))}, 3, kBegin);
-  one.SetPeers(peers);
-  one.OnLeaderGone(kBegin);
-  CHECK(LookUntil(one, kBegin, absl::Milliseconds(250)) ==
+  candidate.OnControlRead({ToRecord(Leader(3, "gone", 7))}, 3, kBegin);
+  candidate.SetPeers(peers);
+  candidate.OnLeaderGone(kBegin);
+  CHECK(FirstStepWithin(candidate, kBegin, absl::Milliseconds(250)) ==
         ElectionStep::kClaim);
 }
 
 TEST_CASE("site election: without peers a weak node lets others go first") {
   SiteElection weak = MakeWithCapacity("weak", 0.05);
   weak.OnControlRead({}, 0, kBegin);
-  CHECK(LookUntil(weak, kBegin, absl::Milliseconds(750)) ==
+  CHECK(FirstStepWithin(weak, kBegin, absl::Milliseconds(750)) ==
         ElectionStep::kNone);
-  CHECK(LookUntil(weak, kBegin + absl::Milliseconds(750), absl::Seconds(2)) ==
-        ElectionStep::kClaim);
+  CHECK(FirstStepWithin(weak, kBegin + absl::Milliseconds(750),
+                        absl::Seconds(2)) == ElectionStep::kClaim);
 }
 
 TEST_CASE(
@@ -228,12 +231,12 @@
   CHECK(weak.BetterLeader(false) == "able");
   weak.SetPeers({{"able", 0.5, false}, {"weak2", 0.13, true}});
   CHECK(!weak.BetterLeader(false));
-  SiteElection able = MakeWithCapacity("able", 0.3);
-  able.OnControlRead({}, 0, kBegin);
-  able.Claim(1000);
-  able.OnClaimed(1, kBegin);
-  able.SetPeers({{"abler", 0.5, true}});
-  CHECK(!able.BetterLeader(false));  // Not worth a change of leader.
+  SiteElection capable = MakeWithCapacity("able", 0.3);
+  capable.OnControlRead({}, 0, kBegin);
+  capable.Claim(1000);
+  capable.OnClaimed(1, kBegin);
+  capable.SetPeers({{"abler", 0.5, true}});
+  CHECK(!capable.BetterLeader(false));  // Not worth a change of leader.
 }
 
 TEST_CASE("site election: a planned stop hands over to the ablest peer") {
@@ -262,55 +265,55 @@
 TEST_CASE("site election: a weak node that was restarted lets others lead") {
   SiteElection weak = MakeWithCapacity("weak", 0.05);
   weak.OnControlRead({ToRecord(Leader(3, "weak", 7))}, 3, kBegin);
-  CHECK(LookUntil(weak, kBegin, absl::Milliseconds(700)) ==
+  CHECK(FirstStepWithin(weak, kBegin, absl::Milliseconds(700)) ==
         ElectionStep::kNone);
-  SiteElection able = MakeWithCapacity("able", 0.5);
-  able.OnControlRead({ToRecord(Leader(3, "able", 7))}, 3, kBegin);
-  CHECK(able.Decide(kBegin) == ElectionStep::kClaim);
+  SiteElection capable = MakeWithCapacity("able", 0.5);
+  capable.OnControlRead({ToRecord(Leader(3, "able", 7))}, 3, kBegin);
+  CHECK(capable.Decide(kBegin) == ElectionStep::kClaim);
 }
 
 TEST_CASE(
     "site election: a leader that confirmed its record meanwhile is not "
     "replaced when a cut ends") {
-  SiteElection cut = Make("a", 1);
-  cut.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
-  cut.OnHeartbeatAnswered(kBegin);
+  SiteElection isolated = MakeElection("a", 1);
+  isolated.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
+  isolated.OnHeartbeatAnswered(kBegin);
   // Cut off: it claims in vain, and cannot read.
   absl::Time now = kBegin;
-  const auto look = [&] {
+  const auto decide = [&] {
     now += absl::Milliseconds(100);
-    return cut.Decide(now);
+    return isolated.Decide(now);
   };
-  const auto look_for = [&](absl::Duration time) {
+  const auto first_step_within = [&](absl::Duration time) {
     const absl::Time until = now + time;
     while (now < until) {
-      const ElectionStep step = look();
+      const ElectionStep step = decide();
       if (step != ElectionStep::kNone) return step;
     }
     return ElectionStep::kNone;
   };
-  CHECK(look_for(absl::Seconds(3)) == ElectionStep::kClaim);
-  cut.OnClaimFailed();
-  for (int i = 0; i < 30; ++i) CHECK(look() == ElectionStep::kReadControl);
+  CHECK(first_step_within(absl::Seconds(3)) == ElectionStep::kClaim);
+  isolated.OnClaimFailed();
+  for (int i = 0; i < 30; ++i) CHECK(decide() == ElectionStep::kReadControl);
   // The cut ends: the stream has moved on, by the leader's own hand.
-  cut.OnControlRead({ToRecord(Leader(3, "b", 7))}, 4, now);
-  CHECK(look_for(absl::Seconds(1)) == ElectionStep::kNone);
+  isolated.OnControlRead({ToRecord(Leader(3, "b", 7))}, 4, now);
+  CHECK(first_step_within(absl::Seconds(1)) == ElectionStep::kNone);
   // Unless nothing is heard of it from then on.
-  CHECK(look_for(absl::Seconds(3)) == ElectionStep::kClaim);
+  CHECK(first_step_within(absl::Seconds(3)) == ElectionStep::kClaim);
   // Reading the same again is no news of it.
-  cut.OnClaimFailed();
-  CHECK(look() == ElectionStep::kReadControl);
-  cut.OnControlRead({ToRecord(Leader(3, "b", 7))}, 4, now);
-  CHECK(look_for(absl::Milliseconds(200)) == ElectionStep::kClaim);
+  isolated.OnClaimFailed();
+  CHECK(decide() == ElectionStep::kReadControl);
+  isolated.OnControlRead({ToRecord(Leader(3, "b", 7))}, 4, now);
+  CHECK(first_step_within(absl::Milliseconds(200)) == ElectionStep::kClaim);
 }
 
 // A record of the leader that cannot be read: which epoch it claims is not
 // known, and two leaders of one epoch would not fence each other.
-Record SpoiltLeader(const std::string& value) {
+Record MalformedLeaderRecord(const std::string& value) {
   return Record{kLeaderKey, value, -1};
 }
 
-const char* const kSpoilt[] = {
+const char* const kMalformedValues[] = {
     "",
     "no record",
     "[]",
@@ -328,25 +331,27 @@
 };
 
 TEST_CASE("site election: over a record that cannot be read nobody claims") {
-  for (const char* value : kSpoilt) {
+  for (const char* value : kMalformedValues) {
     CAPTURE(value);
-    SiteElection fresh = Make("a", 1);
-    fresh.OnControlRead({SpoiltLeader(value)}, 3, kBegin);
-    CHECK(LookUntil(fresh, kBegin, absl::Seconds(20)) == ElectionStep::kNone);
+    SiteElection uninformed = MakeElection("a", 1);
+    uninformed.OnControlRead({MalformedLeaderRecord(value)}, 3, kBegin);
+    CHECK(FirstStepWithin(uninformed, kBegin, absl::Seconds(20)) ==
+          ElectionStep::kNone);
     // Nor does one that knew a leader before, which is silent now.
-    SiteElection knows = Make("c", 1);
-    knows.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
-    knows.OnControlRead({SpoiltLeader(value)}, 4, kBegin);
-    CHECK(LookUntil(knows, kBegin, absl::Seconds(20)) == ElectionStep::kNone);
-    CHECK(knows.leader().epoch == 3);
+    SiteElection informed = MakeElection("c", 1);
+    informed.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
+    informed.OnControlRead({MalformedLeaderRecord(value)}, 4, kBegin);
+    CHECK(FirstStepWithin(informed, kBegin, absl::Seconds(20)) ==
+          ElectionStep::kNone);
+    CHECK(informed.leader().epoch == 3);
     // Once one that can be read is written, it goes on from there.
-    fresh.OnControlRead({ToRecord(Leader(5, "", 0))}, 5,
-                        kBegin + absl::Seconds(20));
-    CHECK(LookUntil(fresh, kBegin + absl::Seconds(20), absl::Seconds(5)) ==
-          ElectionStep::kClaim);
-    fresh.Claim(5000);
-    fresh.OnClaimed(6, kBegin + absl::Seconds(25));
-    CHECK(fresh.leader().epoch == 6);
+    uninformed.OnControlRead({ToRecord(Leader(5, "", 0))}, 5,
+                             kBegin + absl::Seconds(20));
+    CHECK(FirstStepWithin(uninformed, kBegin + absl::Seconds(20),
+                          absl::Seconds(5)) == ElectionStep::kClaim);
+    uninformed.Claim(5000);
+    uninformed.OnClaimed(6, kBegin + absl::Seconds(25));
+    CHECK(uninformed.leader().epoch == 6);
   }
 }
 
--- a/keelbridge/coordination/source_reads.cc
+++ b/keelbridge/coordination/source_reads.cc
@@ -4,51 +4,54 @@
 
 namespace keelbridge {
 
-bool SourceReads::Waiting() const {
-  return !under_way_.empty() && *under_way_.rbegin() > answered_;
+bool SourceReads::AwaitingAnswer() const {
+  return !in_flight_.empty() && *in_flight_.rbegin() > latest_answered_;
 }
 
 SourceReads::Step SourceReads::Next(absl::Time now) {
-  const absl::Duration since_read = now - read_begun_;
-  const absl::Duration hangs_after =
-      read_probed_ ? options_.probed_may_hang_after : options_.may_hang_after;
-  if (Waiting() && since_read >= hangs_after) doubtful_ = true;
-  const bool wanted = doubtful_ ? answers_again_ : !Waiting();
-  const bool may_read = under_way_.size() < options_.most_reads &&
-                        (hurry_ || since_read >= options_.again);
+  const absl::Duration since_read = now - last_read_started_;
+  const absl::Duration hangs_after = read_follows_probe_
+                                         ? options_.probed_may_hang_after
+                                         : options_.may_hang_after;
+  if (AwaitingAnswer() && since_read >= hangs_after) suspect_ = true;
+  const bool wanted = suspect_ ? probe_answered_ : !AwaitingAnswer();
+  const bool may_read =
+      in_flight_.size() < options_.max_concurrent_reads &&
+      (expedite_next_read_ || since_read >= options_.min_interval);
   if (wanted && may_read) {
-    read_probed_ = answers_again_;
+    read_follows_probe_ = probe_answered_;
     // Until the new read hangs or fails there is no reason for doubt.
-    doubtful_ = false;
-    answers_again_ = false;
-    hurry_ = false;
-    read_begun_ = now;
-    under_way_.insert(now);
+    suspect_ = false;
+    probe_answered_ = false;
+    expedite_next_read_ = false;
+    last_read_started_ = now;
+    in_flight_.insert(now);
     return Step::kRead;
   }
-  const bool may_probe =
-      doubtful_ && !probing_ && now - probe_begun_ >= options_.again;
+  const bool may_probe = suspect_ && !probing_ &&
+                         now - last_probe_started_ >= options_.min_interval;
   if (!may_probe) return Step::kNone;
   probing_ = true;
-  probe_begun_ = now;
+  last_probe_started_ = now;
   return Step::kProbe;
 }
 
-void SourceReads::OnReadEnded(absl::Time begun, bool answered) {
-  under_way_.erase(begun);
+void SourceReads::OnReadEnded(absl::Time started, bool answered) {
+  in_flight_.erase(started);
   if (!answered) {
     // Only the latest read tells about the source now.
-    doubtful_ = doubtful_ || (begun == read_begun_ && begun > answered_);
+    suspect_ = suspect_ ||
+               (started == last_read_started_ && started > latest_answered_);
     return;
   }
-  answered_ = std::max(answered_, begun);
-  doubtful_ = false;
-  answers_again_ = false;
+  latest_answered_ = std::max(latest_answered_, started);
+  suspect_ = false;
+  probe_answered_ = false;
 }
 
 void SourceReads::OnProbeEnded(bool answered) {
   probing_ = false;
-  if (answered) answers_again_ = true;
+  if (answered) probe_answered_ = true;
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/source_reads.h
+++ b/keelbridge/coordination/source_reads.h
@@ -31,7 +31,7 @@
   struct Options {
     // Between the beginnings of two reads, and of two probes: an outage costs
     // few calls, and its end is noticed this soon at the latest.
-    absl::Duration again = absl::Milliseconds(500);
+    absl::Duration min_interval = absl::Milliseconds(500);
     // A read without an answer for so long may hang. A store without faults
     // answers within 50 ms; a link whose packets wait for over 0.5 s counts as
     // slowed.
@@ -41,7 +41,7 @@
     absl::Duration probed_may_hang_after = absl::Milliseconds(1000);
     // Under way at once. Three that each bring 700 KB fill a link of 10 Mbit/s
     // for 1.8 s.
-    size_t most_reads = 3;
+    size_t max_concurrent_reads = 3;
   };
 
   explicit SourceReads(Options options) : options_(options) {}
@@ -50,30 +50,30 @@
   Step Next(absl::Time now);
   // The read that began at `begun` was answered, whatever the answer; or it was
   // not, and was given up.
-  void OnReadEnded(absl::Time begun, bool answered);
+  void OnReadEnded(absl::Time started, bool answered);
   void OnProbeEnded(bool answered);
   // The next read need not wait for `again`.
-  void Hurry() { hurry_ = true; }
+  void ExpediteNextRead() { expedite_next_read_ = true; }
 
   // A read failed, or hangs, and none was answered since.
-  bool doubtful() const { return doubtful_; }
+  bool suspect() const { return suspect_; }
 
  private:
   // A read is under way that may still tell something new.
-  bool Waiting() const;
+  bool AwaitingAnswer() const;
 
   const Options options_;
-  std::set<absl::Time> under_way_;  // Reads, by their beginnings.
+  std::set<absl::Time> in_flight_;  // Reads, by their beginnings.
   // The beginning of the latest read that was answered: those from before it
   // tell nothing new.
-  absl::Time answered_ = absl::InfinitePast();
-  bool hurry_ = false;
+  absl::Time latest_answered_ = absl::InfinitePast();
+  bool expedite_next_read_ = false;
   bool probing_ = false;
-  bool doubtful_ = false;
-  bool answers_again_ = false;  // A probe was answered since the last read.
-  bool read_probed_ = false;    // The last read began for that reason.
-  absl::Time read_begun_ = absl::InfinitePast();
-  absl::Time probe_begun_ = absl::InfinitePast();
+  bool suspect_ = false;
+  bool probe_answered_ = false;  // A probe was answered since the last read.
+  bool read_follows_probe_ = false;  // The last read began for that reason.
+  absl::Time last_read_started_ = absl::InfinitePast();
+  absl::Time last_probe_started_ = absl::InfinitePast();
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/source_reads_test.cc
+++ b/keelbridge/coordination/source_reads_test.cc
@@ -20,7 +20,7 @@
   CHECK(reads.Next(At(499)) == Step::kNone);
   CHECK(reads.Next(At(500)) == Step::kRead);
   reads.OnReadEnded(At(500), true);
-  reads.Hurry();
+  reads.ExpediteNextRead();
   CHECK(reads.Next(At(510)) == Step::kRead);
   reads.OnReadEnded(At(510), true);
   CHECK(reads.Next(At(520)) == Step::kNone);
@@ -32,9 +32,9 @@
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   CHECK(reads.Next(At(499)) == Step::kNone);
-  CHECK_FALSE(reads.doubtful());
+  CHECK_FALSE(reads.suspect());
   CHECK(reads.Next(At(500)) == Step::kProbe);
-  CHECK(reads.doubtful());
+  CHECK(reads.suspect());
   CHECK(reads.Next(At(900)) == Step::kNone);
   reads.OnProbeEnded(false);
   CHECK(reads.Next(At(990)) == Step::kNone);
@@ -43,12 +43,12 @@
   CHECK(reads.Next(At(1010)) == Step::kRead);
   CHECK(reads.Next(At(1020)) == Step::kNone);
   reads.OnReadEnded(At(1010), true);
-  CHECK_FALSE(reads.doubtful());
+  CHECK_FALSE(reads.suspect());
   // The one that hangs is in nobody's way, and when it is given up, that tells
   // nothing of now.
   CHECK(reads.Next(At(1600)) == Step::kRead);
   reads.OnReadEnded(At(0), false);
-  CHECK_FALSE(reads.doubtful());
+  CHECK_FALSE(reads.suspect());
   reads.OnReadEnded(At(1600), true);
   CHECK(reads.Next(At(2500)) == Step::kRead);
 }
@@ -57,7 +57,7 @@
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   reads.OnReadEnded(At(0), false);
-  CHECK(reads.doubtful());
+  CHECK(reads.suspect());
   CHECK(reads.Next(At(100)) == Step::kProbe);
   reads.OnProbeEnded(false);
   CHECK(reads.Next(At(600)) == Step::kProbe);
@@ -75,10 +75,10 @@
   reads.OnProbeEnded(true);
   CHECK(reads.Next(At(510)) == Step::kRead);
   reads.OnReadEnded(At(0), false);
-  CHECK_FALSE(reads.doubtful());
+  CHECK_FALSE(reads.suspect());
   CHECK(reads.Next(At(1100)) == Step::kNone);
   reads.OnReadEnded(At(510), false);
-  CHECK(reads.doubtful());
+  CHECK(reads.suspect());
 }
 
 TEST_CASE("source reads: those under way are bounded") {
--- a/keelbridge/coordination/task_queue.cc
+++ b/keelbridge/coordination/task_queue.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // With more openings than this it is cheaper to look at the whole cell.
-constexpr size_t kMostOpenings = 64;
+constexpr size_t kMaxFreedEntries = 64;
 
 }  // namespace
 
@@ -19,14 +19,14 @@
     default:
       break;
   }
-  if (now_ms >= PromoteAt(row)) return kPromotedRank;
+  if (now_ms >= PromotionTime(row)) return kPromotedRank;
   return row.work_class == WorkClass::kStandard ? kStandardRank : kBulkRank;
 }
 
-int64_t TaskQueue::PromoteAt(const TaskRow& row) const {
+int64_t TaskQueue::PromotionTime(const TaskRow& row) const {
   const int64_t by_age = row.submitted_ms + options_.promote_after_ms;
   if (row.latest_start_ms == kNever) return by_age;
-  return std::min(by_age, row.latest_start_ms - options_.deadline_guard_ms);
+  return std::min(by_age, row.latest_start_ms - options_.promotion_slack_ms);
 }
 
 TaskQueue::Key TaskQueue::KeyOf(TaskId id, const TaskRow& row) const {
@@ -38,8 +38,8 @@
   return {first, row.sequence, id};
 }
 
-TaskQueue::Lines& TaskQueue::LinesOf(const TaskRow& row) {
-  std::vector<Lines>& teams = ranks_[row.rank];
+TaskQueue::ShapeQueues& TaskQueue::QueuesOf(const TaskRow& row) {
+  std::vector<ShapeQueues>& teams = ranks_[row.rank];
   if (teams.size() <= static_cast<size_t>(row.team)) teams.resize(row.team + 1);
   return teams[row.team];
 }
@@ -47,26 +47,26 @@
 void TaskQueue::Push(TaskId id, TaskRow& row, int64_t now_ms) {
   row.rank = static_cast<uint8_t>(RankOf(row, now_ms));
   row.state = TaskState::kWaiting;
-  Line& line = LinesOf(row)[row.shape];
-  line.need = row.need;
-  line.tasks.insert(KeyOf(id, row));
-  if (row.rank > kPromotedRank) promotions_.emplace(PromoteAt(row), id);
-  ++by_rank_[row.rank];
+  ShapeQueue& queue = QueuesOf(row)[row.shape];
+  queue.need = row.need;
+  queue.tasks.insert(KeyOf(id, row));
+  if (row.rank > kPromotedRank) promotions_.emplace(PromotionTime(row), id);
+  ++waiting_by_rank_[row.rank];
   ++size_;
 }
 
 void TaskQueue::Remove(TaskId id, const TaskRow& row) {
-  Lines& lines = LinesOf(row);
-  const auto it = lines.find(row.shape);
-  if (it == lines.end() || it->second.tasks.erase(KeyOf(id, row)) == 0) return;
-  if (it->second.tasks.empty()) lines.erase(it);
-  promotions_.erase({PromoteAt(row), id});
-  --by_rank_[row.rank];
+  ShapeQueues& queues = QueuesOf(row);
+  const auto it = queues.find(row.shape);
+  if (it == queues.end() || it->second.tasks.erase(KeyOf(id, row)) == 0) return;
+  if (it->second.tasks.empty()) queues.erase(it);
+  promotions_.erase({PromotionTime(row), id});
+  --waiting_by_rank_[row.rank];
   --size_;
 }
 
-void TaskQueue::Promote(TaskTable& tasks, int64_t now_ms, int most) {
-  while (most-- > 0 && !promotions_.empty() &&
+void TaskQueue::Promote(TaskTable& tasks, int64_t now_ms, int max_promotions) {
+  while (max_promotions-- > 0 && !promotions_.empty() &&
          promotions_.begin()->first <= now_ms) {
     const TaskId id = promotions_.begin()->second;
     Remove(id, tasks[id]);
@@ -74,73 +74,73 @@
   }
 }
 
-bool TaskQueue::Offered(const Line& line) const {
-  if (!line.blocked) return true;
-  if (!line.fits_by_room) return line.seen < openings_.size();
-  for (size_t i = line.seen; i < openings_.size(); ++i) {
-    if (line.need.FitsIn(openings_[i].free)) return true;
+bool TaskQueue::IsEligible(const ShapeQueue& queue) const {
+  if (!queue.blocked) return true;
+  if (!queue.waits_for_capacity) return queue.freed_seen < freed_.size();
+  for (size_t i = queue.freed_seen; i < freed_.size(); ++i) {
+    if (queue.need.FitsIn(freed_[i].free)) return true;
   }
   return false;
 }
 
 TaskQueue::Offer TaskQueue::Next(const std::vector<double>& shares) const {
   Offer offer;
-  const Line* best = nullptr;
+  const ShapeQueue* best = nullptr;
   double best_share = 0;
   for (int rank = 0; rank < kRanks && best == nullptr; ++rank) {
-    if (by_rank_[rank] == 0) continue;
+    if (waiting_by_rank_[rank] == 0) continue;
     for (size_t team = 0; team < ranks_[rank].size(); ++team) {
       if (best != nullptr && shares[team] > best_share) continue;
-      for (const auto& [shape, line] : ranks_[rank][team]) {
+      for (const auto& [shape, queue] : ranks_[rank][team]) {
         const bool behind = best != nullptr && shares[team] == best_share &&
-                            *line.tasks.begin() >= *best->tasks.begin();
-        if (behind || !Offered(line)) continue;
-        best = &line;
+                            *queue.tasks.begin() >= *best->tasks.begin();
+        if (behind || !IsEligible(queue)) continue;
+        best = &queue;
         best_share = shares[team];
       }
     }
   }
   if (best == nullptr) return offer;
   offer.task = std::get<2>(*best->tasks.begin());
-  if (!best->blocked || !best->fits_by_room) return offer;
-  for (size_t i = best->seen; i < openings_.size(); ++i) {
-    if (best->need.FitsIn(openings_[i].free)) {
-      offer.only.push_back(openings_[i].worker);
+  if (!best->blocked || !best->waits_for_capacity) return offer;
+  for (size_t i = best->freed_seen; i < freed_.size(); ++i) {
+    if (best->need.FitsIn(freed_[i].free)) {
+      offer.only.push_back(freed_[i].worker);
     }
   }
   return offer;
 }
 
-void TaskQueue::Block(const TaskRow& row, bool fits_by_room) {
-  Lines& lines = LinesOf(row);
-  const auto it = lines.find(row.shape);
-  if (it == lines.end()) return;
+void TaskQueue::Block(const TaskRow& row, bool waits_for_capacity) {
+  ShapeQueues& queues = QueuesOf(row);
+  const auto it = queues.find(row.shape);
+  if (it == queues.end()) return;
   it->second.blocked = true;
-  it->second.fits_by_room = fits_by_room;
-  it->second.seen = openings_.size();
+  it->second.waits_for_capacity = waits_for_capacity;
+  it->second.freed_seen = freed_.size();
 }
 
-void TaskQueue::Open(WorkerId worker, const Resources& free) {
-  openings_.push_back({worker, free});
-  if (openings_.size() > kMostOpenings) UnblockAll();
+void TaskQueue::AddFreedCapacity(WorkerId worker, const Resources& free) {
+  freed_.push_back({worker, free});
+  if (freed_.size() > kMaxFreedEntries) UnblockAll();
 }
 
 void TaskQueue::UnblockAll() {
   for (auto& teams : ranks_) {
-    for (Lines& lines : teams) {
-      for (auto& [shape, line] : lines) line.blocked = false;
+    for (ShapeQueues& queues : teams) {
+      for (auto& [shape, queue] : queues) queue.blocked = false;
     }
   }
-  openings_.clear();
+  freed_.clear();
 }
 
-void TaskQueue::ForgetOpenings() {
+void TaskQueue::ClearFreedCapacity() {
   for (auto& teams : ranks_) {
-    for (Lines& lines : teams) {
-      for (auto& [shape, line] : lines) line.seen = 0;
+    for (ShapeQueues& queues : teams) {
+      for (auto& [shape, queue] : queues) queue.freed_seen = 0;
     }
   }
-  openings_.clear();
+  freed_.clear();
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/task_queue.h
+++ b/keelbridge/coordination/task_queue.h
@@ -40,7 +40,7 @@
     bool largest_first = false;  // Among tasks without deadline, for packing.
     int64_t promote_after_ms =
         1800000;  // Waiting time after which a task of a low class is promoted.
-    int64_t deadline_guard_ms =
+    int64_t promotion_slack_ms =
         120000;  // Slack below which a task with a deadline is promoted.
   };
 
@@ -51,7 +51,7 @@
 
   // Moves tasks whose time has come to the promoted rank. At most `most` in a
   // call.
-  void Promote(TaskTable& tasks, int64_t now_ms, int most);
+  void Promote(TaskTable& tasks, int64_t now_ms, int max_promotions);
 
   // What to try next.
   struct Offer {
@@ -63,47 +63,47 @@
   Offer Next(const std::vector<double>& shares) const;
 
   // No task with this rank, team and shape is offered again before room
-  // appears. `fits_by_room`: room on a worker is all that it waits for, so that
-  // only workers with new room need to be looked at.
-  void Block(const TaskRow& row, bool fits_by_room);
+  // appears. `waits_for_capacity`: room on a worker is all that it waits for,
+  // so that only workers with new room need to be looked at.
+  void Block(const TaskRow& row, bool waits_for_capacity);
   // Room appeared on `worker`, which now has `free`.
-  void Open(WorkerId worker, const Resources& free);
+  void AddFreedCapacity(WorkerId worker, const Resources& free);
   // Everything is offered again, anywhere.
   void UnblockAll();
   // Every line that waits has seen the openings (`Next` offers nothing).
-  void ForgetOpenings();
+  void ClearFreedCapacity();
 
   size_t size() const { return size_; }
-  size_t WaitingInRank(int rank) const { return by_rank_[rank]; }
+  size_t WaitingInRank(int rank) const { return waiting_by_rank_[rank]; }
 
  private:
   using Key = std::tuple<int64_t, int32_t,
                          TaskId>;  // Latest start (or size), sequence, task.
-  struct Line {
+  struct ShapeQueue {
     absl::btree_set<Key> tasks;
     Resources need;
     bool blocked = false;
-    bool fits_by_room = false;
-    size_t seen = 0;  // Openings that were there when it was blocked.
+    bool waits_for_capacity = false;
+    size_t freed_seen = 0;  // Openings that were there when it was blocked.
   };
-  struct Opening {
+  struct FreedCapacity {
     WorkerId worker = kNoWorker;
     Resources free;
   };
-  using Lines = absl::btree_map<int32_t, Line>;  // By shape.
+  using ShapeQueues = absl::btree_map<int32_t, ShapeQueue>;  // By shape.
 
   Key KeyOf(TaskId id, const TaskRow& row) const;
   int RankOf(const TaskRow& row, int64_t now_ms) const;
-  int64_t PromoteAt(const TaskRow& row) const;
-  Lines& LinesOf(const TaskRow& row);
-  bool Offered(const Line& line) const;
+  int64_t PromotionTime(const TaskRow& row) const;
+  ShapeQueues& QueuesOf(const TaskRow& row);
+  bool IsEligible(const ShapeQueue& queue) const;
 
   const Options options_;
-  std::array<std::vector<Lines>, kRanks> ranks_;  // By team.
-  std::array<size_t, kRanks> by_rank_{};
+  std::array<std::vector<ShapeQueues>, kRanks> ranks_;  // By team.
+  std::array<size_t, kRanks> waiting_by_rank_{};
   absl::btree_set<std::pair<int64_t, TaskId>> promotions_;
   // Since the last `UnblockAll`, or since every line had seen them all.
-  std::vector<Opening> openings_;
+  std::vector<FreedCapacity> freed_;
   size_t size_ = 0;
 };
 
--- a/keelbridge/coordination/task_table.h
+++ b/keelbridge/coordination/task_table.h
@@ -17,11 +17,11 @@
 namespace keelbridge {
 
 enum class TaskState : uint8_t {
-  kGone,      // The row is free.
-  kWaiting,   // In the queue.
-  kPlaced,    // Capacity is taken on `worker`.
-  kYielding,  // Placed, and asked to make room.
-  kHeld,      // Waits on `worker` for others that yield for it.
+  kGone,                // The row is free.
+  kWaiting,             // In the queue.
+  kPlaced,              // Capacity is taken on `worker`.
+  kBeingPreempted,      // Placed, and asked to make room.
+  kAwaitingPreemption,  // Waits on `worker` for others that yield for it.
 };
 
 constexpr int64_t kNever = INT64_MAX;
@@ -40,15 +40,15 @@
   bool checkpoints = false;
   bool spread = false;
   bool service = false;
-  bool pinned = false;
+  bool non_preemptible = false;
   WorkerId worker = kNoWorker;
   int64_t submitted_ms = 0;
   int64_t started_ms = 0;
   int64_t duration_ms = 0;  // Estimate of what is left; 0 for a service.
-  int64_t longest_ms =
+  int64_t max_duration_ms =
       kNever;  // Estimate with its error: what reservations reckon with.
   int64_t latest_start_ms = kNever;
-  int64_t done_ms = 0;  // Work that a checkpoint saved.
+  int64_t saved_progress_ms = 0;  // Work that a checkpoint saved.
 };
 
 class TaskTable {
--- a/keelbridge/coordination/victim_search.cc
+++ b/keelbridge/coordination/victim_search.cc
@@ -6,7 +6,7 @@
 namespace keelbridge {
 namespace {
 
-constexpr int kMostSteps = 4000;
+constexpr int kMaxSteps = 4000;
 constexpr Resources kNothing{};
 
 // Depth first: take or leave each candidate, cheapest for its use first.
@@ -14,10 +14,10 @@
  public:
   Search(const std::vector<VictimCandidate>& candidates,
          const Resources& shortfall)
-      : candidates_(candidates), suffix_(candidates.size() + 1) {
+      : candidates_(candidates), suffix_totals_(candidates.size() + 1) {
     for (size_t i = candidates.size(); i-- > 0;)
-      suffix_[i] = suffix_[i + 1] + candidates[i].frees;
-    Descend(0, shortfall, 0);
+      suffix_totals_[i] = suffix_totals_[i + 1] + candidates[i].freed_resources;
+    Branch(0, shortfall, 0);
   }
 
   bool found() const {
@@ -27,28 +27,28 @@
   const std::vector<size_t>& best() const { return best_; }
 
  private:
-  void Descend(size_t at, const Resources& left, double cost) {
+  void Branch(size_t at, const Resources& remaining, double cost) {
     if (cost >= best_cost_) return;
-    if (left == kNothing) {
+    if (remaining == kNothing) {
       best_cost_ = cost;
       best_ = chosen_;
       return;
     }
-    if (at == candidates_.size() || ++steps_ > kMostSteps ||
-        !left.FitsIn(suffix_[at]))
+    if (at == candidates_.size() || ++steps_ > kMaxSteps ||
+        !remaining.FitsIn(suffix_totals_[at]))
       return;
     const VictimCandidate& candidate = candidates_[at];
-    const Resources after = Shortfall(left, candidate.frees);
-    if (after != left) {
+    const Resources after = Shortfall(remaining, candidate.freed_resources);
+    if (after != remaining) {
       chosen_.push_back(at);
-      Descend(at + 1, after, cost + candidate.cost);
+      Branch(at + 1, after, cost + candidate.cost);
       chosen_.pop_back();
     }
-    Descend(at + 1, left, cost);
+    Branch(at + 1, remaining, cost);
   }
 
   const std::vector<VictimCandidate>& candidates_;
-  std::vector<Resources> suffix_;  // What all from here on would free.
+  std::vector<Resources> suffix_totals_;  // What all from here on would free.
   std::vector<size_t> chosen_;
   std::vector<size_t> best_;
   double best_cost_ = std::numeric_limits<double>::infinity();
@@ -59,13 +59,14 @@
 
 VictimSet FindVictims(std::vector<VictimCandidate> candidates,
                       const Resources& shortfall) {
-  const auto worth = [&shortfall](const VictimCandidate& c) {
-    const Resources useful = shortfall - Shortfall(shortfall, c.frees);
+  const auto efficiency = [&shortfall](const VictimCandidate& c) {
+    const Resources useful =
+        shortfall - Shortfall(shortfall, c.freed_resources);
     return DominantShare(useful, shortfall) / c.cost;
   };
   std::sort(candidates.begin(), candidates.end(),
-            [&worth](const VictimCandidate& a, const VictimCandidate& b) {
-              return worth(a) > worth(b);
+            [&efficiency](const VictimCandidate& a, const VictimCandidate& b) {
+              return efficiency(a) > efficiency(b);
             });
   const Search search(candidates, shortfall);
   VictimSet out;
--- a/keelbridge/coordination/victim_search.h
+++ b/keelbridge/coordination/victim_search.h
@@ -19,7 +19,7 @@
 
 struct VictimCandidate {
   TaskId task = kNoTask;
-  Resources frees;
+  Resources freed_resources;
   double cost = 0;  // More than zero: what yielding it loses.
 };
 
--- a/keelbridge/coordination/worker_list.cc
+++ b/keelbridge/coordination/worker_list.cc
@@ -8,57 +8,58 @@
 namespace {
 
 // Of a reason: it may quote what another writer wrote.
-constexpr size_t kLongestReason = 300;
+constexpr size_t kMaxReasonLength = 300;
 
 }  // namespace
 
-int64_t& WorkerList::CountOf(Use use) {
-  switch (use) {
-    case Use::kUsed:
+int64_t& WorkerList::CountOf(EntryStatus status) {
+  switch (status) {
+    case EntryStatus::kUsed:
       return figures_.used;
-    case Use::kRefused:
+    case EntryStatus::kRefused:
       return figures_.refused;
-    case Use::kUnnamed:
+    case EntryStatus::kUnknownService:
       break;
   }
-  return figures_.unnamed;
+  return figures_.unknown_service;
 }
 
 void WorkerList::OnEntry(const std::string& id,
                          const Result<WorkerRecord>& entry) {
-  const auto [it, fresh] = entries_.try_emplace(id);
-  if (fresh) ++CountOf(it->second.use);
-  it->second.shown = true;
+  const auto [it, inserted] = entries_.try_emplace(id);
+  if (inserted) ++CountOf(it->second.status);
+  it->second.seen = true;
   if (entry) {
     it->second.record = entry.value();
-    Judge(id, &it->second);
-    if (it->second.use == Use::kUsed) changes_.push_back({id, entry.value()});
+    Classify(id, &it->second);
+    if (it->second.status == EntryStatus::kUsed)
+      changes_.push_back({id, entry.value()});
     return;
   }
   it->second.record.reset();
-  const std::string what = entry.error().message.substr(0, kLongestReason);
+  const std::string what = entry.error().message.substr(0, kMaxReasonLength);
   if (what != it->second.what) unused_.push_back({id, what});
   it->second.what = what;
-  Judge(id, &it->second);
+  Classify(id, &it->second);
 }
 
 void WorkerList::OnEntryGone(const std::string& id) {
   const auto found = entries_.find(id);
   if (found != entries_.end()) {
-    --CountOf(found->second.use);
+    --CountOf(found->second.status);
     entries_.erase(found);
   }
   changes_.push_back({id, std::nullopt});
 }
 
-void WorkerList::BeginListing() {
-  for (auto& [id, entry] : entries_) entry.shown = false;
+void WorkerList::BeginFullRead() {
+  for (auto& [id, entry] : entries_) entry.seen = false;
 }
 
-void WorkerList::EndListing() {
+void WorkerList::EndFullRead() {
   std::vector<std::string> gone;
   for (const auto& [id, entry] : entries_) {
-    if (!entry.shown) gone.push_back(id);
+    if (!entry.seen) gone.push_back(id);
   }
   for (const std::string& id : gone) OnEntryGone(id);
 }
@@ -70,34 +71,35 @@
   for (const Queue& queue : configuration.queues) services_.insert(queue.pool);
   for (auto& [id, entry] : entries_) {
     if (!entry.record) continue;
-    const Use before = entry.use;
-    Judge(id, &entry);
-    if (entry.use == Use::kUsed && before != Use::kUsed)
+    const EntryStatus before = entry.status;
+    Classify(id, &entry);
+    if (entry.status == EntryStatus::kUsed && before != EntryStatus::kUsed)
       changes_.push_back({id, entry.record});
   }
 }
 
-void WorkerList::Judge(const std::string& id, Entry* entry) {
-  const Use before = entry->use;
+void WorkerList::Classify(const std::string& id, Entry* entry) {
+  const EntryStatus before = entry->status;
   if (!entry->record) {
-    entry->use = Use::kRefused;
+    entry->status = EntryStatus::kRefused;
   } else if (services_.count(entry->record->pool) > 0) {
-    entry->use = Use::kUsed;
+    entry->status = EntryStatus::kUsed;
     entry->what.clear();
   } else {
-    entry->use = Use::kUnnamed;
+    entry->status = EntryStatus::kUnknownService;
     const std::string what =
         configured_
             ? absl::StrCat("no configuration names the service ",
-                           entry->record->pool.substr(0, kLongestReason))
+                           entry->record->pool.substr(0, kMaxReasonLength))
             : "";
     if (!what.empty() && what != entry->what) unused_.push_back({id, what});
     entry->what = what;
   }
   --CountOf(before);
-  ++CountOf(entry->use);
+  ++CountOf(entry->status);
   // Also of one that was not used under this leader: an earlier one may have.
-  if (entry->use != Use::kUsed) changes_.push_back({id, std::nullopt});
+  if (entry->status != EntryStatus::kUsed)
+    changes_.push_back({id, std::nullopt});
 }
 
 std::vector<WorkerList::Change> WorkerList::TakeChanges() {
--- a/keelbridge/coordination/worker_list.h
+++ b/keelbridge/coordination/worker_list.h
@@ -42,8 +42,8 @@
   };
   struct Figures {
     int64_t used = 0;
-    int64_t refused = 0;  // Entries that cannot be read.
-    int64_t unnamed = 0;  // Of services that no configuration names.
+    int64_t refused = 0;          // Entries that cannot be read.
+    int64_t unknown_service = 0;  // Of services that no configuration names.
   };
 
   // The newest entry of `id`, or why it cannot be read.
@@ -53,8 +53,8 @@
   // entries that it did not show are gone. One that was written meanwhile, on a
   // page read before, is heard of by the reading that goes on from the first
   // page.
-  void BeginListing();
-  void EndListing();
+  void BeginFullRead();
+  void EndFullRead();
   void SetConfiguration(const SiteConfiguration& configuration);
 
   // In their order, since the last call.
@@ -63,16 +63,16 @@
   Figures figures() const { return figures_; }
 
  private:
-  enum class Use { kUsed, kRefused, kUnnamed };
+  enum class EntryStatus { kUsed, kRefused, kUnknownService };
   struct Entry {
-    Use use = Use::kRefused;
+    EntryStatus status = EntryStatus::kRefused;
     std::optional<WorkerRecord> record;  // None: it cannot be read.
     std::string what;                    // Why it is not used.
-    bool shown = true;                   // Since the listing began.
+    bool seen = true;                    // Since the listing began.
   };
 
-  void Judge(const std::string& id, Entry* entry);
-  int64_t& CountOf(Use use);
+  void Classify(const std::string& id, Entry* entry);
+  int64_t& CountOf(EntryStatus status);
 
   std::map<std::string, Entry> entries_;
   absl::flat_hash_set<std::string> services_;
--- a/keelbridge/coordination/worker_list_test.cc
+++ b/keelbridge/coordination/worker_list_test.cc
@@ -8,25 +8,25 @@
 namespace keelbridge {
 namespace {
 
-WorkerRecord Of(const std::string& id, const std::string& service) {
+WorkerRecord MakeRecord(const std::string& id, const std::string& service) {
   WorkerRecord record;
   record.id = id;
   record.pool = service;
   return record;
 }
 
-Result<WorkerRecord> Refused(const std::string& what) {
+Result<WorkerRecord> MalformedEntry(const std::string& what) {
   return MakeError(ErrorCode::kInvalid, what);
 }
 
-SiteConfiguration Naming(const std::string& service) {
+SiteConfiguration ConfigurationWithPool(const std::string& service) {
   SiteConfiguration configuration;
   configuration.pools.push_back({service, false, false});
   return configuration;
 }
 
 // Whether the last change of `id` uses it; none: there is none.
-std::optional<bool> LastOf(WorkerList& list, const std::string& id) {
+std::optional<bool> LastChangeUses(WorkerList& list, const std::string& id) {
   std::optional<bool> used;
   for (const auto& change : list.TakeChanges()) {
     if (change.id == id) used = change.record.has_value();
@@ -36,24 +36,24 @@
 
 TEST_CASE("worker list: an entry is used once a configuration names it") {
   WorkerList list;
-  list.OnEntry("a", Of("a", "desk"));
-  CHECK(LastOf(list, "a") == false);
+  list.OnEntry("a", MakeRecord("a", "desk"));
+  CHECK(LastChangeUses(list, "a") == false);
   CHECK(list.TakeUnused().empty());  // No configuration is in force yet.
-  list.SetConfiguration(Naming("other"));
-  CHECK(LastOf(list, "a") == false);
+  list.SetConfiguration(ConfigurationWithPool("other"));
+  CHECK(LastChangeUses(list, "a") == false);
   CHECK(list.TakeUnused().size() == 1);
-  list.OnEntry("a", Of("a", "desk"));
+  list.OnEntry("a", MakeRecord("a", "desk"));
   CHECK(list.TakeUnused().empty());
-  CHECK(list.figures().unnamed == 1);
-  list.SetConfiguration(Naming("desk"));
-  CHECK(LastOf(list, "a") == true);
+  CHECK(list.figures().unknown_service == 1);
+  list.SetConfiguration(ConfigurationWithPool("desk"));
+  CHECK(LastChangeUses(list, "a") == true);
   CHECK(list.figures().used == 1);
-  CHECK(list.figures().unnamed == 0);
+  CHECK(list.figures().unknown_service == 0);
   // Nothing changes with another configuration that names it.
-  list.SetConfiguration(Naming("desk"));
-  CHECK_FALSE(LastOf(list, "a").has_value());
-  list.SetConfiguration(Naming("other"));
-  CHECK(LastOf(list, "a") == false);
+  list.SetConfiguration(ConfigurationWithPool("desk"));
+  CHECK_FALSE(LastChangeUses(list, "a").has_value());
+  list.SetConfiguration(ConfigurationWithPool("other"));
+  CHECK(LastChangeUses(list, "a") == false);
   CHECK(list.figures().used == 0);
 }
 
@@ -63,59 +63,60 @@
   configuration.queues[0].pool = "desk";
   WorkerList list;
   list.SetConfiguration(configuration);
-  list.OnEntry("a", Of("a", "desk"));
-  CHECK(LastOf(list, "a") == true);
+  list.OnEntry("a", MakeRecord("a", "desk"));
+  CHECK(LastChangeUses(list, "a") == true);
 }
 
 TEST_CASE("worker list: a bad entry is told once until it changes") {
   WorkerList list;
-  list.SetConfiguration(Naming("desk"));
-  list.OnEntry("a", Of("a", "desk"));
-  CHECK(LastOf(list, "a") == true);
+  list.SetConfiguration(ConfigurationWithPool("desk"));
+  list.OnEntry("a", MakeRecord("a", "desk"));
+  CHECK(LastChangeUses(list, "a") == true);
   for (int i = 0; i < 3; ++i) {
-    list.OnEntry("a", Refused("address"));
-    CHECK(LastOf(list, "a") == false);
+    list.OnEntry("a", MalformedEntry("address"));
+    CHECK(LastChangeUses(list, "a") == false);
   }
   CHECK(list.TakeUnused().size() == 1);
   CHECK(list.figures().refused == 1);
   CHECK(list.figures().used == 0);
-  list.OnEntry("a", Refused("state"));
+  list.OnEntry("a", MalformedEntry("state"));
   CHECK(list.TakeUnused().size() == 1);
-  list.OnEntry("a", Of("a", "desk"));
-  CHECK(LastOf(list, "a") == true);
-  list.OnEntry("a", Refused("state"));
+  list.OnEntry("a", MakeRecord("a", "desk"));
+  CHECK(LastChangeUses(list, "a") == true);
+  list.OnEntry("a", MalformedEntry("state"));
   const auto unused = list.TakeUnused();
   REQUIRE(unused.size() == 1);
   CHECK(unused[0].id == "a");
   CHECK(unused[0].what == "state");
   // A configuration makes no good entry of a bad one.
-  list.SetConfiguration(Naming("desk"));
-  CHECK(LastOf(list, "a") == false);
+  list.SetConfiguration(ConfigurationWithPool("desk"));
+  CHECK(LastChangeUses(list, "a") == false);
   list.OnEntryGone("a");
-  CHECK(LastOf(list, "a") == false);
+  CHECK(LastChangeUses(list, "a") == false);
   CHECK(list.figures().refused == 0);
   CHECK(list.figures().used == 0);
 }
 
 TEST_CASE("worker list: what a whole listing does not show is gone") {
   WorkerList list;
-  list.SetConfiguration(Naming("desk"));
-  for (const char* id : {"a", "b", "c"}) list.OnEntry(id, Of(id, "desk"));
-  list.BeginListing();
-  list.OnEntry("b", Of("b", "desk"));
-  list.OnEntry("c", Refused("state"));
+  list.SetConfiguration(ConfigurationWithPool("desk"));
+  for (const char* id : {"a", "b", "c"})
+    list.OnEntry(id, MakeRecord(id, "desk"));
+  list.BeginFullRead();
+  list.OnEntry("b", MakeRecord("b", "desk"));
+  list.OnEntry("c", MalformedEntry("state"));
   list.TakeChanges();
-  list.EndListing();
-  CHECK(LastOf(list, "a") == false);
+  list.EndFullRead();
+  CHECK(LastChangeUses(list, "a") == false);
   CHECK(list.figures().used == 1);
   CHECK(list.figures().refused == 1);
-  list.EndListing();
+  list.EndFullRead();
   CHECK(list.TakeChanges().empty());
 }
 
 TEST_CASE("worker list: a reason is no longer than a line") {
   WorkerList list;
-  list.OnEntry("a", Refused(std::string(100000, 'x')));
+  list.OnEntry("a", MalformedEntry(std::string(100000, 'x')));
   const auto unused = list.TakeUnused();
   REQUIRE(unused.size() == 1);
   CHECK(unused[0].what.size() == 300);
--- a/keelbridge/coordination/zone_scheduler.cc
+++ b/keelbridge/coordination/zone_scheduler.cc
@@ -19,7 +19,7 @@
 ZoneScheduler::ZoneScheduler(Options options)
     : options_(std::move(options)),
       leadership_(options_.leadership, options_.seed),
-      book_(options_.leases),
+      lease_tracker_(options_.leases),
       writer_(options_.log),
       decider_(std::make_unique<Decider>(DeciderOptions())) {}
 
@@ -34,7 +34,7 @@
     if (worker.zone == options_.zone) names.push_back(worker.name);
   }
   leadership_.SetWorkers(names);
-  book_.SetWorkers(names);
+  lease_tracker_.SetWorkers(names);
   workers_changed_ = true;
   if (!leading_ || new_policy) {
     // A changed policy needs a new decision core; its tasks are adopted from
@@ -70,7 +70,7 @@
   workers_changed_ = true;
 }
 
-bool ZoneScheduler::Leaving(const std::string& worker) const {
+bool ZoneScheduler::IsLeaving(const std::string& worker) const {
   return leaving_.count(worker) > 0 ||
          replica_.state().drained_hosts().count(worker) > 0;
 }
@@ -88,9 +88,10 @@
   for (WorkerId id = 0; id < static_cast<WorkerId>(decider_->cell().size());
        ++id) {
     const std::string& name = decider_->cell().Name(id);
-    decider_->SetSchedulable(
-        id, book_.Sealed(name) && !book_.HasUnwanted(name) && !Leaving(name) &&
-                configured.count(name) > 0);
+    decider_->SetSchedulable(id, lease_tracker_.IsReconciled(name) &&
+                                     !lease_tracker_.HasUnwanted(name) &&
+                                     !IsLeaving(name) &&
+                                     configured.count(name) > 0);
   }
 }
 
@@ -100,11 +101,11 @@
   const int gaps = replica_.gaps();
   replica_.OnBatch(batch);
   was_current_ = was_current_ || replica_.Current();
-  leadership_.NoteEpoch(replica_.state().epoch());
+  leadership_.RecordEpoch(replica_.state().epoch());
   if (drained != replica_.state().drained_hosts()) workers_changed_ = true;
-  const std::optional<EnvelopeId> unsettled = writer_.unsettled();
-  if (unsettled && replica_.state().Applied(*unsettled)) {
-    writer_.OnSeen(now.mono);
+  const std::optional<EnvelopeId> unacknowledged = writer_.unacknowledged();
+  if (unacknowledged && replica_.state().Applied(*unacknowledged)) {
+    writer_.OnSeenInLog(now.mono);
   }
   const std::vector<std::string> ended = replica_.TakeEnded();
   if (!leading_) return;
@@ -125,13 +126,14 @@
   writer_.OnAnswer(offset, now.mono);
 }
 
-const WorkRecord* ZoneScheduler::RecordOf(const std::string& intent) const {
+const WorkRecord* ZoneScheduler::FindWorkRecord(
+    const std::string& intent) const {
   const auto it = replica_.state().work().find(intent);
   return it == replica_.state().work().end() ? nullptr : &it->second;
 }
 
-bool ZoneScheduler::Wanted(const TaskEntry& entry) const {
-  const WorkRecord* record = RecordOf(entry.intent);
+bool ZoneScheduler::IsWanted(const TaskEntry& entry) const {
+  const WorkRecord* record = FindWorkRecord(entry.intent);
   return record != nullptr && entry.index < record->intent.tasks &&
          !record->ended.Contains(entry.index);
 }
@@ -162,15 +164,15 @@
   synced_.clear();
   tasks_.clear();
   names_.clear();
-  early_.clear();
+  deferred_events_.clear();
   claiming_.clear();
   ending_.clear();
-  maybe_.clear();
+  unobserved_.clear();
   snapshot_seen_ = replica_.last_snapshot_covers();
   snapshot_seen_at_ = now.mono;
   ++counts_.leaderships;
   BuildDecider();
-  book_.BeginLeadership(now.mono);
+  lease_tracker_.BeginLeadership(now.mono);
   writer_.Add(LeaderEntry{led_epoch_, options_.name});
 }
 
@@ -214,9 +216,9 @@
     // Only a leader renews task leases: a candidate that did would keep alive
     // what the leader counts as lapsed.
     hold.request.lease_ttl = options_.leases.lease_ttl;
-    hold.request.known_digest = book_.ExpectedDigest(worker);
-    hold.request.acknowledged = book_.Acknowledgements(worker);
-    book_.OnHoldSent(worker, mode, now.mono);
+    hold.request.known_digest = lease_tracker_.ExpectedDigest(worker);
+    hold.request.acknowledged = lease_tracker_.Acknowledgements(worker);
+    lease_tracker_.OnHoldSent(worker, mode, now.mono);
   }
   ++counts_.holds;
   actions.push_back(std::move(hold));
@@ -226,15 +228,16 @@
   for (const HoldOrder& order : leadership_.Tick(now)) {
     const bool renewal = leading_ && order.mode == HoldMode::kAcquire;
     PushHold(order.worker,
-             renewal ? book_.HoldModeFor(order.worker) : order.mode,
+             renewal ? lease_tracker_.HoldModeFor(order.worker) : order.mode,
              order.epoch, now, actions);
   }
   if (!leading_) return;
-  for (const std::string& worker : book_.WorkersStopping()) {
+  for (const std::string& worker : lease_tracker_.WorkersWithPendingStops()) {
     absl::Time& next = next_extra_hold_[worker];
     if (now.mono < next) continue;
-    next = now.mono + options_.stops_poll;
-    PushHold(worker, book_.HoldModeFor(worker), led_epoch_, now, actions);
+    next = now.mono + options_.stopping_poll_interval;
+    PushHold(worker, lease_tracker_.HoldModeFor(worker), led_epoch_, now,
+             actions);
   }
 }
 
@@ -258,18 +261,20 @@
 }
 
 void ZoneScheduler::TickLeader(Now now, std::vector<Action>& actions) {
-  for (const LeaseEvent& event : book_.Tick(now.mono)) Handle(event, now);
+  for (const LeaseEvent& event : lease_tracker_.Tick(now.mono))
+    Handle(event, now);
   if (!Ready(now)) return;
   if (synced_plan_ != replica_.state().last_plan()) SyncWork(now);
-  for (const auto& [key, event] : std::exchange(early_, {})) Handle(event, now);
-  if (!maybe_.empty()) SettleMaybes(now);
+  for (const auto& [key, event] : std::exchange(deferred_events_, {}))
+    Handle(event, now);
+  if (!unobserved_.empty()) ResolveUnobserved(now);
   if (std::exchange(workers_changed_, false)) RefreshSchedulable();
   TickDrains(now);
   TickClaims(now, actions);
   for (const Order& order :
        decider_->Decide(MonoMillis(now), options_.decide_budget))
     CarryOut(order, now, actions);
-  for (const Lease& lease : book_.StopsDue(now.mono)) {
+  for (const Lease& lease : lease_tracker_.TakeDueStops(now.mono)) {
     SendStop stop{lease.worker, {}};
     stop.request.holder = options_.leadership.holder;
     stop.request.epoch = led_epoch_;
@@ -288,15 +293,17 @@
     snapshot_seen_ = replica_.last_snapshot_covers();
     snapshot_seen_at_ = now.mono;
   }
-  const bool old = now.mono - snapshot_seen_at_ >= options_.snapshot_interval;
-  const bool many = replica_.SinceSnapshot() > options_.snapshot_every;
-  if (!old && !many) return;
+  const bool overdue =
+      now.mono - snapshot_seen_at_ >= options_.snapshot_interval;
+  const bool many_records =
+      replica_.OffsetsSinceSnapshot() > options_.snapshot_every;
+  if (!overdue && !many_records) return;
   // Not again until this one can have been read back.
   snapshot_seen_at_ = now.mono;
   const std::string id =
       absl::StrFormat("%x-%d", options_.incarnation, replica_.next());
   for (SnapshotEntry& piece :
-       CutSnapshot(replica_.state(), id, options_.snapshot_piece_bytes)) {
+       SplitSnapshot(replica_.state(), id, options_.snapshot_piece_bytes)) {
     writer_.Add(std::move(piece));
   }
 }
@@ -308,10 +315,10 @@
   const std::string name = names_[order.task];
   const auto it = tasks_.find(name);
   if (it == tasks_.end()) return;
-  if (order.kind == Order::Kind::kYield) {
-    book_.Stopping(name,
-                   order.checkpoint ? StopMode::kCheckpoint : StopMode::kStop,
-                   now.mono);
+  if (order.kind == Order::Kind::kPreempt) {
+    lease_tracker_.RequestStop(
+        name, order.checkpoint ? StopMode::kCheckpoint : StopMode::kStop,
+        now.mono);
     return;
   }
   TaskEntry& entry = it->second;
@@ -323,14 +330,14 @@
   }
   entry.stage = Stage::kClaiming;
   claiming_.insert(name);
-  writer_.Add(OnceStartEntry{led_epoch_, name, entry.attempt});
+  writer_.Add(StartClaimEntry{led_epoch_, name, entry.attempt});
 }
 
 void ZoneScheduler::TickClaims(Now now, std::vector<Action>& actions) {
   for (auto it = claiming_.begin(); it != claiming_.end();) {
     const std::string name = *it;
     TaskEntry& entry = tasks_[name];
-    const int64_t claimed = replica_.state().OnceAttempt(name);
+    const int64_t claimed = replica_.state().ClaimedAttempt(name);
     if (claimed == 0) {
       ++it;
       continue;
@@ -346,7 +353,7 @@
 
 void ZoneScheduler::StartTask(const std::string& name, TaskEntry& entry,
                               Now now, std::vector<Action>& actions) {
-  const WorkRecord* record = RecordOf(entry.intent);
+  const WorkRecord* record = FindWorkRecord(entry.intent);
   if (record == nullptr) return;
   const std::string& worker = decider_->cell().Name(entry.worker);
   entry.stage = Stage::kLeased;
@@ -363,8 +370,9 @@
   start.request.work = record->intent.task_duration;
   start.request.progress_ms = entry.progress_ms;
   start.request.decision = DecisionText(entry.id);
-  book_.Starting(name, entry.attempt, worker, start.request.resources,
-                 start.request.decision, now.mono);
+  lease_tracker_.OnStartSent(name, entry.attempt, worker,
+                             start.request.resources, start.request.decision,
+                             now.mono);
   actions.push_back(std::move(start));
 }
 
@@ -373,25 +381,25 @@
   const Cell& cell = decider_->cell();
   std::vector<std::string> to_stop;
   for (WorkerId id = 0; id < static_cast<WorkerId>(cell.size()); ++id) {
-    if (decider_->TasksOn(id).empty() || !Leaving(cell.Name(id))) continue;
+    if (decider_->TasksOn(id).empty() || !IsLeaving(cell.Name(id))) continue;
     for (const TaskId task : decider_->TasksOn(id)) {
       const TaskRow& row = decider_->task(task);
-      if (row.state != TaskState::kPlaced || row.pinned) continue;
+      if (row.state != TaskState::kPlaced || row.non_preemptible) continue;
       const int64_t left_ms =
           row.started_ms + row.duration_ms - MonoMillis(now);
       if (!row.service &&
-          left_ms < absl::ToInt64Milliseconds(options_.drain_patience))
+          left_ms < absl::ToInt64Milliseconds(options_.drain_grace))
         continue;
       to_stop.push_back(names_[task]);
     }
   }
   for (const std::string& name : to_stop) {
-    const Lease* lease = book_.Find(name);
+    const Lease* lease = lease_tracker_.Find(name);
     if (lease == nullptr || lease->phase != LeasePhase::kRunning) continue;
-    const WorkRecord* record = RecordOf(tasks_[name].intent);
+    const WorkRecord* record = FindWorkRecord(tasks_[name].intent);
     const bool checkpoint = record != nullptr && record->intent.checkpoints;
-    book_.Stopping(name, checkpoint ? StopMode::kCheckpoint : StopMode::kStop,
-                   now.mono);
+    lease_tracker_.RequestStop(
+        name, checkpoint ? StopMode::kCheckpoint : StopMode::kStop, now.mono);
   }
 }
 
--- a/keelbridge/coordination/zone_scheduler.h
+++ b/keelbridge/coordination/zone_scheduler.h
@@ -72,13 +72,13 @@
     uint64_t incarnation = 1;
     uint64_t seed = 1;
     Leadership::Options leadership;
-    LeaseBook::Options leases;
+    LeaseTracker::Options leases;
     LogWriter::Options log;
-    absl::Duration stops_poll = absl::Milliseconds(
+    absl::Duration stopping_poll_interval = absl::Milliseconds(
         250);  // How often a worker is asked while tasks stop on it.
-    absl::Duration log_silence = absl::Seconds(
+    absl::Duration log_down_after = absl::Seconds(
         2);  // After so long without an answer the log counts as down.
-    absl::Duration drain_patience = absl::Seconds(
+    absl::Duration drain_grace = absl::Seconds(
         30);  // A task that ends within this is not stopped by a drain.
     int decide_budget = 400;        // Placements tried in one tick.
     int64_t snapshot_every = 2000;  // Records.
@@ -111,11 +111,11 @@
   std::vector<Action> HandOver(Now now);
 
   Result<Plan> Propose(const std::vector<Intent>& intents, Now now);
-  // Puts the confirmation on its way to the log; `FateOf` tells what became of
-  // it. Only the leader does this.
+  // Puts the confirmation on its way to the log; `GetPlanOutcome` tells what
+  // became of it. Only the leader does this.
   Result<void> Confirm(const Plan& plan, Now now);
-  ZoneState::PlanFate FateOf(const std::string& plan) const {
-    return replica_.state().FateOf(plan);
+  ZoneState::PlanOutcome GetPlanOutcome(const std::string& plan) const {
+    return replica_.state().GetPlanOutcome(plan);
   }
 
   // Why a task is where it is, or why it waits.
@@ -128,28 +128,28 @@
   int64_t epoch() const { return leadership_.epoch(); }
   const ZoneReplica& replica() const { return replica_; }
   const LogWriter& writer() const { return writer_; }
-  const LeaseBook& leases() const { return book_; }
+  const LeaseTracker& leases() const { return lease_tracker_; }
   const Decider& decider() const { return *decider_; }
   const ZoneSchedulerCounts& counts() const { return counts_; }
   bool LogDown(absl::Time now) const {
-    return now - last_log_answer_ > options_.log_silence;
+    return now - last_log_answer_ > options_.log_down_after;
   }
   const Options& options() const { return options_; }
 
  private:
   enum class Stage {
-    kMaybe,     // May run on a worker that has not been heard of in this
-                // leadership.
-    kWaiting,   // With the decision core.
-    kClaiming,  // Placed; the record that it may start is on its way to the
-                // log.
-    kLeased,    // In the lease book.
-    kEnding,    // Ended; the record is on its way to the log.
+    kUnobserved,  // May run on a worker that has not been heard of in this
+                  // leadership.
+    kWaiting,     // With the decision core.
+    kClaiming,    // Placed; the record that it may start is on its way to the
+                  // log.
+    kLeased,      // In the lease book.
+    kEnding,      // Ended; the record is on its way to the log.
   };
   struct TaskEntry {
     std::string intent;
     int64_t index = 0;
-    Stage stage = Stage::kMaybe;
+    Stage stage = Stage::kUnobserved;
     TaskId id = kNoTask;
     WorkerId worker = kNoWorker;
     int64_t attempt = 0;
@@ -167,7 +167,7 @@
   // Whether the zone's work is known well enough to act on it.
   bool Ready(Now now);
   bool Authoritative() const;
-  bool Wanted(const TaskEntry& entry) const;
+  bool IsWanted(const TaskEntry& entry) const;
   void BeginLeading(Now now);
   void StopLeading();
   void BuildDecider();
@@ -177,9 +177,10 @@
   void AddTask(const WorkRecord& record, int64_t index, Now now);
   void RemoveUnwanted(Now now);
   // False when nothing of the task is left and its entry can go.
-  bool Dismiss(const std::string& name, TaskEntry& entry, Now now);
-  void SettleMaybes(Now now);
-  void SettleMaybe(const std::string& name, TaskEntry& entry, Now now);
+  bool StopOrForget(const std::string& name, TaskEntry& entry, Now now);
+  void ResolveUnobserved(Now now);
+  void ResolveUnobservedTask(const std::string& name, TaskEntry& entry,
+                             Now now);
   void Forget(const std::string& name, TaskEntry& entry, Now now);
   void SubmitTask(const std::string& name, TaskEntry& entry, Now now);
   int32_t GroupOf(const std::string& intent);
@@ -188,12 +189,12 @@
   void HandleFound(const LeaseEvent& event, Now now);
   bool AdoptFound(const LeaseEvent& event, Now now);
   void HandleEnded(const LeaseEvent& event, Now now);
-  void BackToQueue(const std::string& name, TaskEntry& entry,
-                   int64_t progress_ms, bool may_have_run, Now now);
+  void Requeue(const std::string& name, TaskEntry& entry, int64_t progress_ms,
+               bool may_have_run, Now now);
   void RecordEnd(const std::string& name, TaskEntry& entry,
                  const std::string& outcome, const std::string& worker,
                  int64_t attempt, Now now);
-  void QueueEnd(const std::string& name, TaskEntry& entry);
+  void QueueEndRecord(const std::string& name, TaskEntry& entry);
   void OnEndRecorded(const std::string& name, Now now);
   void RefreshSchedulable();
 
@@ -201,7 +202,7 @@
   void TickHolds(Now now, std::vector<Action>& actions);
   void TickClaims(Now now, std::vector<Action>& actions);
   void TickDrains(Now now);
-  bool Leaving(const std::string& worker) const;
+  bool IsLeaving(const std::string& worker) const;
   void TickSnapshot(Now now);
   void CarryOut(const Order& order, Now now, std::vector<Action>& actions);
   void StartTask(const std::string& name, TaskEntry& entry, Now now,
@@ -210,7 +211,7 @@
                 Now now, std::vector<Action>& actions);
   int64_t NotAfter(Now now) const;
   std::string DecisionText(TaskId id) const;
-  const WorkRecord* RecordOf(const std::string& intent) const;
+  const WorkRecord* FindWorkRecord(const std::string& intent) const;
 
   // No plan has this offset, and -1 stands for "none yet".
   static constexpr int64_t kNeverSynced = -2;
@@ -218,7 +219,7 @@
   const Options options_;
   Configuration configuration_;
   Leadership leadership_;
-  LeaseBook book_;
+  LeaseTracker lease_tracker_;
   LogWriter writer_;
   ZoneReplica replica_;
   std::unique_ptr<Decider> decider_;
@@ -229,7 +230,7 @@
   int32_t next_group_ = 0;
   // Found, or ended, before the zone's state was known; by worker and attempt,
   // since each listing tells of them again.
-  std::map<std::pair<std::string, int64_t>, LeaseEvent> early_;
+  std::map<std::pair<std::string, int64_t>, LeaseEvent> deferred_events_;
   std::set<std::string> leaving_;
   std::set<std::string> holds_in_flight_;
   std::map<std::string, absl::Time> next_extra_hold_;
@@ -240,7 +241,7 @@
   int64_t synced_plan_ = kNeverSynced;  // As of this confirmed plan.
   bool was_current_ = false;  // The log has been read to its end once.
   int64_t next_attempt_ = 0;
-  std::set<std::string> maybe_;  // Tasks in stage `kMaybe`.
+  std::set<std::string> unobserved_;  // Tasks in stage `kUnobserved`.
   bool ready_ = false;
   int64_t snapshot_seen_ = -1;
   absl::Time snapshot_seen_at_ = absl::InfinitePast();
--- a/keelbridge/coordination/zone_scheduler_operators.cc
+++ b/keelbridge/coordination/zone_scheduler_operators.cc
@@ -46,7 +46,8 @@
                      "nothing was confirmed",
                      absl::Seconds(5));
   }
-  if (FateOf(plan.id) == ZoneState::PlanFate::kConfirmed) return Success();
+  if (GetPlanOutcome(plan.id) == ZoneState::PlanOutcome::kConfirmed)
+    return Success();
   if (plan.base != replica_.state().last_plan()) {
     return MakeError(ErrorCode::kStale,
                      "another plan was confirmed since this one was made; look "
@@ -76,7 +77,7 @@
   }
   const TaskEntry& entry = it->second;
   switch (entry.stage) {
-    case Stage::kMaybe:
+    case Stage::kUnobserved:
       return std::string(
           "not started by this leader: it may still run on a worker that has "
           "not answered since the leader "
@@ -89,7 +90,7 @@
                           "; it must not be repeated, and starts when the log "
                           "has taken that down");
     case Stage::kLeased: {
-      const Lease* lease = book_.Find(task);
+      const Lease* lease = lease_tracker_.Find(task);
       return lease == nullptr ? DecisionText(entry.id)
                               : absl::StrCat("running ", lease->decision);
     }
--- a/keelbridge/coordination/zone_scheduler_test.cc
+++ b/keelbridge/coordination/zone_scheduler_test.cc
@@ -12,43 +12,45 @@
 
 // Random failures for `time`, each at a random moment; everything heals at the
 // end.
-void Rampage(ZoneHarness& zone, absl::Duration time) {
+void InjectRandomFaults(ZoneHarness& zone, absl::Duration time) {
   const absl::Time end = zone.now() + time;
   auto& random = zone.random();
   const auto pick = [&random](int n) {
     return std::uniform_int_distribution<int>(0, n - 1)(random);
   };
-  std::vector<std::pair<absl::Time, std::function<void()>>> mends;
+  std::vector<std::pair<absl::Time, std::function<void()>>> repairs;
   while (zone.now() < end) {
     zone.RunFor(absl::Milliseconds(100 + pick(2500)));
     const int s = pick(zone.schedulers());
     const int w = pick(zone.workers());
-    const absl::Time mend = zone.now() + absl::Milliseconds(200 + pick(14000));
+    const absl::Time repair =
+        zone.now() + absl::Milliseconds(200 + pick(14000));
     switch (pick(9)) {
       case 0:
         zone.Kill(s);
-        mends.emplace_back(mend, [&zone, s] {
+        repairs.emplace_back(repair, [&zone, s] {
           if (!zone.alive(s)) zone.Start(s);
         });
         break;
       case 1:
         zone.Pause(s);
-        mends.emplace_back(mend, [&zone, s] { zone.Resume(s); });
+        repairs.emplace_back(repair, [&zone, s] { zone.Resume(s); });
         break;
       case 2:
         zone.SetLogDown(true);
-        mends.emplace_back(mend, [&zone] { zone.SetLogDown(false); });
+        repairs.emplace_back(repair, [&zone] { zone.SetLogDown(false); });
         break;
       case 3:
         zone.SetLogLosesAnswers(true);
-        mends.emplace_back(mend, [&zone] { zone.SetLogLosesAnswers(false); });
+        repairs.emplace_back(repair,
+                             [&zone] { zone.SetLogLosesAnswers(false); });
         break;
       case 4:
       case 5:
         for (int i = 0; i < zone.workers(); ++i) {
           if (pick(2) == 0) zone.Cut(s, i, pick(2) == 0);
         }
-        mends.emplace_back(mend, [&zone] { zone.Heal(); });
+        repairs.emplace_back(repair, [&zone] { zone.Heal(); });
         break;
       case 6:
         zone.RestartWorker(w);
@@ -56,19 +58,19 @@
       case 7:
       case 8:
         zone.PauseWorker(w);
-        mends.emplace_back(mend, [&zone, w] { zone.ResumeWorker(w); });
+        repairs.emplace_back(repair, [&zone, w] { zone.ResumeWorker(w); });
         break;
     }
-    for (auto it = mends.begin(); it != mends.end();) {
+    for (auto it = repairs.begin(); it != repairs.end();) {
       if (it->first > zone.now()) {
         ++it;
         continue;
       }
       it->second();
-      it = mends.erase(it);
+      it = repairs.erase(it);
     }
   }
-  for (const auto& [at, mend] : mends) mend();
+  for (const auto& [at, repair] : repairs) repair();
 }
 
 // What the leader says of every task, to follow one seed.
@@ -84,9 +86,9 @@
 }
 
 // Runs a mixed load through random failures and returns what the checker finds.
-std::vector<std::string> RampageFaults(uint64_t seed,
-                                       const Mechanisms& mechanisms,
-                                       bool* settled = nullptr) {
+std::vector<std::string> RandomFaultViolations(
+    uint64_t seed, const SafetyMechanisms& mechanisms,
+    bool* recovered = nullptr) {
   ZoneHarness::Options options;
   options.schedulers = 3;
   options.workers = 6;
@@ -101,11 +103,11 @@
   once.repeatable = false;
   zone.Confirm({ZoneHarness::Service("index", 4), shared, once,
                 ZoneHarness::Batch("scans", 12, absl::Seconds(20))});
-  Rampage(zone, absl::Seconds(60));
-  if (settled != nullptr) {
+  InjectRandomFaults(zone, absl::Seconds(60));
+  if (recovered != nullptr) {
     // What must run again does, once the failures are over; batches come to
     // their end.
-    *settled = zone.RunUntil(
+    *recovered = zone.RunUntil(
         [&zone] {
           const int leader = zone.Leader();
           if (leader < 0) return false;
@@ -118,33 +120,33 @@
         absl::Seconds(150));
   }
   if (options.trace && zone.Leader() >= 0) PrintTasks(zone);
-  return zone.Judge();
+  return zone.FindViolations();
 }
 
 TEST_CASE(
     "random failures: capacity, exclusiveness and at-most-once hold for every "
     "seed, and work resumes") {
-  int unsettled = 0;
+  int unrecovered = 0;
   // KEELBRIDGE_SEED=N replays one seed and prints what happens.
   const char* only = std::getenv("KEELBRIDGE_SEED");
   const uint64_t first = only == nullptr ? 1 : std::stoull(only);
   const uint64_t last = only == nullptr ? 300 : first;
   for (uint64_t seed = first; seed <= last; ++seed) {
     CAPTURE(seed);
-    bool settled = false;
-    const std::vector<std::string> faults =
-        RampageFaults(seed, Mechanisms(), &settled);
-    for (const std::string& fault : faults) FAIL_CHECK(fault);
-    CHECK(settled);
-    unsettled += settled ? 0 : 1;
+    bool recovered = false;
+    const std::vector<std::string> violations =
+        RandomFaultViolations(seed, SafetyMechanisms(), &recovered);
+    for (const std::string& violation : violations) FAIL_CHECK(violation);
+    CHECK(recovered);
+    unrecovered += recovered ? 0 : 1;
   }
-  MESSAGE("unsettled seeds of 300: ", unsettled);
+  MESSAGE("unsettled seeds of 300: ", unrecovered);
 }
 
 // A worker freezes with a start in its buffer, and thaws when its tasks have
 // long been started elsewhere.
-std::vector<std::string> FrozenWorkerFaults(uint64_t seed,
-                                            const Mechanisms& mechanisms) {
+std::vector<std::string> PausedWorkerViolations(
+    uint64_t seed, const SafetyMechanisms& mechanisms) {
   ZoneHarness::Options options;
   options.schedulers = 1;
   options.seed = seed;
@@ -158,13 +160,13 @@
   zone.ResumeWorker(static_cast<int>(seed % 5));
   zone.RunFor(absl::Seconds(5));
   CHECK(zone.Running() == 12);
-  return zone.Judge();
+  return zone.FindViolations();
 }
 
 // The leader is paused after it decided on a start and resumed when another
 // leads and has started that task.
-std::vector<std::string> PausedLeaderFaults(uint64_t seed,
-                                            const Mechanisms& mechanisms) {
+std::vector<std::string> PausedLeaderViolations(
+    uint64_t seed, const SafetyMechanisms& mechanisms) {
   ZoneHarness::Options options;
   options.schedulers = 2;
   options.seed = seed;
@@ -181,13 +183,15 @@
   zone.Resume(paused);
   zone.RunFor(absl::Seconds(5));
   CHECK(zone.Running() == 7);
-  return zone.Judge();
+  return zone.FindViolations();
 }
 
-using Scenario = std::vector<std::string> (*)(uint64_t, const Mechanisms&);
+using Scenario = std::vector<std::string> (*)(uint64_t,
+                                              const SafetyMechanisms&);
 
-int SeedsWithFaults(Scenario scenario, const Mechanisms& mechanisms,
-                    uint64_t seeds) {
+int CountSeedsWithViolations(Scenario scenario,
+                             const SafetyMechanisms& mechanisms,
+                             uint64_t seeds) {
   int found = 0;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     found += scenario(seed, mechanisms).empty() ? 0 : 1;
@@ -195,35 +199,40 @@
   return found;
 }
 
-std::vector<std::string> QuietRampage(uint64_t seed,
-                                      const Mechanisms& mechanisms) {
-  return RampageFaults(seed, mechanisms);
+std::vector<std::string> RandomFaultScenario(
+    uint64_t seed, const SafetyMechanisms& mechanisms) {
+  return RandomFaultViolations(seed, mechanisms);
 }
 
 TEST_CASE("a frozen worker that thaws starts nothing that runs elsewhere") {
-  CHECK(SeedsWithFaults(FrozenWorkerFaults, Mechanisms(), 100) == 0);
+  CHECK(CountSeedsWithViolations(PausedWorkerViolations, SafetyMechanisms(),
+                                 100) == 0);
 }
 
 TEST_CASE("a paused leader that resumes starts nothing that runs elsewhere") {
-  CHECK(SeedsWithFaults(PausedLeaderFaults, Mechanisms(), 100) == 0);
+  CHECK(CountSeedsWithViolations(PausedLeaderViolations, SafetyMechanisms(),
+                                 100) == 0);
 }
 
 TEST_CASE("each mechanism is needed: without it the checker finds a fault") {
-  Mechanisms no_certainty;
+  SafetyMechanisms no_certainty;
   no_certainty.wait_for_certainty = false;
-  Mechanisms no_not_after;
+  SafetyMechanisms no_not_after;
   no_not_after.not_after = false;
-  Mechanisms no_epochs;
+  SafetyMechanisms no_epochs;
   no_epochs.epochs = false;
-  const int certainty = SeedsWithFaults(QuietRampage, no_certainty, 60);
-  const int epochs = SeedsWithFaults(QuietRampage, no_epochs, 60);
-  const int frozen = SeedsWithFaults(FrozenWorkerFaults, no_not_after, 60);
+  const int certainty =
+      CountSeedsWithViolations(RandomFaultScenario, no_certainty, 60);
+  const int epochs =
+      CountSeedsWithViolations(RandomFaultScenario, no_epochs, 60);
+  const int paused_worker =
+      CountSeedsWithViolations(PausedWorkerViolations, no_not_after, 60);
   MESSAGE("seeds of 60 with a fault: without waiting for certainty ", certainty,
           ", without holds and epochs ", epochs, ", without not-after ",
-          frozen);
+          paused_worker);
   CHECK(certainty > 0);
   CHECK(epochs > 0);
-  CHECK(frozen > 0);
+  CHECK(paused_worker > 0);
 }
 
 TEST_CASE(
@@ -246,7 +255,7 @@
     zone.RunFor(absl::Seconds(20));
     CHECK(zone.Running() == 20);
     restarts += static_cast<int64_t>(zone.facts().size()) - 20;
-    CHECK(zone.Judge().empty());
+    CHECK(zone.FindViolations().empty());
   }
   const double holds = absl::FDivDuration(longest, absl::Seconds(3));
   MESSAGE("longest time without a leader: ", holds,
@@ -265,7 +274,7 @@
   zone.RestartWorker(2);
   zone.RunFor(absl::Seconds(10));
   CHECK(zone.Running() == 14);
-  CHECK(zone.Judge().empty());
+  CHECK(zone.FindViolations().empty());
 }
 
 TEST_CASE("planned stops in turn: a new leader soon, nothing restarts") {
@@ -311,8 +320,9 @@
   // Twice is harmless.
   CHECK(leader.Confirm(a.value(), now).has_value());
   zone.RunFor(absl::Seconds(3));
-  CHECK(leader.FateOf(a.value().id) == ZoneState::PlanFate::kConfirmed);
-  CHECK(leader.FateOf(b.value().id) == ZoneState::PlanFate::kStale);
+  CHECK(leader.GetPlanOutcome(a.value().id) ==
+        ZoneState::PlanOutcome::kConfirmed);
+  CHECK(leader.GetPlanOutcome(b.value().id) == ZoneState::PlanOutcome::kStale);
   CHECK(zone.Running() == 2);
   const Result<void> late = leader.Confirm(b.value(), {zone.now(), zone.now()});
   REQUIRE(!late.has_value());
@@ -329,10 +339,10 @@
   zone.RunFor(absl::Seconds(3));
   CHECK(zone.Running() == 20);
   CHECK(zone.facts().size() == 20);
-  CHECK(zone.Judge().empty());
+  CHECK(zone.FindViolations().empty());
   // No attempt is used twice.
   std::set<int64_t> attempts;
-  for (const RunFact& fact : zone.facts()) attempts.insert(fact.attempt);
+  for (const RunEvent& fact : zone.facts()) attempts.insert(fact.attempt);
   CHECK(attempts.size() == 20);
 }
 
@@ -340,9 +350,9 @@
   ZoneHarness zone({.schedulers = 2, .workers = 5, .seed = 12});
   REQUIRE(zone.Confirm({ZoneHarness::Service("a", 2)}));
   const int leader = zone.AwaitLeader();
-  const Result<std::string> asked = zone.scheduler(leader).Explain("a/0");
-  REQUIRE(asked.has_value());
-  CHECK(asked.value().find("running on w") == 0);
+  const Result<std::string> answer = zone.scheduler(leader).Explain("a/0");
+  REQUIRE(answer.has_value());
+  CHECK(answer.value().find("running on w") == 0);
   const Result<std::string> standby = zone.scheduler(1 - leader).Explain("a/0");
   REQUIRE(!standby.has_value());
   CHECK(standby.error().code == ErrorCode::kUnavailable);
@@ -387,7 +397,7 @@
   zone.Kill(leader);
   zone.RunFor(absl::Seconds(20));
   CHECK(zone.Running() == 4);
-  CHECK(zone.Judge().empty());
+  CHECK(zone.FindViolations().empty());
 }
 
 TEST_CASE("control cost: holds a worker and second, appends for task starts") {
@@ -413,7 +423,7 @@
           " (one a start would be 1,000)");
   CHECK(rate <= 1.05);
   CHECK(used < 400);
-  CHECK(zone.Judge().empty());
+  CHECK(zone.FindViolations().empty());
 }
 
 TEST_CASE("a drained worker gets no new work and is emptied") {
