--- a/keelbridge/coordination/zone_scheduler_work.cc
+++ b/keelbridge/coordination/zone_scheduler_work.cc
@@ -11,7 +11,7 @@
 
 // After a change of leader, work that may run twice waits for this long to be
 // found running.
-constexpr absl::Duration kLookAround = absl::Seconds(2);
+constexpr absl::Duration kDiscoveryWait = absl::Seconds(2);
 
 int64_t MonoMillis(Now now) { return ToMillis(now.mono); }
 
@@ -20,8 +20,8 @@
 // Work as it was confirmed.
 
 int32_t ZoneScheduler::GroupOf(const std::string& intent) {
-  const auto [it, fresh] = groups_.emplace(intent, next_group_);
-  if (fresh) ++next_group_;
+  const auto [it, inserted] = groups_.emplace(intent, next_group_);
+  if (inserted) ++next_group_;
   return it->second;
 }
 
@@ -35,12 +35,12 @@
 
 void ZoneScheduler::SyncIntent(const WorkRecord& record, Now now) {
   const Intent& intent = record.intent;
-  const auto [it, fresh] = synced_.emplace(intent.id, intent);
-  const int64_t known_tasks = fresh ? 0 : it->second.tasks;
+  const auto [it, inserted] = synced_.emplace(intent.id, intent);
+  const int64_t known_tasks = inserted ? 0 : it->second.tasks;
   for (int64_t index = known_tasks; index < intent.tasks; ++index) {
     if (!record.ended.Contains(index)) AddTask(record, index, now);
   }
-  if (!fresh && it->second.work_class != intent.work_class) {
+  if (!inserted && it->second.work_class != intent.work_class) {
     for (int64_t index = 0; index < intent.tasks; ++index) {
       const auto task = tasks_.find(TaskName(intent.id, index));
       if (task != tasks_.end() && task->second.id != kNoTask) {
@@ -53,29 +53,30 @@
 
 void ZoneScheduler::AddTask(const WorkRecord& record, int64_t index, Now now) {
   const std::string name = TaskName(record.intent.id, index);
-  const auto [it, fresh] = tasks_.try_emplace(name);
-  if (!fresh) return;
+  const auto [it, inserted] = tasks_.try_emplace(name);
+  if (!inserted) return;
   TaskEntry& entry = it->second;
   entry.intent = record.intent.id;
   entry.index = index;
   entry.repeatable = record.intent.repeatable;
   entry.exclusive = record.intent.exclusive;
-  if (record.confirmed_at > leader_offset_ && !book_.HasUnwantedOf(name)) {
+  if (record.confirmed_at > leader_offset_ &&
+      !lease_tracker_.HasUnwantedOf(name)) {
     SubmitTask(name, entry, now);
   } else {
-    entry.stage = Stage::kMaybe;
-    maybe_.insert(name);
+    entry.stage = Stage::kUnobserved;
+    unobserved_.insert(name);
   }
 }
 
 void ZoneScheduler::SubmitTask(const std::string& name, TaskEntry& entry,
                                Now now) {
-  const WorkRecord* record = RecordOf(entry.intent);
+  const WorkRecord* record = FindWorkRecord(entry.intent);
   if (record == nullptr) return;
   const int16_t team = decider_->FindTeam(record->intent.team);
-  TaskSpec spec = SpecOf(record->intent, GroupOf(entry.intent),
-                         std::max<int16_t>(team, 0), now);
-  spec.done_ms = entry.progress_ms;
+  TaskSpec spec = MakeTaskSpec(record->intent, GroupOf(entry.intent),
+                               std::max<int16_t>(team, 0), now);
+  spec.saved_progress_ms = entry.progress_ms;
   entry.id = decider_->Submit(spec, MonoMillis(now));
   entry.stage = Stage::kWaiting;
   names_[entry.id] = name;
@@ -87,16 +88,16 @@
     names_.erase(entry.id);
     entry.id = kNoTask;
   }
-  maybe_.erase(name);
+  unobserved_.erase(name);
   claiming_.erase(name);
   ending_.erase(name);
 }
 
-bool ZoneScheduler::Dismiss(const std::string& name, TaskEntry& entry,
-                            Now now) {
+bool ZoneScheduler::StopOrForget(const std::string& name, TaskEntry& entry,
+                                 Now now) {
   if (entry.stage == Stage::kLeased) {
     entry.unwanted = true;
-    book_.Stopping(name, StopMode::kStop, now.mono);
+    lease_tracker_.RequestStop(name, StopMode::kStop, now.mono);
     return true;
   }
   Forget(name, entry, now);
@@ -107,12 +108,12 @@
   for (auto it = tasks_.begin(); it != tasks_.end();) {
     TaskEntry& entry = it->second;
     const bool stays =
-        entry.stage == Stage::kEnding || entry.unwanted || Wanted(entry);
-    it = stays || Dismiss(it->first, entry, now) ? std::next(it)
-                                                 : tasks_.erase(it);
+        entry.stage == Stage::kEnding || entry.unwanted || IsWanted(entry);
+    it = stays || StopOrForget(it->first, entry, now) ? std::next(it)
+                                                      : tasks_.erase(it);
   }
   for (auto it = synced_.begin(); it != synced_.end();) {
-    if (RecordOf(it->first) != nullptr) {
+    if (FindWorkRecord(it->first) != nullptr) {
       ++it;
       continue;
     }
@@ -121,30 +122,30 @@
   }
 }
 
-void ZoneScheduler::SettleMaybes(Now now) {
-  const bool all = book_.AllSettled();
-  const bool looked = now.mono - leadership_.won_at() > kLookAround;
-  if (!all && !looked) return;
-  const std::set<std::string> maybe = maybe_;
-  for (const std::string& name : maybe) {
+void ZoneScheduler::ResolveUnobserved(Now now) {
+  const bool all_resolved = lease_tracker_.AllResolved();
+  const bool waited = now.mono - leadership_.won_at() > kDiscoveryWait;
+  if (!all_resolved && !waited) return;
+  const std::set<std::string> unobserved = unobserved_;
+  for (const std::string& name : unobserved) {
     TaskEntry& entry = tasks_[name];
-    if (book_.HasUnwantedOf(name)) continue;
+    if (lease_tracker_.HasUnwantedOf(name)) continue;
     // Whether it may run at all stands in the log.
     if (!entry.repeatable && !Authoritative()) continue;
-    if (all || (!entry.exclusive && entry.repeatable)) {
-      SettleMaybe(name, entry, now);
+    if (all_resolved || (!entry.exclusive && entry.repeatable)) {
+      ResolveUnobservedTask(name, entry, now);
     }
   }
 }
 
-void ZoneScheduler::SettleMaybe(const std::string& name, TaskEntry& entry,
-                                Now now) {
+void ZoneScheduler::ResolveUnobservedTask(const std::string& name,
+                                          TaskEntry& entry, Now now) {
   // It was about to start, it is found nowhere, and its end was not recorded.
-  if (!entry.repeatable && replica_.state().OnceAttempt(name) != 0) {
+  if (!entry.repeatable && replica_.state().ClaimedAttempt(name) != 0) {
     RecordEnd(name, entry, "unknown", "", 0, now);
     return;
   }
-  maybe_.erase(name);
+  unobserved_.erase(name);
   SubmitTask(name, entry, now);
 }
 
@@ -152,24 +153,24 @@
 
 void ZoneScheduler::Handle(const LeaseEvent& event, Now now) {
   switch (event.kind) {
-    case LeaseEventKind::kSealed:
+    case LeaseEventKind::kReconciled:
     case LeaseEventKind::kLapsed:
       workers_changed_ = true;
       return;
-    case LeaseEventKind::kSilent: {
+    case LeaseEventKind::kUnresponsive: {
       workers_changed_ = true;
       // Work that may run twice does not wait for certainty.
-      std::vector<std::string> movable;
-      for (const auto& [name, lease] : book_.leases()) {
+      std::vector<std::string> repeatable_tasks;
+      for (const auto& [name, lease] : lease_tracker_.leases()) {
         const auto it = tasks_.find(name);
         if (lease.worker == event.worker && it != tasks_.end() &&
             !it->second.exclusive && it->second.repeatable) {
-          movable.push_back(name);
+          repeatable_tasks.push_back(name);
         }
       }
-      for (const std::string& name : movable) {
-        book_.Abandon(name);
-        BackToQueue(name, tasks_[name], tasks_[name].progress_ms, false, now);
+      for (const std::string& name : repeatable_tasks) {
+        lease_tracker_.Abandon(name);
+        Requeue(name, tasks_[name], tasks_[name].progress_ms, false, now);
       }
       return;
     }
@@ -182,11 +183,11 @@
       const auto it = tasks_.find(event.task);
       if (it == tasks_.end() || it->second.attempt != event.attempt) return;
       if (!it->second.repeatable)
-        writer_.Add(OnceReleaseEntry{led_epoch_, event.task, event.attempt});
+        writer_.Add(StartReleaseEntry{led_epoch_, event.task, event.attempt});
       workers_changed_ = true;
       if (!event.refusal.empty())
         decider_->SetSchedulable(it->second.worker, false);
-      BackToQueue(event.task, it->second, it->second.progress_ms, false, now);
+      Requeue(event.task, it->second, it->second.progress_ms, false, now);
       return;
     }
     case LeaseEventKind::kFinished:
@@ -203,10 +204,10 @@
   }
   if (!Authoritative() || synced_plan_ == kNeverSynced) {
     // Not known here does not mean not wanted.
-    early_[{event.worker, event.attempt}] = event;
+    deferred_events_[{event.worker, event.attempt}] = event;
     return;
   }
-  book_.StopUnwanted(event.worker, event.row, now.mono);
+  lease_tracker_.StopUnwanted(event.worker, event.row, now.mono);
   workers_changed_ = true;
 }
 
@@ -214,16 +215,17 @@
   const auto it = tasks_.find(event.task);
   if (it == tasks_.end()) return false;
   TaskEntry& entry = it->second;
-  if (entry.stage != Stage::kMaybe && entry.stage != Stage::kWaiting)
+  if (entry.stage != Stage::kUnobserved && entry.stage != Stage::kWaiting)
     return false;
-  const WorkRecord* record = RecordOf(entry.intent);
+  const WorkRecord* record = FindWorkRecord(entry.intent);
   const WorkerId worker = decider_->cell().Find(event.worker);
   if (record == nullptr || worker == kNoWorker) return false;
   Forget(event.task, entry, now);
   const int16_t team =
       std::max<int16_t>(decider_->FindTeam(record->intent.team), 0);
-  TaskSpec spec = SpecOf(record->intent, GroupOf(entry.intent), team, now);
-  spec.done_ms = event.row.progress_ms;
+  TaskSpec spec =
+      MakeTaskSpec(record->intent, GroupOf(entry.intent), team, now);
+  spec.saved_progress_ms = event.row.progress_ms;
   const absl::Duration ran =
       std::max(absl::ZeroDuration(),
                now.wall - absl::FromUnixMillis(event.row.started_ms));
@@ -235,57 +237,57 @@
   entry.progress_ms = event.row.progress_ms;
   entry.starts = 1;
   names_[entry.id] = event.task;
-  book_.Adopt(event.worker, event.row, now.mono);
+  lease_tracker_.Adopt(event.worker, event.row, now.mono);
   return true;
 }
 
 void ZoneScheduler::HandleEnded(const LeaseEvent& event, Now now) {
   if (!Ready(now) || synced_plan_ == kNeverSynced) {
     if (event.kind != LeaseEventKind::kVanished) {
-      early_[{event.worker, event.attempt}] = event;
+      deferred_events_[{event.worker, event.attempt}] = event;
     }
     return;
   }
   if (event.kind == LeaseEventKind::kVanished) ++counts_.vanished;
   const auto it = tasks_.find(event.task);
-  if (it == tasks_.end()) return book_.Acknowledge(event.worker, event.attempt);
+  if (it == tasks_.end())
+    return lease_tracker_.Acknowledge(event.worker, event.attempt);
   TaskEntry& entry = it->second;
   if (entry.stage == Stage::kEnding) {
-    if (!entry.end_queued) QueueEnd(event.task, entry);
+    if (!entry.end_queued) QueueEndRecord(event.task, entry);
     return;
   }
   const bool current =
       entry.stage == Stage::kLeased && entry.attempt == event.attempt;
-  const bool from_before =
-      entry.stage == Stage::kMaybe || entry.stage == Stage::kWaiting;
+  const bool not_started_here =
+      entry.stage == Stage::kUnobserved || entry.stage == Stage::kWaiting;
   if (entry.unwanted && current) {
-    book_.Acknowledge(event.worker, event.attempt);
+    lease_tracker_.Acknowledge(event.worker, event.attempt);
     const TaskEntry old = entry;
     Forget(event.task, entry, now);
     tasks_.erase(it);
     // Wanted again meanwhile, for example by a second resize.
-    if (Wanted(old)) AddTask(*RecordOf(old.intent), old.index, now);
+    if (IsWanted(old)) AddTask(*FindWorkRecord(old.intent), old.index, now);
     return;
   }
-  if (event.kind == LeaseEventKind::kFinished && (current || from_before)) {
+  if (event.kind == LeaseEventKind::kFinished &&
+      (current || not_started_here)) {
     RecordEnd(event.task, entry, event.failed ? "failed" : "finished",
               event.worker, event.attempt, now);
     return;
   }
   if (event.kind != LeaseEventKind::kVanished)
-    book_.Acknowledge(event.worker, event.attempt);
-  if (from_before)
+    lease_tracker_.Acknowledge(event.worker, event.attempt);
+  if (not_started_here)
     entry.progress_ms = std::max(entry.progress_ms, event.progress_ms);
   if (current) {
-    BackToQueue(event.task, entry,
-                std::max(entry.progress_ms, event.progress_ms),
-                event.kind == LeaseEventKind::kVanished, now);
+    Requeue(event.task, entry, std::max(entry.progress_ms, event.progress_ms),
+            event.kind == LeaseEventKind::kVanished, now);
   }
 }
 
-void ZoneScheduler::BackToQueue(const std::string& name, TaskEntry& entry,
-                                int64_t progress_ms, bool may_have_run,
-                                Now now) {
+void ZoneScheduler::Requeue(const std::string& name, TaskEntry& entry,
+                            int64_t progress_ms, bool may_have_run, Now now) {
   if (may_have_run && !entry.repeatable) {
     RecordEnd(name, entry, "unknown", "", entry.attempt, now);
     return;
@@ -305,10 +307,10 @@
   entry.ending_worker = worker;
   entry.attempt = attempt;
   ending_.insert(name);
-  QueueEnd(name, entry);
+  QueueEndRecord(name, entry);
 }
 
-void ZoneScheduler::QueueEnd(const std::string& name, TaskEntry& entry) {
+void ZoneScheduler::QueueEndRecord(const std::string& name, TaskEntry& entry) {
   // When the writer is full the row stays with its worker, which tells of it
   // again.
   entry.end_queued =
@@ -317,12 +319,12 @@
 
 void ZoneScheduler::OnEndRecorded(const std::string& name, Now now) {
   const auto it = tasks_.find(name);
-  if (it == tasks_.end() || Wanted(it->second)) return;
+  if (it == tasks_.end() || IsWanted(it->second)) return;
   TaskEntry& entry = it->second;
   if (entry.stage == Stage::kEnding) {
-    book_.Acknowledge(entry.ending_worker, entry.attempt);
+    lease_tracker_.Acknowledge(entry.ending_worker, entry.attempt);
   }
-  if (!Dismiss(name, entry, now)) tasks_.erase(it);
+  if (!StopOrForget(name, entry, now)) tasks_.erase(it);
 }
 
 void ZoneScheduler::OnHoldReply(const SendHold& sent, absl::Time sent_at,
@@ -337,7 +339,7 @@
       sent.request.epoch != led_epoch_)
     return;
   if (reply) counts_.hold_rows += static_cast<int64_t>(reply->rows.size());
-  for (const LeaseEvent& event : book_.OnHoldReply(
+  for (const LeaseEvent& event : lease_tracker_.OnHoldReply(
            sent.worker, sent.request.mode, sent_at, reply, now.mono)) {
     Handle(event, now);
   }
@@ -348,8 +350,8 @@
                                  Now now) {
   if (!leading_ || sent.request.epoch != led_epoch_) return;
   const StartRequest& request = sent.request;
-  for (const LeaseEvent& event :
-       book_.OnStartReply(request.task, request.attempt, reply, now.mono))
+  for (const LeaseEvent& event : lease_tracker_.OnStartReply(
+           request.task, request.attempt, reply, now.mono))
     Handle(event, now);
 }
 
@@ -357,8 +359,8 @@
                                 const std::optional<CommandReply>& reply,
                                 Now now) {
   if (!leading_ || sent.request.epoch != led_epoch_) return;
-  for (const LeaseEvent& event :
-       book_.OnStopReply(sent.request.task, sent.request.attempt, reply))
+  for (const LeaseEvent& event : lease_tracker_.OnStopReply(
+           sent.request.task, sent.request.attempt, reply))
     Handle(event, now);
 }
 
--- a/keelbridge/daemon/claim_service.cc
+++ b/keelbridge/daemon/claim_service.cc
@@ -9,10 +9,10 @@
 namespace keelbridge {
 namespace {
 
-constexpr int kMostReadsAStep = 50;
+constexpr int kMaxReadsPerStep = 50;
 // While callers wait, a step goes on for so long, with such pauses.
-constexpr absl::Duration kLongestStep = absl::Seconds(1);
-constexpr absl::Duration kBetweenRounds = absl::Milliseconds(10);
+constexpr absl::Duration kMaxStepDuration = absl::Seconds(1);
+constexpr absl::Duration kRoundInterval = absl::Milliseconds(10);
 
 LogWriter::Options WriterOptions(uint64_t incarnation,
                                  absl::Duration append_every) {
@@ -25,28 +25,29 @@
 
 }  // namespace
 
-ClaimDesk::ClaimDesk(LogClient& log, uint64_t incarnation,
-                     absl::Duration log_timeout, absl::Duration append_every)
+ClaimService::ClaimService(LogClient& log, uint64_t incarnation,
+                           absl::Duration log_timeout,
+                           absl::Duration append_every)
     : log_(log),
       incarnation_(incarnation),
       log_timeout_(log_timeout),
       writer_(WriterOptions(incarnation, append_every)),
       table_(incarnation) {}
 
-ClaimDesk::Answer ClaimDesk::Claim(const std::string& key,
-                                   absl::Duration wait) {
+ClaimService::Answer ClaimService::Claim(const std::string& key,
+                                         absl::Duration wait) {
   {
     absl::MutexLock lock(&mutex_);
     if (table_.caught_up() && table_.OwnerOf(key) != ClaimTable::Owner::kNobody)
-      return Answer::kTaken;
+      return Answer::kAlreadyClaimed;
     // A second send of the same request to this same gateway.
-    if (!in_use_.insert(key).second) return Answer::kTaken;
-    ++waiting_;
+    if (!local_keys_.insert(key).second) return Answer::kAlreadyClaimed;
+    ++waiters_;
   }
   if (!entries_.Push(KeyClaimEntry{key, incarnation_})) {
     absl::MutexLock lock(&mutex_);
-    --waiting_;
-    in_use_.erase(key);
+    --waiters_;
+    local_keys_.erase(key);
     return Answer::kBusy;
   }
   if (wake_) wake_();
@@ -58,47 +59,48 @@
     };
     mutex_.AwaitWithTimeout(absl::Condition(&decided), wait);
     owner = table_.OwnerOf(key);
-    --waiting_;
-    if (owner == ClaimTable::Owner::kOther) in_use_.erase(key);
+    --waiters_;
+    if (owner == ClaimTable::Owner::kOther) local_keys_.erase(key);
   }
-  if (owner == ClaimTable::Owner::kMe) return Answer::kMine;
-  if (owner == ClaimTable::Owner::kOther) return Answer::kTaken;
+  if (owner == ClaimTable::Owner::kSelf) return Answer::kGranted;
+  if (owner == ClaimTable::Owner::kOther) return Answer::kAlreadyClaimed;
   // The claim may still reach the log; the release behind it in the same writer
   // frees the key again.
   Release(key);
-  return Answer::kNoRecord;
+  return Answer::kNotRecorded;
 }
 
-void ClaimDesk::Release(const std::string& key) {
+void ClaimService::Release(const std::string& key) {
   entries_.Push(KeyReleaseEntry{key, incarnation_});
   absl::MutexLock lock(&mutex_);
-  in_use_.erase(key);
+  local_keys_.erase(key);
 }
 
-bool ClaimDesk::SomebodyWaits() {
+bool ClaimService::HasWaiters() {
   absl::MutexLock lock(&mutex_);
-  return waiting_ > 0;
+  return waiters_ > 0;
 }
 
-void ClaimDesk::Step() {
+void ClaimService::Step() {
   const absl::Time start = SystemNow().mono;
   while (true) {
-    for (LogEntry& entry : entries_.Drain(kMostWaiting)) {
+    for (LogEntry& entry : entries_.Drain(kMaxQueuedEntries)) {
       writer_.Add(std::move(entry));
     }
-    AppendOnce();
+    AppendNextEnvelope();
     const absl::Time now = SystemNow().mono;
-    const bool waits = SomebodyWaits();
-    if (waits || now >= next_idle_read_) {
-      next_idle_read_ = now + IdlePoll();
-      ReadOnce();
+    const bool has_waiters = HasWaiters();
+    if (has_waiters || now >= next_idle_read_) {
+      next_idle_read_ = now + IdlePollInterval();
+      ReadClaims();
     }
-    if ((!waits && writer_.idle()) || now - start > kLongestStep) return;
-    absl::SleepFor(kBetweenRounds);
+    if ((!has_waiters && writer_.idle()) || now - start > kMaxStepDuration)
+      return;
+    absl::SleepFor(kRoundInterval);
   }
 }
 
-void ClaimDesk::AppendOnce() {
+void ClaimService::AppendNextEnvelope() {
   const std::optional<Envelope> envelope = writer_.Next(SystemNow().mono);
   if (!envelope) return;
   Result<int64_t> offset =
@@ -108,8 +110,8 @@
       SystemNow().mono);
 }
 
-void ClaimDesk::ReadOnce() {
-  for (int i = 0; i < kMostReadsAStep; ++i) {
+void ClaimService::ReadClaims() {
+  for (int i = 0; i < kMaxReadsPerStep; ++i) {
     int64_t from = 0;
     {
       absl::MutexLock lock(&mutex_);
@@ -119,9 +121,9 @@
     if (!batch) return;
     absl::MutexLock lock(&mutex_);
     table_.OnBatch(batch.value());
-    const std::optional<EnvelopeId> unsettled = writer_.unsettled();
-    if (unsettled && table_.Applied(*unsettled)) {
-      writer_.OnSeen(SystemNow().mono);
+    const std::optional<EnvelopeId> unacknowledged = writer_.unacknowledged();
+    if (unacknowledged && table_.Applied(*unacknowledged)) {
+      writer_.OnSeenInLog(SystemNow().mono);
     }
     if (table_.caught_up() || batch.value().records.empty()) return;
   }
--- a/keelbridge/daemon/claim_service.h
+++ b/keelbridge/daemon/claim_service.h
@@ -1,10 +1,10 @@
 // Claims idempotency keys in the log for callers that wait, many claims in one
 // append.
 //
-//   ClaimDesk desk(log, incarnation, timeout, gateways);
-//   ClaimDesk::Answer answer = desk.Claim(key, deadline);   // On the caller's
-//   thread. desk.Step();                                            // On the
-//   duty's thread.
+//   ClaimService desk(log, incarnation, timeout, gateways);
+//   ClaimService::Answer answer = desk.Claim(key, deadline);   // On the
+//   caller's thread. desk.Step();                                            //
+//   On the duty's thread.
 
 #ifndef KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
 #define KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
@@ -25,17 +25,17 @@
 namespace keelbridge {
 
 // `Claim` and `Release` are thread-safe; `Step` runs on one thread.
-class ClaimDesk {
+class ClaimService {
  public:
   enum class Answer {
-    kMine,      // Dispatch it: the only run of this key is yours.
-    kTaken,     // Somebody claimed it before: it may have run.
-    kNoRecord,  // The log did not take it in time. Nothing was dispatched.
-    kBusy,      // Too many wait.
+    kGranted,         // Dispatch it: the only run of this key is yours.
+    kAlreadyClaimed,  // Somebody claimed it before: it may have run.
+    kNotRecorded,  // The log did not take it in time. Nothing was dispatched.
+    kBusy,         // Too many wait.
   };
 
-  ClaimDesk(LogClient& log, uint64_t incarnation, absl::Duration log_timeout,
-            absl::Duration append_every);
+  ClaimService(LogClient& log, uint64_t incarnation, absl::Duration log_timeout,
+               absl::Duration append_every);
 
   Answer Claim(const std::string& key, absl::Duration wait);
   // The request did not run: its key may be claimed again.
@@ -46,25 +46,27 @@
   void SetWaker(std::function<void()> wake) { wake_ = std::move(wake); }
 
  private:
-  static constexpr size_t kMostWaiting = 4096;
-  static constexpr absl::Duration IdlePoll() { return absl::Seconds(2); }
+  static constexpr size_t kMaxQueuedEntries = 4096;
+  static constexpr absl::Duration IdlePollInterval() {
+    return absl::Seconds(2);
+  }
 
-  bool SomebodyWaits();
-  void ReadOnce();
-  void AppendOnce();
+  bool HasWaiters();
+  void ReadClaims();
+  void AppendNextEnvelope();
 
   LogClient& log_;
   const uint64_t incarnation_;
   const absl::Duration log_timeout_;
   std::function<void()> wake_;
-  BoundedRing<LogEntry> entries_{kMostWaiting};
+  BoundedQueue<LogEntry> entries_{kMaxQueuedEntries};
   LogWriter writer_;
   absl::Time next_idle_read_ = absl::InfinitePast();
   absl::Mutex mutex_;
   ClaimTable table_ ABSL_GUARDED_BY(mutex_);
-  std::set<std::string> in_use_ ABSL_GUARDED_BY(
+  std::set<std::string> local_keys_ ABSL_GUARDED_BY(
       mutex_);  // Keys that this gateway claimed or is claiming.
-  size_t waiting_ ABSL_GUARDED_BY(mutex_) = 0;
+  size_t waiters_ ABSL_GUARDED_BY(mutex_) = 0;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/configuration_follower.cc
+++ b/keelbridge/daemon/configuration_follower.cc
@@ -19,12 +19,12 @@
     absl::MutexLock lock(&mutex_);
     log_answers_ = batch.has_value();
     if (!batch) return changed;
-    const int64_t before = state_.current().version;
-    const int64_t carried_before = state_.carried_at();
+    const int64_t previous_version = state_.current().version;
+    const int64_t previous_carried_at = state_.carried_at();
     state_.OnBatch(batch.value());
-    if (state_.carried_at() != carried_before)
-      carried_since_ = SystemNow().mono;
-    changed = changed || state_.current().version != before;
+    if (state_.carried_at() != previous_carried_at)
+      last_carried_at_ = SystemNow().mono;
+    changed = changed || state_.current().version != previous_version;
     if (state_.CaughtUp() || batch.value().records.empty()) return changed;
   }
 }
@@ -60,7 +60,7 @@
   return log_answers_;
 }
 
-Json::Value ConfigurationFollower::ForPeer(int64_t have) const {
+Json::Value ConfigurationFollower::MakePeerReply(int64_t have) const {
   absl::MutexLock lock(&mutex_);
   Json::Value out;
   out["version"] = static_cast<Json::Int64>(state_.current().version);
@@ -72,7 +72,7 @@
     absl::Time now, absl::Duration every) const {
   absl::MutexLock lock(&mutex_);
   const int64_t version = state_.current().version;
-  if (version < 0 || !state_.CaughtUp() || now - carried_since_ < every)
+  if (version < 0 || !state_.CaughtUp() || now - last_carried_at_ < every)
     return std::nullopt;
   return ConfigurationEntry{-1, version, state_.current().text};
 }
--- a/keelbridge/daemon/configuration_follower.h
+++ b/keelbridge/daemon/configuration_follower.h
@@ -35,7 +35,7 @@
   bool log_answers() const;
   // What a peer is answered: {"version", "text"}; the text only when `have` is
   // older.
-  Json::Value ForPeer(int64_t have) const;
+  Json::Value MakePeerReply(int64_t have) const;
   // The renewal that is due so that retention does not drop the version in
   // force, if any: when no record has carried it for `every`, which must be
   // well under half of the log's retention.
@@ -48,7 +48,7 @@
   mutable absl::Mutex mutex_;
   ConfigurationState state_ ABSL_GUARDED_BY(mutex_);
   bool log_answers_ ABSL_GUARDED_BY(mutex_) = false;
-  absl::Time carried_since_ ABSL_GUARDED_BY(mutex_);
+  absl::Time last_carried_at_ ABSL_GUARDED_BY(mutex_);
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/gateway.cc
+++ b/keelbridge/daemon/gateway.cc
@@ -49,8 +49,8 @@
     HttpServer::Options options;
     options.ip = listen.value().ip;
     options.port = listen.value().port;
-    options.most_threads = static_cast<size_t>(settings_.most_connections);
-    options.most_body_bytes = static_cast<size_t>(settings_.most_body_bytes);
+    options.max_threads = static_cast<size_t>(settings_.max_connections);
+    options.max_body_bytes = static_cast<size_t>(settings_.max_body_bytes);
     AddRpcMethods();
     server_ = std::make_unique<HttpServer>(
         options,
@@ -59,13 +59,13 @@
     if (!port) return port.error();
     port_ = port.value();
     StartMembership(absl::StrCat(listen.value().ip, ":", port_));
-    duties_.Start("configuration", settings_.poll_every,
-                  [this] { FollowConfiguration(); });
-    duties_.Start("hosts", settings_.poll_every, [this] { FollowHosts(); });
-    duties_.Start("membership", absl::Milliseconds(500),
-                  [this] { StepMembership(); });
-    Duty* claims = duties_.Start("claims", absl::Seconds(1),
-                                 [this] { requests_.claims().Step(); });
+    tasks_.Start("configuration", settings_.poll_every,
+                 [this] { FollowConfiguration(); });
+    tasks_.Start("hosts", settings_.poll_every, [this] { FollowHosts(); });
+    tasks_.Start("membership", absl::Milliseconds(500),
+                 [this] { StepMembership(); });
+    PeriodicTask* claims = tasks_.Start("claims", absl::Seconds(1),
+                                        [this] { requests_.claims().Step(); });
     requests_.claims().SetWaker([claims] { claims->Wake(); });
     if (!settings_.ready_file.empty())
       std::ofstream(settings_.ready_file) << port_ << "\n";
@@ -80,16 +80,16 @@
     LogEvent(Severity::kInfo, "gateway_drains",
              {{"in_flight", absl::StrCat(in_flight_.load())}});
     draining_ = true;
-    SayFarewell();
+    SendLeaveMessages();
     server_->Drain();
     // Time for the balancer to see /readyz, while requests that come are still
     // served.
     absl::SleepFor(settings_.drain_notice);
-    const absl::Time most = SystemNow().mono + settings_.drain_most;
-    while (in_flight_ > 0 && SystemNow().mono < most)
+    const absl::Time deadline = SystemNow().mono + settings_.drain_timeout;
+    while (in_flight_ > 0 && SystemNow().mono < deadline)
       absl::SleepFor(absl::Milliseconds(10));
     server_->Stop();
-    duties_.Stop();
+    tasks_.Stop();
     LogEvent(Severity::kInfo, "gateway_stopped",
              {{"in_flight", absl::StrCat(in_flight_.load())}});
   }
@@ -99,14 +99,15 @@
 
   void FollowConfiguration() {
     bool changed = configuration_.PollLog();
-    std::optional<std::string> newer;
+    std::optional<std::string> newer_at;
     {
       absl::MutexLock lock(&mutex_);
-      newer = membership_ ? membership_->NewerConfigurationAt() : std::nullopt;
+      newer_at =
+          membership_ ? membership_->NewerConfigurationAt() : std::nullopt;
     }
     // Peers are asked when they say that they know better, and by a fresh host
     // that the log does not answer.
-    if (newer) changed = configuration_.PollPeer(*newer) || changed;
+    if (newer_at) changed = configuration_.PollPeer(*newer_at) || changed;
     if (configuration_.version() < 0 && !configuration_.log_answers()) {
       for (const std::string& peer : settings_.peers)
         changed = configuration_.PollPeer(peer) || changed;
@@ -115,25 +116,26 @@
   }
 
   void ApplyConfiguration() {
-    const Configuration next = configuration_.current();
-    requests_.ApplyConfiguration(next);
+    const Configuration configuration = configuration_.current();
+    requests_.ApplyConfiguration(configuration);
     absl::MutexLock lock(&mutex_);
-    if (membership_) membership_->SetConfigurationVersion(next.version);
+    if (membership_)
+      membership_->SetConfigurationVersion(configuration.version);
     metrics_.Set("configuration_version", {},
-                 static_cast<double>(next.version));
+                 static_cast<double>(configuration.version));
     LogEvent(Severity::kInfo, "configuration_in_force",
-             {{"version", absl::StrCat(next.version)}});
+             {{"version", absl::StrCat(configuration.version)}});
   }
 
   void FollowHosts() {
     Result<std::set<std::string>> leaving =
         host_list_.Leaving(settings_.log_timeout);
     std::optional<std::set<std::string>> drained = DrainedTargets();
-    if (leaving) listed_leaving_ = std::move(leaving.value());
-    if (drained) drained_ = std::move(*drained);
-    std::set<std::string> all = listed_leaving_;
-    all.insert(drained_.begin(), drained_.end());
-    requests_.SetLeaving(all);
+    if (leaving) leaving_hosts_ = std::move(leaving.value());
+    if (drained) drained_targets_ = std::move(*drained);
+    std::set<std::string> leaving_targets = leaving_hosts_;
+    leaving_targets.insert(drained_targets_.begin(), drained_targets_.end());
+    requests_.SetLeaving(leaving_targets);
   }
 
   std::optional<std::set<std::string>> DrainedTargets() {
@@ -188,13 +190,13 @@
     }
   }
 
-  void SayFarewell() {
+  void SendLeaveMessages() {
     std::vector<Member> live;
     MemberMessage message;
     {
       absl::MutexLock lock(&mutex_);
       live = membership_->Live();
-      message = membership_->Farewell();
+      message = membership_->MakeLeaveMessage();
     }
     for (const Member& member : live) {
       if (member.name == settings_.name) continue;
@@ -208,10 +210,10 @@
 
   void UpdateShareLocked() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     const std::vector<Member> live = membership_->Live();
-    const auto me = std::find_if(
+    const auto own_entry = std::find_if(
         live.begin(), live.end(),
         [this](const Member& m) { return m.name == settings_.name; });
-    requests_.SetShare(static_cast<int>(me - live.begin()),
+    requests_.SetShare(static_cast<int>(own_entry - live.begin()),
                        static_cast<int>(live.size()));
     metrics_.Set("live_gateways", {}, static_cast<double>(live.size()));
   }
@@ -228,7 +230,7 @@
     });
     rpc_.Add("configuration", [this](const Json::Value& params) {
       JsonRpcReply reply;
-      reply.result = configuration_.ForPeer(params["have"].asInt64());
+      reply.result = configuration_.MakePeerReply(params["have"].asInt64());
       return reply;
     });
     rpc_.Add("status", [this](const Json::Value&) {
@@ -312,13 +314,13 @@
   absl::Mutex mutex_;
   std::unique_ptr<Membership> membership_ ABSL_GUARDED_BY(mutex_);
   // Of the hosts duty only.
-  std::set<std::string> listed_leaving_;
-  std::set<std::string> drained_;
+  std::set<std::string> leaving_hosts_;
+  std::set<std::string> drained_targets_;
   std::map<std::string, std::shared_ptr<RpcClient>>
       peers_;                             // Of the membership duty only.
   std::unique_ptr<RpcClient> scheduler_;  // Of the hosts duty only.
   std::unique_ptr<HttpServer> server_;
-  DutyHost duties_;  // Last: ends first.
+  PeriodicTaskRunner tasks_;  // Last: ends first.
 };
 
 Gateway::Gateway(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
--- a/keelbridge/daemon/leader_session.cc
+++ b/keelbridge/daemon/leader_session.cc
@@ -11,23 +11,23 @@
 namespace keelbridge {
 namespace {
 
-constexpr absl::Duration kTickEvery = absl::Milliseconds(50);
-constexpr absl::Duration kPumpDelay = absl::Milliseconds(3);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(50);
+constexpr absl::Duration kCycleDelay = absl::Milliseconds(3);
 // A count of waiting jobs is told while the store confirmed this leader so
 // lately; a count may be 2 s old.
-constexpr absl::Duration kWaitingMayBeOld = absl::Seconds(2);
+constexpr absl::Duration kMaxWaitingCountAge = absl::Seconds(2);
 // New jobs are refused once appends have failed for this long.
-constexpr absl::Duration kFailingTolerated = absl::Milliseconds(400);
-constexpr absl::Duration kFiguresEvery = absl::Seconds(1);
+constexpr absl::Duration kMaxAppendFailureDuration = absl::Milliseconds(400);
+constexpr absl::Duration kMetricsInterval = absl::Seconds(1);
 // A gap between two ticks this long means that this process stood still.
-constexpr absl::Duration kStandstill = absl::Milliseconds(1500);
+constexpr absl::Duration kStallThreshold = absl::Milliseconds(1500);
 // Leases and starts stop this much before other leaders count on it.
 constexpr absl::Duration kBoundMargin = absl::Milliseconds(1500);
 constexpr absl::Duration kRetryAfter = absl::Seconds(1);
 // Calls that come before the term is active wait this long, so many at most.
-constexpr absl::Duration kEarlyPatience = absl::Milliseconds(700);
-constexpr size_t kMostEarlyCalls = 2000;
-constexpr absl::Duration kEarlySweepEvery = absl::Milliseconds(100);
+constexpr absl::Duration kQueuedCallTimeout = absl::Milliseconds(700);
+constexpr size_t kMaxQueuedCalls = 2000;
+constexpr absl::Duration kQueuedCallSweepInterval = absl::Milliseconds(100);
 
 ClientReply Reply(ClientAnswer answer, std::string message = "") {
   ClientReply reply;
@@ -37,7 +37,7 @@
 }
 
 ClientReply NotTaken(std::string message) {
-  ClientReply reply = Reply(ClientAnswer::kNotTaken, std::move(message));
+  ClientReply reply = Reply(ClientAnswer::kRejected, std::move(message));
   reply.retry_after = kRetryAfter;
   return reply;
 }
@@ -53,14 +53,15 @@
       metrics_(metrics),
       scheduler_(options_.scheduler, epoch, SystemNow().mono),
       tick_timer_(loop),
-      pump_timer_(loop) {}
+      cycle_timer_(loop) {}
 
 void LeaderSession::Start() {
   LogEvent(Severity::kInfo, "term_begins", {{"epoch", absl::StrCat(epoch_)}});
   Fence();
 }
 
-void LeaderSession::After(absl::Duration delay, std::function<void()> step) {
+void LeaderSession::RunAfterUnlessEnded(absl::Duration delay,
+                                        std::function<void()> step) {
   RunAfter(loop_, delay, [self = shared_from_this(), step = std::move(step)] {
     if (!self->ended()) step();
   });
@@ -72,8 +73,8 @@
   LogEvent(Severity::kWarning, "term_ended",
            {{"epoch", absl::StrCat(epoch_)}, {"why", why}});
   tick_timer_.cancel();
-  pump_timer_.cancel();
-  DropEarlyCalls(absl::InfiniteFuture());
+  cycle_timer_.cancel();
+  DropQueuedCalls(absl::InfiniteFuture());
   const auto waiters = std::move(waiters_);
   waiters_.clear();
   for (const auto& [batch, waiter] : waiters)
@@ -87,75 +88,76 @@
            {{"epoch", absl::StrCat(epoch_)},
             {"workers", absl::StrCat(worker_list_.figures().used)}});
   last_tick_ = SystemNow().mono;
-  const auto early = std::exchange(early_calls_, {});
-  for (const EarlyCall& waiting : early) Handle(waiting.call, waiting.reply);
-  Pump();
-  ArmTick();
+  const auto queued_calls = std::exchange(queued_calls_, {});
+  for (const QueuedCall& waiting : queued_calls)
+    Handle(waiting.call, waiting.reply);
+  RunCycle();
+  ScheduleTick();
 }
 
-void LeaderSession::ArmTick() {
-  tick_timer_.expires_after(absl::ToChronoNanoseconds(kTickEvery));
+void LeaderSession::ScheduleTick() {
+  tick_timer_.expires_after(absl::ToChronoNanoseconds(kTickInterval));
   tick_timer_.async_wait(
       [self = shared_from_this()](boost::system::error_code error) {
         if (error || self->ended()) return;
-        self->TakeLag(self->tick_timer_.expiry());
+        self->RecordLoopLag(self->tick_timer_.expiry());
         // Also when this turn throws: the next one is due all the same.
         const auto next_tick = absl::MakeCleanup([&self] {
-          if (!self->ended()) self->ArmTick();
+          if (!self->ended()) self->ScheduleTick();
         });
-        self->Pump();
+        self->RunCycle();
       });
 }
 
-void LeaderSession::PumpSoon() {
-  if (pump_armed_ || phase_ != Phase::kActive) return;
-  pump_armed_ = true;
-  pump_timer_.expires_after(absl::ToChronoNanoseconds(kPumpDelay));
-  pump_timer_.async_wait(
+void LeaderSession::ScheduleCycle() {
+  if (cycle_scheduled_ || phase_ != Phase::kActive) return;
+  cycle_scheduled_ = true;
+  cycle_timer_.expires_after(absl::ToChronoNanoseconds(kCycleDelay));
+  cycle_timer_.async_wait(
       [self = shared_from_this()](boost::system::error_code error) {
-        self->pump_armed_ = false;
+        self->cycle_scheduled_ = false;
         if (error || self->ended()) return;
-        self->TakeLag(self->pump_timer_.expiry());
-        self->Pump();
+        self->RecordLoopLag(self->cycle_timer_.expiry());
+        self->RunCycle();
       });
 }
 
-void LeaderSession::TakeLag(BootClock::time_point due) {
+void LeaderSession::RecordLoopLag(BootClock::time_point due) {
   const absl::Duration lag = absl::FromChrono(BootClock::now() - due);
   scheduler_.SetLag(lag);
   longest_lag_ = std::max(longest_lag_, lag);
 }
 
-void LeaderSession::Pump() {
+void LeaderSession::RunCycle() {
   const Now now = SystemNow();
-  if (now.mono - last_tick_ > kStandstill) {
+  if (now.mono - last_tick_ > kStallThreshold) {
     LogEvent(Severity::kWarning, "stood_still",
              {{"ms", absl::StrCat(
                          absl::ToInt64Milliseconds(now.mono - last_tick_))}});
     // Until the store confirms this leader by an append that is sent now.
-    stood_still_ = true;
-    stood_still_until_ = now.mono;
+    stalled_ = true;
+    last_stall_end_ = now.mono;
   }
   last_tick_ = now.mono;
   const bool bound_passed =
       now.mono - last_append_sent_ >
-      options_.scheduler.earlier_leader_bound - kBoundMargin;
-  scheduler_.SetSuspended(stood_still_ || bound_passed);
+      options_.scheduler.earlier_leader_grace - kBoundMargin;
+  scheduler_.SetSuspended(stalled_ || bound_passed);
   scheduler_.Tick(now);
-  const Now decided = SystemNow();
-  scheduler_.OnTickTook(decided.mono - now.mono, decided);
-  decided_for_ += decided.mono - now.mono;
-  CarryOut(scheduler_.TakeActions());
+  const Now tick_end = SystemNow();
+  scheduler_.OnTickFinished(tick_end.mono - now.mono, tick_end);
+  total_decision_time_ += tick_end.mono - now.mono;
+  ExecuteActions(scheduler_.TakeActions());
   if (scheduler_.fenced()) return End("a worker has seen a higher fence");
   MaybeFlush();
   PollWorkers();
-  if (now.mono >= next_figures_) {
-    next_figures_ = now.mono + kFiguresEvery;
-    PublishFigures();
+  if (now.mono >= next_metrics_at_) {
+    next_metrics_at_ = now.mono + kMetricsInterval;
+    PublishMetrics();
   }
 }
 
-void LeaderSession::CarryOut(const std::vector<Action>& actions) {
+void LeaderSession::ExecuteActions(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* start = std::get_if<StartAction>(&action)) {
       last_order_ = SystemNow().mono;
@@ -164,7 +166,7 @@
           [self = shared_from_this(), start = *start](const OrderReply& reply) {
             if (self->ended()) return;
             self->scheduler_.OnStartReply(start, reply, SystemNow());
-            self->PumpSoon();
+            self->ScheduleCycle();
           });
     } else if (const auto* stop = std::get_if<StopAction>(&action)) {
       ports_.workers->Stop(
@@ -172,7 +174,7 @@
           [self = shared_from_this(), stop = *stop](const OrderReply& reply) {
             if (self->ended()) return;
             self->scheduler_.OnStopReply(stop, reply, SystemNow());
-            self->PumpSoon();
+            self->ScheduleCycle();
           });
     } else if (const auto* observe = std::get_if<ObserveAction>(&action)) {
       const absl::Time sent = SystemNow().mono;
@@ -183,29 +185,30 @@
                                 if (self->ended()) return;
                                 self->scheduler_.OnObserveReply(
                                     observe, reply, sent, SystemNow());
-                                self->PumpSoon();
+                                self->ScheduleCycle();
                               });
     } else if (const auto* ask = std::get_if<AskAdviceAction>(&action)) {
       options_.ask_advice(
           *ask, [self = shared_from_this(), ask = *ask](const AdviceReply& r) {
             if (self->ended()) return;
             self->scheduler_.OnAdvice(ask, r, SystemNow());
-            self->PumpSoon();
+            self->ScheduleCycle();
           });
     } else if (const auto* forget = std::get_if<ForgetWorkerAction>(&action)) {
       ports_.workers->Forget(forget->worker_id);
-    } else if (const auto* explain = std::get_if<ExplainAction>(&action)) {
+    } else if (const auto* explain = std::get_if<LogAction>(&action)) {
       LogEvent(explain->severity, explain->event, explain->fields);
     }
   }
 }
 
 bool LeaderSession::CanAccept() const {
-  return active() && SystemNow().mono - failing_since_ < kFailingTolerated;
+  return active() &&
+         SystemNow().mono - failing_since_ < kMaxAppendFailureDuration;
 }
 
-void LeaderSession::DenyOnceConfirmed(const ClientCall& call,
-                                      std::function<void(ClientReply)> reply) {
+void LeaderSession::ReplyNoSuchJobOnceConfirmed(
+    const ClientCall& call, std::function<void(ClientReply)> reply) {
   const absl::Duration confirmed = SystemNow().mono - last_append_sent_;
   LogEvent(
       Severity::kInfo, "job_unknown",
@@ -214,50 +217,51 @@
        {"epoch", absl::StrCat(epoch_)},
        {"confirmed_ms_ago", absl::StrCat(absl::ToInt64Milliseconds(confirmed))},
        {"store_lost", failing_since_ == absl::InfiniteFuture() ? "no" : "yes"},
-       {"stood_still", stood_still_ ? "yes" : "no"},
+       {"stood_still", stalled_ ? "yes" : "no"},
        {"jobs", absl::StrCat(scheduler_.figures().jobs)}});
   if (!CanAccept()) return reply(NotTaken("the store confirms no leader now"));
   // A successor that this leader has not heard of may know the job. The store
   // tells: it takes an append of this term only while nobody else leads.
-  confirm_wanted_ = true;
-  Await(scheduler_.NextBatch(), Reply(ClientAnswer::kNoSuchJob),
-        std::move(reply));
+  confirmation_requested_ = true;
+  ReplyWhenDurable(scheduler_.NextBatch(), Reply(ClientAnswer::kNoSuchJob),
+                   std::move(reply));
 }
 
-void LeaderSession::Await(int64_t batch, ClientReply answer,
-                          std::function<void(ClientReply)> reply) {
+void LeaderSession::ReplyWhenDurable(int64_t batch, ClientReply answer,
+                                     std::function<void(ClientReply)> reply) {
   if (batch == 0) return reply(std::move(answer));
   waiters_.emplace(batch, Waiter{std::move(reply), std::move(answer)});
-  PumpSoon();
+  ScheduleCycle();
 }
 
 void LeaderSession::HandleOnceActive(const ClientCall& call,
                                      std::function<void(ClientReply)> reply,
                                      std::function<void()> dropped) {
   if (active()) return Handle(call, std::move(reply));
-  if (ended() || early_calls_.size() >= kMostEarlyCalls) return dropped();
-  const bool sweeping = !early_calls_.empty();
-  early_calls_.push_back({call, std::move(reply), std::move(dropped),
-                          SystemNow().mono + kEarlyPatience});
-  if (!sweeping) SweepEarlyCalls();
+  if (ended() || queued_calls_.size() >= kMaxQueuedCalls) return dropped();
+  const bool sweeping = !queued_calls_.empty();
+  queued_calls_.push_back({call, std::move(reply), std::move(dropped),
+                           SystemNow().mono + kQueuedCallTimeout});
+  if (!sweeping) DropExpiredCalls();
 }
 
-void LeaderSession::SweepEarlyCalls() {
-  DropEarlyCalls(SystemNow().mono);
-  if (early_calls_.empty()) return;
-  After(kEarlySweepEvery,
-        [self = shared_from_this()] { self->SweepEarlyCalls(); });
+void LeaderSession::DropExpiredCalls() {
+  DropQueuedCalls(SystemNow().mono);
+  if (queued_calls_.empty()) return;
+  RunAfterUnlessEnded(kQueuedCallSweepInterval, [self = shared_from_this()] {
+    self->DropExpiredCalls();
+  });
 }
 
-void LeaderSession::DropEarlyCalls(absl::Time until) {
-  while (!early_calls_.empty() && early_calls_.front().until <= until) {
-    const EarlyCall late = std::move(early_calls_.front());
-    early_calls_.pop_front();
-    late.dropped();
+void LeaderSession::DropQueuedCalls(absl::Time deadline) {
+  while (!queued_calls_.empty() && queued_calls_.front().deadline <= deadline) {
+    const QueuedCall expired = std::move(queued_calls_.front());
+    queued_calls_.pop_front();
+    expired.dropped();
   }
 }
 
-ClientReply LeaderSession::AnswerOfUnreadable(const ClientCall& call) const {
+ClientReply LeaderSession::UnreadableJobReply(const ClientCall& call) const {
   LogEvent(Severity::kError, "job_unreadable",
            {{"job", JobIdText(call.job)}, {"epoch", absl::StrCat(epoch_)}});
   const char* why = "the records of this job cannot be read";
@@ -267,7 +271,7 @@
              : NotTaken(why);
 }
 
-bool LeaderSession::RefuseOverload(
+bool LeaderSession::RefuseIfOverloaded(
     const ClientCall& call, const std::function<void(ClientReply)>& reply) {
   const auto verdict = scheduler_.Admit(call.queue, call.spec);
   if (!verdict || verdict->accept) return false;
@@ -291,9 +295,9 @@
 void LeaderSession::Handle(const ClientCall& call,
                            std::function<void(ClientReply)> reply) {
   const Now now = SystemNow();
-  const bool names_job = call.kind != ClientCallKind::kWaiting;
-  if (names_job && unreadable_jobs_.count(call.job) > 0)
-    return reply(AnswerOfUnreadable(call));
+  const bool has_job = call.kind != ClientCallKind::kWaiting;
+  if (has_job && unreadable_jobs_.count(call.job) > 0)
+    return reply(UnreadableJobReply(call));
   switch (call.kind) {
     case ClientCallKind::kSubmit: {
       const bool known = scheduler_.Status(call.job).has_value();
@@ -303,28 +307,30 @@
                  {{"job", JobIdText(call.job)}, {"why", refused.message}});
         return reply(std::move(refused));
       }
-      if (!known && RefuseOverload(call, reply)) return;
+      if (!known && RefuseIfOverloaded(call, reply)) return;
       const int64_t batch =
           scheduler_.Submit(call.job, call.queue, call.spec, now);
-      return Await(batch, Reply(ClientAnswer::kAccepted), std::move(reply));
+      return ReplyWhenDurable(batch, Reply(ClientAnswer::kAccepted),
+                              std::move(reply));
     }
     case ClientCallKind::kCancel: {
       const auto batch = scheduler_.Cancel(call.job, now);
-      if (!batch) return DenyOnceConfirmed(call, std::move(reply));
-      return Await(*batch, Reply(ClientAnswer::kAccepted), std::move(reply));
+      if (!batch) return ReplyNoSuchJobOnceConfirmed(call, std::move(reply));
+      return ReplyWhenDurable(*batch, Reply(ClientAnswer::kAccepted),
+                              std::move(reply));
     }
     case ClientCallKind::kStatus: {
       const auto state = scheduler_.Status(call.job);
-      if (!state) return DenyOnceConfirmed(call, std::move(reply));
+      if (!state) return ReplyNoSuchJobOnceConfirmed(call, std::move(reply));
       ClientReply answer = Reply(ClientAnswer::kState);
       answer.state = JobStateName(*state);
       return reply(std::move(answer));
     }
     case ClientCallKind::kWaiting: {
-      if (now.mono - last_append_sent_ > kWaitingMayBeOld)
+      if (now.mono - last_append_sent_ > kMaxWaitingCountAge)
         return reply(NotTaken("the count may be old"));
       ClientReply answer = Reply(ClientAnswer::kWaiting);
-      const auto waiting = scheduler_.Waiting();
+      const auto waiting = scheduler_.QueuedJobs();
       const auto found = waiting.find(call.queue);
       answer.waiting = found == waiting.end() ? 0 : found->second;
       return reply(std::move(answer));
@@ -337,7 +343,7 @@
   worker_list_.SetConfiguration(*configuration);
   scheduler_.SetConfiguration(std::move(configuration));
   ApplyWorkerList();
-  PumpSoon();
+  ScheduleCycle();
 }
 
 void LeaderSession::SetAdvisers(const std::vector<std::string>& nodes) {
@@ -346,10 +352,10 @@
 
 void LeaderSession::OnEarlierLeadersStopped(absl::Time last_order) {
   scheduler_.OnEarlierLeadersStopped(last_order);
-  PumpSoon();
+  ScheduleCycle();
 }
 
-void LeaderSession::PublishFigures() {
+void LeaderSession::PublishMetrics() {
   const JobScheduler::Figures f = scheduler_.figures();
   const auto set = [&](const char* name, int64_t value) {
     metrics_.Set(name, {}, static_cast<double>(value));
@@ -358,63 +364,64 @@
   set("tasks_ready", f.ready_tasks);
   set("tasks_on_workers", f.running_tasks);
   set("workers", f.workers);
-  set("workers_listed", f.workers_listed);
+  set("workers_listed", f.workers_reported);
   set("cpu_milli_total", f.cpu_milli_total);
   set("cpu_milli_used", f.cpu_milli_used);
   set("starts", f.starts);
   set("starts_refused", f.starts_refused);
-  set("runs_yielded", f.yields);
+  set("runs_yielded", f.preemptions);
   set("advice_calls", f.advice_calls);
   set("ends_done", f.ends_done);
   set("ends_failed", f.ends_failed);
   set("ends_other", f.ends_other);
   set("recovered_tasks_waiting", f.recovered_waiting);
-  set("cpu_milli_held", f.cpu_milli_held);
+  set("cpu_milli_held", f.cpu_milli_reserved);
   set("gangs_waiting", f.gangs_waiting);
-  set("gangs_holding", f.gangs_holding);
-  set("steps_not_asking", f.steps_not_asking);
-  set("looks", f.looks);
-  set("steps_looked_at", f.steps_looked_at);
-  set("late_steps_looked_at", f.late_steps_looked_at);
+  set("gangs_holding", f.gangs_reserving);
+  set("steps_not_asking", f.steps_without_advice);
+  set("looks", f.placement_passes);
+  set("steps_looked_at", f.steps_examined);
+  set("late_steps_looked_at", f.late_steps_examined);
   set("workers_tried", f.workers_tried);
-  set("listings_passed_over", f.listings_passed_over);
+  set("listings_passed_over", f.stale_reports_skipped);
   set("starts_unanswered", f.starts_unanswered);
-  metrics_.Set("deciding_seconds", {}, absl::ToDoubleSeconds(decided_for_));
+  metrics_.Set("deciding_seconds", {},
+               absl::ToDoubleSeconds(total_decision_time_));
   const WorkerList::Figures entries = worker_list_.figures();
   const auto set_unused = [&](const char* why, int64_t count) {
     metrics_.Set("worker_entries_unused", {{"why", why}},
                  static_cast<double>(count));
   };
   set_unused("unreadable", entries.refused);
-  set_unused("service", entries.unnamed);
+  set_unused("service", entries.unknown_service);
   metrics_.Set("loop_lag_seconds", {}, absl::ToDoubleSeconds(longest_lag_));
   const auto lag_ms = absl::ToInt64Milliseconds(longest_lag_);
   longest_lag_ = absl::ZeroDuration();
-  LogEvent(
-      Severity::kInfo, "site_figures",
-      {{"jobs", absl::StrCat(f.jobs)},
-       {"tasks_ready", absl::StrCat(f.ready_tasks)},
-       {"tasks_on_workers", absl::StrCat(f.running_tasks)},
-       {"workers", absl::StrCat(f.workers)},
-       {"listed", absl::StrCat(f.workers_listed)},
-       {"cpu_used", absl::StrCat(f.cpu_milli_used / 1000)},
-       {"cpu_total", absl::StrCat(f.cpu_milli_total / 1000)},
-       {"advice_calls", absl::StrCat(f.advice_calls)},
-       {"starts", absl::StrCat(f.starts)},
-       {"refused", absl::StrCat(f.starts_refused)},
-       {"recovered_waiting", absl::StrCat(f.recovered_waiting)},
-       {"cpu_held", absl::StrCat(f.cpu_milli_held / 1000)},
-       {"gangs_waiting", absl::StrCat(f.gangs_waiting)},
-       {"gangs_holding", absl::StrCat(f.gangs_holding)},
-       {"steps_not_asking", absl::StrCat(f.steps_not_asking)},
-       {"looks", absl::StrCat(f.looks)},
-       {"steps_looked_at", absl::StrCat(f.steps_looked_at)},
-       {"late_steps_looked_at", absl::StrCat(f.late_steps_looked_at)},
-       {"workers_tried", absl::StrCat(f.workers_tried)},
-       {"listings_passed_over", absl::StrCat(f.listings_passed_over)},
-       {"starts_unanswered", absl::StrCat(f.starts_unanswered)},
-       {"deciding_ms", absl::StrCat(absl::ToInt64Milliseconds(decided_for_))},
-       {"longest_lag_ms", absl::StrCat(lag_ms)}});
+  LogEvent(Severity::kInfo, "site_figures",
+           {{"jobs", absl::StrCat(f.jobs)},
+            {"tasks_ready", absl::StrCat(f.ready_tasks)},
+            {"tasks_on_workers", absl::StrCat(f.running_tasks)},
+            {"workers", absl::StrCat(f.workers)},
+            {"listed", absl::StrCat(f.workers_reported)},
+            {"cpu_used", absl::StrCat(f.cpu_milli_used / 1000)},
+            {"cpu_total", absl::StrCat(f.cpu_milli_total / 1000)},
+            {"advice_calls", absl::StrCat(f.advice_calls)},
+            {"starts", absl::StrCat(f.starts)},
+            {"refused", absl::StrCat(f.starts_refused)},
+            {"recovered_waiting", absl::StrCat(f.recovered_waiting)},
+            {"cpu_held", absl::StrCat(f.cpu_milli_reserved / 1000)},
+            {"gangs_waiting", absl::StrCat(f.gangs_waiting)},
+            {"gangs_holding", absl::StrCat(f.gangs_reserving)},
+            {"steps_not_asking", absl::StrCat(f.steps_without_advice)},
+            {"looks", absl::StrCat(f.placement_passes)},
+            {"steps_looked_at", absl::StrCat(f.steps_examined)},
+            {"late_steps_looked_at", absl::StrCat(f.late_steps_examined)},
+            {"workers_tried", absl::StrCat(f.workers_tried)},
+            {"listings_passed_over", absl::StrCat(f.stale_reports_skipped)},
+            {"starts_unanswered", absl::StrCat(f.starts_unanswered)},
+            {"deciding_ms",
+             absl::StrCat(absl::ToInt64Milliseconds(total_decision_time_))},
+            {"longest_lag_ms", absl::StrCat(lag_ms)}});
 }
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/leader_session.h
+++ b/keelbridge/daemon/leader_session.h
@@ -50,7 +50,7 @@
     JobScheduler::Options scheduler;
     std::string node;
     // What one append may carry; a larger batch takes several.
-    size_t most_append_bytes = 1 << 20;
+    size_t max_append_bytes = 1 << 20;
     AskAdvice ask_advice;  // Through the node that the action names.
     std::function<void(const std::string&)> on_ended;  // Why the term ended.
   };
@@ -83,7 +83,7 @@
   // When it last gave an order that begins a run or extends a lease.
   absl::Time last_order() const { return last_order_; }
   // How often the store came back after it was lost.
-  int64_t store_returns() const { return store_returns_; }
+  int64_t store_recoveries() const { return store_recoveries_; }
 
  private:
   // By which the store knows the writer of the jobs stream; its epochs rise
@@ -93,15 +93,15 @@
   // Before a call of the store that failed is made again.
   static constexpr absl::Duration kRetryDelay = absl::Milliseconds(60);
 
-  enum class Phase { kFencing, kLoading, kLearningWorkers, kActive, kEnded };
-  struct Flight {
+  enum class Phase { kFencing, kLoadingJobs, kLoadingWorkers, kActive, kEnded };
+  struct InFlightAppend {
     JobScheduler::Batch batch;
     // The part of the batch's records that the append under way carries.
     size_t begin = 0;
     size_t count = 0;
     int64_t sequence = 0;
     int tries = 0;
-    int open = 0;  // Tries that are under way.
+    int open_tries = 0;  // Tries that are under way.
   };
   struct Waiter {
     std::function<void(ClientReply)> reply;
@@ -109,26 +109,27 @@
   };
 
   // A call that waits for the term to be active.
-  struct EarlyCall {
+  struct QueuedCall {
     ClientCall call;
     std::function<void(ClientReply)> reply;
     std::function<void()> dropped;
-    absl::Time until;
+    absl::Time deadline;
   };
 
   // leader_session_loading.cc
   void Fence();
   void LoadJobs(const std::string& after);
   // Goes on after `page`, which was read after the key `after`.
-  void LoadJobsAfter(const NewestReply& page, const std::string& after);
-  void TakeJobRecord(const Record& record);
+  void ContinueLoadingJobs(const NewestReply& page, const std::string& after);
+  void AddJobRecord(const Record& record);
   void OnJobsLoaded(int64_t stream_end);
-  void LearnWorkers(const std::string& after);
+  void LoadWorkers(const std::string& after);
   // The same for the list of workers, which ends where a page does not lead on.
-  void LearnWorkersAfter(const NewestReply& page, const std::string& after);
-  void OnWorkersListed();
+  void ContinueLoadingWorkers(const NewestReply& page,
+                              const std::string& after);
+  void OnWorkersLoaded();
   void PollWorkers();
-  void TakeWorkerRecord(const Record& record);
+  void ApplyWorkerRecord(const Record& record);
   // Carries out what the list of workers means for the scheduler.
   void ApplyWorkerList();
 
@@ -137,41 +138,42 @@
   absl::Duration AppendTimeout(int tries) const;
   // The next part of the batch under way, under a number of its own.
   void BeginAppend();
-  void SendFlight();
+  void SendAppend();
   // Sends the append under way once more after a pause, beside tries that are
   // not answered yet.
-  void SendFlightAgainLater();
+  void ScheduleResend();
   // `flight`: the number of the append that was tried.
-  void OnAppended(const AppendReply& reply, int64_t flight, absl::Time sent);
+  void OnAppended(const AppendReply& reply, int64_t append_number,
+                  absl::Time sent);
   void OnAppendFailed(const AppendReply& reply, absl::Time sent);
   // Whether the stream ends where this leader's records put its end; if not,
   // some are missing, or another wrote after the fence.
-  bool EndsAsExpected(const AppendReply& reply);
+  bool VerifyStreamEnd(const AppendReply& reply);
 
   // leader_session.cc
   void Activate();
-  void ArmTick();
-  void Pump();
+  void ScheduleTick();
+  void RunCycle();
   // How late the loop comes to a timer that was due then.
-  void TakeLag(BootClock::time_point due);
-  void PumpSoon();
-  void CarryOut(const std::vector<Action>& actions);
-  void Await(int64_t batch, ClientReply answer,
-             std::function<void(ClientReply)> reply);
-  void After(absl::Duration delay, std::function<void()> step);
-  void PublishFigures();
-  void DropEarlyCalls(absl::Time until);
-  void SweepEarlyCalls();
+  void RecordLoopLag(BootClock::time_point due);
+  void ScheduleCycle();
+  void ExecuteActions(const std::vector<Action>& actions);
+  void ReplyWhenDurable(int64_t batch, ClientReply answer,
+                        std::function<void(ClientReply)> reply);
+  void RunAfterUnlessEnded(absl::Duration delay, std::function<void()> step);
+  void PublishMetrics();
+  void DropQueuedCalls(absl::Time deadline);
+  void DropExpiredCalls();
   // Refuses a new job that could not begin in time; whether it did.
-  bool RefuseOverload(const ClientCall& call,
-                      const std::function<void(ClientReply)>& reply);
+  bool RefuseIfOverloaded(const ClientCall& call,
+                          const std::function<void(ClientReply)>& reply);
   // Says that there is no such job once the store has confirmed, after the
   // call, that this node still leads.
-  void DenyOnceConfirmed(const ClientCall& call,
-                         std::function<void(ClientReply)> reply);
+  void ReplyNoSuchJobOnceConfirmed(const ClientCall& call,
+                                   std::function<void(ClientReply)> reply);
   // What is said of a job some record of which cannot be read: neither that
   // there is none, nor how far it is.
-  ClientReply AnswerOfUnreadable(const ClientCall& call) const;
+  ClientReply UnreadableJobReply(const ClientCall& call) const;
 
   boost::asio::io_context& loop_;
   const NodePorts ports_;
@@ -182,42 +184,43 @@
   Phase phase_ = Phase::kFencing;
   JobRecords records_;
   std::set<JobId> unreadable_jobs_;
-  absl::Time load_begun_ = absl::InfinitePast();
+  absl::Time load_started_ = absl::InfinitePast();
   int64_t pages_loaded_ = 0;
   int64_t records_loaded_ = 0;
   int64_t load_retries_ = 0;
   std::vector<KnownWorker> known_workers_;
   int64_t unreadable_workers_ = 0;  // Of those.
   WorkerList worker_list_;
-  LineLimit entry_lines_;
-  int stuck_pages_ = 0;        // Of workers, in a row, that did not lead on.
-  int64_t workers_next_ = -1;  // Offset to read on from; -1: list them anew.
+  LogRateLimiter entry_log_limit_;
+  int stuck_pages_ = 0;  // Of workers, in a row, that did not lead on.
+  int64_t next_worker_offset_ =
+      -1;  // Offset to read on from; -1: list them anew.
   absl::Time next_worker_poll_ = absl::InfinitePast();
   bool polling_workers_ = false;
 
-  std::unique_ptr<Flight> flight_;
-  int64_t flights_ = 0;  // Appends begun; the number of the last one.
+  std::unique_ptr<InFlightAppend> in_flight_append_;
+  int64_t appends_started_ = 0;  // Appends begun; the number of the last one.
   int64_t next_sequence_ = 1;
-  bool confirm_wanted_ = false;  // A caller waits for the next append.
+  bool confirmation_requested_ = false;  // A caller waits for the next append.
   absl::Time last_flush_ = absl::InfinitePast();
   absl::Time last_append_sent_ = absl::InfinitePast();  // Of a successful one.
   absl::Duration append_latency_ = absl::Milliseconds(10);  // Smoothed.
   absl::Time failing_since_ = absl::InfiniteFuture();
   int64_t stream_end_ = -1;  // After the last append that was done.
-  int64_t store_returns_ = 0;
+  int64_t store_recoveries_ = 0;
   std::multimap<int64_t, Waiter> waiters_;  // By batch.
-  std::deque<EarlyCall> early_calls_;       // In the order of their arrival.
+  std::deque<QueuedCall> queued_calls_;     // In the order of their arrival.
 
   EventTimer tick_timer_;
-  EventTimer pump_timer_;
-  bool pump_armed_ = false;
+  EventTimer cycle_timer_;
+  bool cycle_scheduled_ = false;
   absl::Time last_tick_ = absl::InfinitePast();
   absl::Time last_order_ = absl::InfinitePast();
-  absl::Time next_figures_ = absl::InfinitePast();
-  bool stood_still_ = false;
-  absl::Time stood_still_until_ = absl::InfinitePast();  // The last time.
-  absl::Duration longest_lag_;  // Since the last figures.
-  absl::Duration decided_for_;  // What the scheduler took of this term.
+  absl::Time next_metrics_at_ = absl::InfinitePast();
+  bool stalled_ = false;
+  absl::Time last_stall_end_ = absl::InfinitePast();  // The last time.
+  absl::Duration longest_lag_;                        // Since the last figures.
+  absl::Duration total_decision_time_;  // What the scheduler took of this term.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/leader_session_appends.cc
+++ b/keelbridge/daemon/leader_session_appends.cc
@@ -12,98 +12,106 @@
 namespace {
 
 // Least time between two appends, so that many changes share one.
-constexpr absl::Duration kFlushEvery = absl::Milliseconds(15);
+constexpr absl::Duration kMinFlushInterval = absl::Milliseconds(15);
 // With nothing to write, an empty append shows that this leader still leads.
-constexpr absl::Duration kRenewEvery = absl::Milliseconds(1500);
+constexpr absl::Duration kRenewInterval = absl::Milliseconds(1500);
 // The same while a caller waits to be told that there is no such job: each
 // append is priced, and such callers can wait a little.
-constexpr absl::Duration kConfirmEvery = absl::Milliseconds(100);
+constexpr absl::Duration kConfirmInterval = absl::Milliseconds(100);
 // An answer that takes this many times as long as answers lately did is taken
 // for lost; each further try of the same append waits twice as long for its
 // own. A try that lands twice changes nothing.
-constexpr double kLateAnswerFactor = 8;
-constexpr absl::Duration kShortestAppendTimeout = absl::Milliseconds(120);
+constexpr double kAppendTimeoutFactor = 8;
+constexpr absl::Duration kMinAppendTimeout = absl::Milliseconds(120);
 constexpr double kLatencyWeight = 0.2;  // Of a new answer.
 // The same append goes out again, beside tries without an answer, after the
 // first pause once and then after each further one: it counts once, and the
 // store's return is used within one pause. The pauses of a slow store are
 // longer: so many times as long as its answers take.
-constexpr absl::Duration kFirstAgainPause = absl::Milliseconds(60);
-constexpr absl::Duration kAgainPause = absl::Milliseconds(150);
-constexpr double kAgainFactor = 2;
-constexpr int kMostOpenTries = 5;
+constexpr absl::Duration kMinFirstResendDelay = absl::Milliseconds(60);
+constexpr absl::Duration kMinResendDelay = absl::Milliseconds(150);
+constexpr double kResendDelayFactor = 2;
+constexpr int kMaxOpenTries = 5;
 
 }  // namespace
 
 void LeaderSession::MaybeFlush() {
-  if (flight_) return;
+  if (in_flight_append_) return;
   const absl::Time now = SystemNow().mono;
-  const absl::Duration pause = confirm_wanted_ ? kConfirmEvery : kRenewEvery;
-  const bool renew = now - last_flush_ > pause;
-  if (!renew && !(scheduler_.HasBatch() && now - last_flush_ >= kFlushEvery)) {
-    if (scheduler_.HasBatch() && !pump_armed_) PumpSoon();
+  const absl::Duration delay =
+      confirmation_requested_ ? kConfirmInterval : kRenewInterval;
+  const bool renew = now - last_flush_ > delay;
+  if (!renew &&
+      !(scheduler_.HasBatch() && now - last_flush_ >= kMinFlushInterval)) {
+    if (scheduler_.HasBatch() && !cycle_scheduled_) ScheduleCycle();
     return;
   }
-  flight_ = std::make_unique<Flight>();
-  flight_->batch = scheduler_.TakeBatch();
-  confirm_wanted_ = false;
+  in_flight_append_ = std::make_unique<InFlightAppend>();
+  in_flight_append_->batch = scheduler_.TakeBatch();
+  confirmation_requested_ = false;
   last_flush_ = now;
   BeginAppend();
 }
 
 void LeaderSession::BeginAppend() {
-  ++flights_;
-  flight_->tries = 0;
-  flight_->open = 0;
-  flight_->count = CountForAppend(flight_->batch.records, flight_->begin,
-                                  options_.most_append_bytes);
+  ++appends_started_;
+  in_flight_append_->tries = 0;
+  in_flight_append_->open_tries = 0;
+  in_flight_append_->count =
+      CountForAppend(in_flight_append_->batch.records, in_flight_append_->begin,
+                     options_.max_append_bytes);
   // An append without records only shows the epoch: it takes no number.
-  flight_->sequence = next_sequence_;
-  if (flight_->count > 0) ++next_sequence_;
-  SendFlight();
+  in_flight_append_->sequence = next_sequence_;
+  if (in_flight_append_->count > 0) ++next_sequence_;
+  SendAppend();
 }
 
 absl::Duration LeaderSession::AppendTimeout(int tries) const {
   const absl::Duration first =
-      std::max(append_latency_ * kLateAnswerFactor, kShortestAppendTimeout);
-  const double longer = static_cast<double>(1 << std::min(tries - 1, 4));
-  return std::min(first * longer, kAppendTimeout);
+      std::max(append_latency_ * kAppendTimeoutFactor, kMinAppendTimeout);
+  const double backoff = static_cast<double>(1 << std::min(tries - 1, 4));
+  return std::min(first * backoff, kAppendTimeout);
 }
 
-void LeaderSession::SendFlight() {
-  ++flight_->tries;
-  ++flight_->open;
-  SendFlightAgainLater();  // Before the answer may come.
+void LeaderSession::SendAppend() {
+  ++in_flight_append_->tries;
+  ++in_flight_append_->open_tries;
+  ScheduleResend();  // Before the answer may come.
   AppendOrder order;
   order.stream = Stream::kJobs;
-  const auto first =
-      flight_->batch.records.begin() + static_cast<ptrdiff_t>(flight_->begin);
-  order.records.assign(first, first + static_cast<ptrdiff_t>(flight_->count));
-  order.writer = WriterEpoch{kLeaderWriter, epoch_, flight_->sequence};
+  const auto first = in_flight_append_->batch.records.begin() +
+                     static_cast<ptrdiff_t>(in_flight_append_->begin);
+  order.records.assign(
+      first, first + static_cast<ptrdiff_t>(in_flight_append_->count));
+  order.writer =
+      WriterEpoch{kLeaderWriter, epoch_, in_flight_append_->sequence};
   const absl::Time sent = SystemNow().mono;
-  ports_.store->Append(order, AppendTimeout(flight_->tries),
-                       [self = shared_from_this(), flight = flights_,
-                        sent](const AppendReply& reply) {
-                         if (!self->ended())
-                           self->OnAppended(reply, flight, sent);
-                       });
+  ports_.store->Append(
+      order, AppendTimeout(in_flight_append_->tries),
+      [self = shared_from_this(), append_number = appends_started_,
+       sent](const AppendReply& reply) {
+        if (!self->ended()) self->OnAppended(reply, append_number, sent);
+      });
 }
 
-void LeaderSession::SendFlightAgainLater() {
-  const bool first = flight_->tries == 1;
-  const absl::Duration pause =
-      first ? std::clamp(append_latency_ * kLateAnswerFactor, kFirstAgainPause,
-                         kShortestAppendTimeout)
-            : std::max(append_latency_ * kAgainFactor, kAgainPause);
-  After(pause, [self = shared_from_this(), flight = flights_] {
-    if (!self->flight_ || self->flights_ != flight) return;
-    if (self->flight_->open < kMostOpenTries) return self->SendFlight();
-    self->SendFlightAgainLater();
-  });
+void LeaderSession::ScheduleResend() {
+  const bool first = in_flight_append_->tries == 1;
+  const absl::Duration delay =
+      first ? std::clamp(append_latency_ * kAppendTimeoutFactor,
+                         kMinFirstResendDelay, kMinAppendTimeout)
+            : std::max(append_latency_ * kResendDelayFactor, kMinResendDelay);
+  RunAfterUnlessEnded(
+      delay, [self = shared_from_this(), append_number = appends_started_] {
+        if (!self->in_flight_append_ || self->appends_started_ != append_number)
+          return;
+        if (self->in_flight_append_->open_tries < kMaxOpenTries)
+          return self->SendAppend();
+        self->ScheduleResend();
+      });
 }
 
 void LeaderSession::OnAppendFailed(const AppendReply& reply, absl::Time sent) {
-  --flight_->open;
+  --in_flight_append_->open_tries;
   if (failing_since_ == absl::InfiniteFuture()) {
     failing_since_ = sent;
     LogEvent(
@@ -114,17 +122,17 @@
   LogEvent(Severity::kInfo, "append_not_done",
            {{"result", StoreResultName(reply.result)},
             {"detail", reply.message},
-            {"tries", absl::StrCat(flight_->tries)},
+            {"tries", absl::StrCat(in_flight_append_->tries)},
             {"took_ms", absl::StrCat(absl::ToInt64Milliseconds(took))}});
 }
 
-void LeaderSession::OnAppended(const AppendReply& reply, int64_t flight,
+void LeaderSession::OnAppended(const AppendReply& reply, int64_t append_number,
                                absl::Time sent) {
   metrics_.Count("appends_total", {{"result", StoreResultName(reply.result)}});
   const Now now = SystemNow();
   if (reply.result == StoreResult::kFenced) return End("the store fenced it");
   // Another try of the same append was answered before.
-  if (!flight_ || flights_ != flight) return;
+  if (!in_flight_append_ || appends_started_ != append_number) return;
   if (reply.result == StoreResult::kSequence)
     return End("the store expects another number");
   if (reply.result != StoreResult::kDone) return OnAppendFailed(reply, sent);
@@ -134,30 +142,31 @@
         {{"after_ms",
           absl::StrCat(absl::ToInt64Milliseconds(now.mono - failing_since_))}});
     failing_since_ = absl::InfiniteFuture();
-    ++store_returns_;
+    ++store_recoveries_;
   }
-  if (!EndsAsExpected(reply))
+  if (!VerifyStreamEnd(reply))
     return End("the store does not hold what this leader appended");
   append_latency_ += kLatencyWeight * (now.mono - sent - append_latency_);
   last_append_sent_ = sent;
-  if (sent >= stood_still_until_) stood_still_ = false;
+  if (sent >= last_stall_end_) stalled_ = false;
   metrics_.Observe("append_seconds", {},
                    absl::ToDoubleSeconds(now.mono - sent));
-  flight_->begin += flight_->count;
-  if (flight_->begin < flight_->batch.records.size()) return BeginAppend();
-  const int64_t number = flight_->batch.number;
-  flight_.reset();
+  in_flight_append_->begin += in_flight_append_->count;
+  if (in_flight_append_->begin < in_flight_append_->batch.records.size())
+    return BeginAppend();
+  const int64_t number = in_flight_append_->batch.number;
+  in_flight_append_.reset();
   scheduler_.OnDurable(number);
   while (!waiters_.empty() && waiters_.begin()->first <= number) {
     const Waiter waiter = waiters_.begin()->second;
     waiters_.erase(waiters_.begin());
     waiter.reply(waiter.answer);
   }
-  PumpSoon();
+  ScheduleCycle();
 }
 
-bool LeaderSession::EndsAsExpected(const AppendReply& reply) {
-  const auto added = static_cast<int64_t>(flight_->count);
+bool LeaderSession::VerifyStreamEnd(const AppendReply& reply) {
+  const auto added = static_cast<int64_t>(in_flight_append_->count);
   // Nobody else writes here after this leader's fence.
   const int64_t expected = stream_end_ + added;
   if (reply.end == expected) {
@@ -166,9 +175,9 @@
   }
   LogEvent(Severity::kError, "append_end_unexpected",
            {{"epoch", absl::StrCat(epoch_)},
-            {"sequence", absl::StrCat(flight_->sequence)},
+            {"sequence", absl::StrCat(in_flight_append_->sequence)},
             {"records", absl::StrCat(added)},
-            {"tries", absl::StrCat(flight_->tries)},
+            {"tries", absl::StrCat(in_flight_append_->tries)},
             {"end_before", absl::StrCat(stream_end_)},
             {"end", absl::StrCat(reply.end)}});
   return false;
--- a/keelbridge/daemon/leader_session_entries_test.cc
+++ b/keelbridge/daemon/leader_session_entries_test.cc
@@ -25,7 +25,7 @@
 
 using testing::MemoryStore;
 using testing::MemoryStoreConnection;
-using testing::WorkerEntry;
+using testing::ValidWorkerEntry;
 
 constexpr char kService[] = "desk";
 constexpr char kQueue[] = "r-restore";
@@ -33,24 +33,24 @@
 constexpr absl::Duration kSettle = absl::Milliseconds(900);
 
 // Workers that run what they are told for good, and who was asked anything.
-class AskedWorkers : public WorkerOrders {
+class RecordingWorkers : public WorkerOrders {
  public:
-  explicit AskedWorkers(boost::asio::io_context& loop) : loop_(loop) {}
+  explicit RecordingWorkers(boost::asio::io_context& loop) : loop_(loop) {}
 
   void Start(const WorkerRecord& worker, const StartOrder& order,
              std::function<void(OrderReply)> done) override {
-    asked.insert(worker.id);
+    contacted.insert(worker.id);
     running[worker.id].push_back({order.task, order.run, "", 0});
     boost::asio::post(loop_, [done = std::move(done)] { done(Done()); });
   }
   void Stop(const WorkerRecord& worker, const StopOrder&,
             std::function<void(OrderReply)> done) override {
-    asked.insert(worker.id);
+    contacted.insert(worker.id);
     boost::asio::post(loop_, [done = std::move(done)] { done(Done()); });
   }
   void Observe(const WorkerRecord& worker, const ObserveOrder&,
                std::function<void(ObserveReply)> done) override {
-    asked.insert(worker.id);
+    contacted.insert(worker.id);
     ObserveReply reply;
     reply.order = Done();
     reply.running = running[worker.id];
@@ -59,7 +59,7 @@
   }
   void Forget(const std::string&) override {}
 
-  std::set<std::string> asked;
+  std::set<std::string> contacted;
   std::map<std::string, std::vector<RunningTask>> running;  // By worker.
 
  private:
@@ -73,59 +73,60 @@
   boost::asio::io_context& loop_;
 };
 
-std::shared_ptr<const SiteConfiguration> Naming(const std::string& service,
-                                                int64_t version = 1) {
+std::shared_ptr<const SiteConfiguration> ConfigurationWithService(
+    const std::string& service, int64_t version = 1) {
   auto configuration = std::make_shared<SiteConfiguration>();
   configuration->version = version;
   configuration->pools.push_back({service, false, false});
   Queue queue;
   queue.name = kQueue;
   queue.pool = service;
-  queue.most_attempts = 3;
+  queue.max_attempts = 3;
   configuration->queues.push_back(queue);
   return configuration;
 }
 
 // Drops the history of the list of workers when told to: a reader hears that
 // what it asks for is gone.
-class DropsHistory : public MemoryStoreConnection {
+class LosesHistory : public MemoryStoreConnection {
  public:
   using MemoryStoreConnection::MemoryStoreConnection;
-  void Read(Stream stream, int64_t from, absl::Duration wait, Patience patience,
+  void Read(Stream stream, int64_t from, absl::Duration wait,
+            ReadTimeout patience,
             std::function<void(ReadReply)> done) override {
-    if (stream != Stream::kWorkers || !std::exchange(dropped, false))
+    if (stream != Stream::kWorkers || !std::exchange(history_lost, false))
       return MemoryStoreConnection::Read(stream, from, wait, patience,
                                          std::move(done));
     ReadReply reply;
     reply.result = StoreResult::kGone;
     done(std::move(reply));
   }
-  bool dropped = false;
+  bool history_lost = false;
 };
 
 // A store with workers, and one leader after the other.
-class Cell {
+class TestCluster {
  public:
-  Cell() : store(loop), workers(loop) {}
-  ~Cell() { EndTerm(); }
-  Cell(const Cell&) = delete;
-  Cell& operator=(const Cell&) = delete;
+  TestCluster() : store(loop), workers(loop) {}
+  ~TestCluster() { EndTerm(); }
+  TestCluster(const TestCluster&) = delete;
+  TestCluster& operator=(const TestCluster&) = delete;
 
-  void Write(const std::string& id, const std::string& document) {
+  void WriteEntry(const std::string& id, const std::string& document) {
     AppendOrder order;
     order.stream = Stream::kWorkers;
     order.records = {{id, document}};
     store.Append(order);
   }
-  void Drop(const std::string& id) {
+  void RemoveEntry(const std::string& id) {
     AppendOrder order;
     order.stream = Stream::kWorkers;
     order.records = {{id, std::nullopt}};
     store.Append(order);
   }
-  void WriteForeign() {
+  void WriteForeignEntries() {
     for (const auto& entry : testing::ForeignEntries(kService, kAddress))
-      Write(entry.id, entry.document);
+      WriteEntry(entry.id, entry.document);
   }
   void BeginTerm(std::shared_ptr<const SiteConfiguration> configuration) {
     EndTerm();
@@ -136,7 +137,7 @@
     LeaderSession::Options options;
     options.on_ended = [](const std::string&) {};
     options.scheduler.lease = absl::Milliseconds(500);
-    options.scheduler.earlier_leader_bound = absl::Milliseconds(2600);
+    options.scheduler.earlier_leader_grace = absl::Milliseconds(2600);
     session = std::make_shared<LeaderSession>(loop, ports, std::move(options),
                                               ++epoch_, metrics);
     session->SetConfiguration(std::move(configuration));
@@ -162,14 +163,14 @@
     loop.restart();
     loop.run_for(absl::ToChronoNanoseconds(time));
   }
-  size_t RunsOn(const std::string& worker) {
+  size_t RunCount(const std::string& worker) {
     return workers.running[worker].size();
   }
 
   boost::asio::io_context loop;
   MemoryStore store;
-  AskedWorkers workers;
-  DropsHistory connection{store};
+  RecordingWorkers workers;
+  LosesHistory connection{store};
   Metrics metrics{"test"};
   std::shared_ptr<LeaderSession> session;
 
@@ -181,108 +182,108 @@
 const std::set<std::string> kOnlyGood = {"i-good"};
 
 TEST_CASE("foreign entries: no leader asks or uses one, the others hold") {
-  Cell cell;
-  cell.WriteForeign();
-  cell.Write("i-good", WorkerEntry(kService, kAddress));
-  cell.BeginTerm(Naming(kService));
-  cell.Submit(1);
-  cell.Run();
-  CHECK(cell.workers.asked == kOnlyGood);
-  CHECK(cell.RunsOn("i-good") == 1);
+  TestCluster cluster;
+  cluster.WriteForeignEntries();
+  cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
+  cluster.BeginTerm(ConfigurationWithService(kService));
+  cluster.Submit(1);
+  cluster.Run();
+  CHECK(cluster.workers.contacted == kOnlyGood);
+  CHECK(cluster.RunCount("i-good") == 1);
   // The same while it leads.
-  cell.WriteForeign();
-  cell.Run();
-  cell.Submit(2);
-  cell.Run();
-  CHECK(cell.workers.asked == kOnlyGood);
-  CHECK(cell.RunsOn("i-good") == 2);
-  CHECK(absl::StrContains(cell.metrics.Text(), "workers 1\n"));
+  cluster.WriteForeignEntries();
+  cluster.Run();
+  cluster.Submit(2);
+  cluster.Run();
+  CHECK(cluster.workers.contacted == kOnlyGood);
+  CHECK(cluster.RunCount("i-good") == 2);
+  CHECK(absl::StrContains(cluster.metrics.Text(), "workers 1\n"));
 }
 
 TEST_CASE(
     "foreign entries: a worker whose entry turns bad keeps what it runs, and "
     "every leader judges it alike") {
   for (const std::string& bad : {std::string("no record"), std::string("{}"),
-                                 WorkerEntry("unheard-of", kAddress)}) {
+                                 ValidWorkerEntry("unheard-of", kAddress)}) {
     CAPTURE(bad);
-    Cell cell;
-    cell.Write("i-good", WorkerEntry(kService, kAddress));
-    cell.BeginTerm(Naming(kService));
-    cell.Submit(1);
-    cell.Run();
-    REQUIRE(cell.RunsOn("i-good") == 1);
-    cell.Write("i-good", bad);
-    cell.Run();
-    cell.workers.asked.clear();
-    cell.Submit(2);
-    cell.Run();
+    TestCluster cluster;
+    cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
+    cluster.BeginTerm(ConfigurationWithService(kService));
+    cluster.Submit(1);
+    cluster.Run();
+    REQUIRE(cluster.RunCount("i-good") == 1);
+    cluster.WriteEntry("i-good", bad);
+    cluster.Run();
+    cluster.workers.contacted.clear();
+    cluster.Submit(2);
+    cluster.Run();
     // It is asked for what it runs, and gets nothing more.
-    CHECK(cell.workers.asked == kOnlyGood);
-    CHECK(cell.RunsOn("i-good") == 1);
-    cell.workers.asked.clear();
-    cell.BeginTerm(Naming(kService));
-    cell.Run();
-    CHECK(cell.workers.asked == kOnlyGood);
-    CHECK(cell.RunsOn("i-good") == 1);
+    CHECK(cluster.workers.contacted == kOnlyGood);
+    CHECK(cluster.RunCount("i-good") == 1);
+    cluster.workers.contacted.clear();
+    cluster.BeginTerm(ConfigurationWithService(kService));
+    cluster.Run();
+    CHECK(cluster.workers.contacted == kOnlyGood);
+    CHECK(cluster.RunCount("i-good") == 1);
     // Once it is good again the waiting job begins there.
-    cell.Write("i-good", WorkerEntry(kService, kAddress));
-    cell.Run();
-    CHECK(cell.RunsOn("i-good") == 2);
+    cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
+    cluster.Run();
+    CHECK(cluster.RunCount("i-good") == 2);
   }
 }
 
 TEST_CASE(
     "foreign entries: a worker of a service that is named later is used "
     "without another entry") {
-  Cell cell;
-  cell.Write("i-good", WorkerEntry(kService, kAddress));
-  cell.BeginTerm(Naming("other"));
-  cell.Run();
-  CHECK(cell.workers.asked.empty());
-  cell.session->SetConfiguration(Naming(kService, 2));
-  cell.Submit(1);
-  cell.Run();
-  CHECK(cell.workers.asked == kOnlyGood);
-  CHECK(cell.RunsOn("i-good") == 1);
+  TestCluster cluster;
+  cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
+  cluster.BeginTerm(ConfigurationWithService("other"));
+  cluster.Run();
+  CHECK(cluster.workers.contacted.empty());
+  cluster.session->SetConfiguration(ConfigurationWithService(kService, 2));
+  cluster.Submit(1);
+  cluster.Run();
+  CHECK(cluster.workers.contacted == kOnlyGood);
+  CHECK(cluster.RunCount("i-good") == 1);
   // Once no configuration names it, it keeps its work and gets no more.
-  cell.session->SetConfiguration(Naming("other", 3));
-  cell.Run();
-  CHECK(cell.RunsOn("i-good") == 1);
-  cell.workers.asked.clear();
-  cell.Run();
-  CHECK(cell.workers.asked == kOnlyGood);
+  cluster.session->SetConfiguration(ConfigurationWithService("other", 3));
+  cluster.Run();
+  CHECK(cluster.RunCount("i-good") == 1);
+  cluster.workers.contacted.clear();
+  cluster.Run();
+  CHECK(cluster.workers.contacted == kOnlyGood);
 }
 
 // The list is read anew then; what it does not show any more is gone, as it is
 // for a leader that begins now.
 TEST_CASE(
     "foreign entries: a worker whose entry went with the history is not used") {
-  Cell cell;
-  cell.Write("i-good", WorkerEntry(kService, kAddress));
-  cell.Write("i-other", WorkerEntry(kService, kAddress));
-  cell.BeginTerm(Naming(kService));
+  TestCluster cluster;
+  cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
+  cluster.WriteEntry("i-other", ValidWorkerEntry(kService, kAddress));
+  cluster.BeginTerm(ConfigurationWithService(kService));
   // In one turn: no read comes between.
-  cell.Drop("i-good");
-  cell.connection.dropped = true;
-  cell.Run();
-  REQUIRE_FALSE(cell.connection.dropped);
-  for (JobId job = 1; job <= 6; ++job) cell.Submit(job);
-  cell.Run();
-  CHECK(cell.RunsOn("i-good") == 0);
-  CHECK(cell.RunsOn("i-other") == 6);
+  cluster.RemoveEntry("i-good");
+  cluster.connection.history_lost = true;
+  cluster.Run();
+  REQUIRE_FALSE(cluster.connection.history_lost);
+  for (JobId job = 1; job <= 6; ++job) cluster.Submit(job);
+  cluster.Run();
+  CHECK(cluster.RunCount("i-good") == 0);
+  CHECK(cluster.RunCount("i-other") == 6);
 }
 
 // A known worker whose record cannot be read may still run something.
 TEST_CASE(
     "foreign entries: a record of an earlier leader that cannot be read ends "
     "no load, and its worker is waited for") {
-  Cell cell;
-  cell.Write("i-good", WorkerEntry(kService, kAddress));
-  cell.BeginTerm(Naming(kService));
-  cell.Submit(1);
-  cell.Run();
-  REQUIRE(cell.RunsOn("i-good") == 1);
-  cell.EndTerm();
+  TestCluster cluster;
+  cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
+  cluster.BeginTerm(ConfigurationWithService(kService));
+  cluster.Submit(1);
+  cluster.Run();
+  REQUIRE(cluster.RunCount("i-good") == 1);
+  cluster.EndTerm();
   for (const char* broken :
        {"no record", R"({"machine":["m"],"labels":{"a":[]}})",
         R"({"epoch":"x","cpu_milli":"y"})"}) {
@@ -291,11 +292,11 @@
     order.stream = Stream::kJobs;
     order.records = {{KnownWorkerKey("i-good"), broken},
                      {KnownWorkerKey("i-lost"), broken}};
-    cell.store.Append(order);
-    cell.BeginTerm(Naming(kService));
+    cluster.store.Append(order);
+    cluster.BeginTerm(ConfigurationWithService(kService));
     // The run is found where it is, and is not begun again.
-    CHECK(cell.RunsOn("i-good") == 1);
-    cell.EndTerm();
+    CHECK(cluster.RunCount("i-good") == 1);
+    cluster.EndTerm();
   }
 }
 
--- a/keelbridge/daemon/leader_session_load_test.cc
+++ b/keelbridge/daemon/leader_session_load_test.cc
@@ -26,13 +26,13 @@
     reply.end = end_;
     boost::asio::post(loop_, [done = std::move(done), reply] { done(reply); });
   }
-  void Read(Stream, int64_t, absl::Duration, Patience,
+  void Read(Stream, int64_t, absl::Duration, ReadTimeout,
             std::function<void(ReadReply)> done) override {
     ReadReply reply;
     reply.result = StoreResult::kDone;
     boost::asio::post(loop_, [done = std::move(done), reply] { done(reply); });
   }
-  void Newest(Stream stream, const std::string&, Patience,
+  void Newest(Stream stream, const std::string&, ReadTimeout,
               std::function<void(NewestReply)> done) override {
     NewestReply reply;
     reply.result = StoreResult::kDone;
@@ -50,14 +50,14 @@
   int64_t end_ = 0;
 };
 
-Record Described(JobId id) {
+Record MakeJobRecord(JobId id) {
   JobSpec spec;
   spec.steps.resize(1);
   spec.steps[0].count = 1;
   return DescriptionRecord(Job(id, "queue", spec, 1));
 }
 
-NewestReply Page(std::vector<Record> records, bool more) {
+NewestReply MakePage(std::vector<Record> records, bool more) {
   NewestReply reply;
   reply.result = StoreResult::kDone;
   reply.records = std::move(records);
@@ -86,7 +86,7 @@
     REQUIRE(session->active());
   }
   // The answer to a look at `job`; nothing: none within a second.
-  std::optional<ClientAnswer> Look(JobId job) {
+  std::optional<ClientAnswer> QueryStatus(JobId job) {
     std::optional<ClientAnswer> answer;
     ClientCall call;
     call.kind = ClientCallKind::kStatus;
@@ -107,20 +107,21 @@
 
 TEST_CASE("leader session: jobs of all pages are known, others are denied") {
   Term term;
-  term.store.pages = {Page({Described(1)}, true), Page({Described(2)}, false)};
+  term.store.pages = {MakePage({MakeJobRecord(1)}, true),
+                      MakePage({MakeJobRecord(2)}, false)};
   term.Begin();
-  CHECK(term.Look(1) == ClientAnswer::kState);
-  CHECK(term.Look(2) == ClientAnswer::kState);
-  CHECK(term.Look(3) == ClientAnswer::kNoSuchJob);
+  CHECK(term.QueryStatus(1) == ClientAnswer::kState);
+  CHECK(term.QueryStatus(2) == ClientAnswer::kState);
+  CHECK(term.QueryStatus(3) == ClientAnswer::kNoSuchJob);
   term.session->End("the test ends");
 }
 
 TEST_CASE("leader session: a page without records is not the end of the jobs") {
   Term term;
-  term.store.pages = {Page({Described(1)}, true), Page({}, true),
-                      Page({Described(2)}, false)};
+  term.store.pages = {MakePage({MakeJobRecord(1)}, true), MakePage({}, true),
+                      MakePage({MakeJobRecord(2)}, false)};
   term.Begin();
-  CHECK(term.Look(2) == ClientAnswer::kState);
+  CHECK(term.QueryStatus(2) == ClientAnswer::kState);
   term.session->End("the test ends");
 }
 
--- a/keelbridge/daemon/leader_session_loading.cc
+++ b/keelbridge/daemon/leader_session_loading.cc
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr absl::Duration kReadTimeout = absl::Milliseconds(1500);
-constexpr absl::Duration kWorkerPollEvery = absl::Milliseconds(400);
+constexpr absl::Duration kWorkerPollInterval = absl::Milliseconds(400);
 // A page of workers that does not lead on is asked for again so often; then the
 // list ends there. A worker on a later page writes its entry again with its
 // next heartbeat, and is learnt from that.
-constexpr int kMostStuckPages = 10;
+constexpr int kMaxStuckPages = 10;
 // A read of what workers say is given up without a byte for this long, and goes
 // another way: a worker that says that it leaves is to get nothing 3 s later.
 // One read that hung for all of its time kept that back for 1.3 s (seen where
 // the leader's own way to the store was silent).
-constexpr absl::Duration kWorkerPollSilence = absl::Milliseconds(700);
+constexpr absl::Duration kWorkerPollIdleTimeout = absl::Milliseconds(700);
 
 }  // namespace
 
@@ -38,14 +38,14 @@
         if (reply.result == StoreResult::kDone) {
           self->last_append_sent_ = sent;
           self->stream_end_ = reply.end;
-          self->load_begun_ = SystemNow().mono;
-          self->scheduler_.OnFenced(self->load_begun_);
-          self->phase_ = Phase::kLoading;
+          self->load_started_ = SystemNow().mono;
+          self->scheduler_.OnEarlierLeadersFenced(self->load_started_);
+          self->phase_ = Phase::kLoadingJobs;
           return self->LoadJobs("");
         }
         if (reply.result == StoreResult::kFenced)
           return self->End("fenced in the store at its beginning");
-        self->After(kRetryDelay, [self] { self->Fence(); });
+        self->RunAfterUnlessEnded(kRetryDelay, [self] { self->Fence(); });
       });
 }
 
@@ -61,36 +61,36 @@
                     {"after", after},
                     {"result", StoreResultName(reply.result)},
                     {"detail", reply.message}});
-          return self->After(kRetryDelay,
-                             [self, after] { self->LoadJobs(after); });
+          return self->RunAfterUnlessEnded(
+              kRetryDelay, [self, after] { self->LoadJobs(after); });
         }
         ++self->pages_loaded_;
         self->records_loaded_ += static_cast<int64_t>(reply.records.size());
-        for (const Record& record : reply.records) self->TakeJobRecord(record);
+        for (const Record& record : reply.records) self->AddJobRecord(record);
         for (const UnreadableItem& item : reply.unreadable) {
           LogEvent(Severity::kError, "job_record_unreadable",
                    {{"epoch", absl::StrCat(self->epoch_)},
                     {"key", item.key},
                     {"what", item.what}});
-          self->TakeJobRecord({item.key, "", -1});
+          self->AddJobRecord({item.key, "", -1});
         }
-        if (reply.more) return self->LoadJobsAfter(reply, after);
+        if (reply.more) return self->ContinueLoadingJobs(reply, after);
         self->OnJobsLoaded(reply.end);
       });
 }
 
-void LeaderSession::TakeJobRecord(const Record& record) {
-  const auto worker = KnownWorkerFrom(record);
+void LeaderSession::AddJobRecord(const Record& record) {
+  const auto worker = ParseKnownWorker(record);
   if (!worker) return records_.Add(record);
   known_workers_.push_back(*worker);
   if (!worker->unreadable) return;
   ++unreadable_workers_;
-  const auto left_out = entry_lines_.Take(SystemNow().mono);
-  if (!left_out) return;
+  const auto suppressed = entry_log_limit_.Take(SystemNow().mono);
+  if (!suppressed) return;
   LogEvent(Severity::kError, "known_worker_unreadable",
            {{"worker", worker->worker.id},
             {"epoch", absl::StrCat(epoch_)},
-            {"lines_left_out", absl::StrCat(*left_out)}});
+            {"lines_left_out", absl::StrCat(*suppressed)}});
 }
 
 void LeaderSession::OnJobsLoaded(int64_t stream_end) {
@@ -98,7 +98,7 @@
   const auto ended =
       std::count_if(jobs.begin(), jobs.end(),
                     [](const auto& entry) { return entry.second->Ended(); });
-  const absl::Duration took = SystemNow().mono - load_begun_;
+  const absl::Duration took = SystemNow().mono - load_started_;
   LogEvent(Severity::kInfo, "jobs_loaded",
            {{"epoch", absl::StrCat(epoch_)},
             {"jobs", absl::StrCat(jobs.size())},
@@ -117,13 +117,13 @@
   unreadable_jobs_ = records_.unreadable_jobs();
   records_ = JobRecords();
   scheduler_.Load(std::move(jobs), known_workers_, SystemNow());
-  phase_ = Phase::kLearningWorkers;
-  LearnWorkers("");
+  phase_ = Phase::kLoadingWorkers;
+  LoadWorkers("");
 }
 
-void LeaderSession::LoadJobsAfter(const NewestReply& page,
-                                  const std::string& after) {
-  const std::string next = page.NextAfter();
+void LeaderSession::ContinueLoadingJobs(const NewestReply& page,
+                                        const std::string& after) {
+  const std::string next = page.NextPageKey();
   if (!next.empty() && next != after) return LoadJobs(next);
   // More is to follow, and this page does not lead on.
   ++load_retries_;
@@ -131,59 +131,60 @@
            {{"epoch", absl::StrCat(epoch_)},
             {"after", after},
             {"retries", absl::StrCat(load_retries_)}});
-  After(kRetryDelay,
-        [self = shared_from_this(), after] { self->LoadJobs(after); });
+  RunAfterUnlessEnded(kRetryDelay, [self = shared_from_this(), after] {
+    self->LoadJobs(after);
+  });
 }
 
-void LeaderSession::LearnWorkers(const std::string& after) {
-  if (after.empty()) worker_list_.BeginListing();
+void LeaderSession::LoadWorkers(const std::string& after) {
+  if (after.empty()) worker_list_.BeginFullRead();
   polling_workers_ = true;
   ports_.store->Newest(
       Stream::kWorkers, after, kReadTimeout,
       [self = shared_from_this(), after](const NewestReply& reply) {
         if (self->ended()) return;
         if (reply.result != StoreResult::kDone)
-          return self->After(kRetryDelay,
-                             [self, after] { self->LearnWorkers(after); });
+          return self->RunAfterUnlessEnded(
+              kRetryDelay, [self, after] { self->LoadWorkers(after); });
         for (const Record& record : reply.records)
-          self->TakeWorkerRecord(record);
+          self->ApplyWorkerRecord(record);
         for (const UnreadableItem& item : reply.unreadable)
           self->worker_list_.OnEntry(item.key,
                                      MakeError(ErrorCode::kInvalid, item.what));
         self->ApplyWorkerList();
         // Reading goes on from where the first page was taken.
-        if (after.empty()) self->workers_next_ = reply.end;
-        if (reply.more) return self->LearnWorkersAfter(reply, after);
-        self->worker_list_.EndListing();
+        if (after.empty()) self->next_worker_offset_ = reply.end;
+        if (reply.more) return self->ContinueLoadingWorkers(reply, after);
+        self->worker_list_.EndFullRead();
         self->ApplyWorkerList();
-        self->OnWorkersListed();
+        self->OnWorkersLoaded();
       });
 }
 
-void LeaderSession::LearnWorkersAfter(const NewestReply& page,
-                                      const std::string& after) {
-  const std::string next = page.NextAfter();
+void LeaderSession::ContinueLoadingWorkers(const NewestReply& page,
+                                           const std::string& after) {
+  const std::string next = page.NextPageKey();
   if (!next.empty() && next != after) {
     stuck_pages_ = 0;
-    return LearnWorkers(next);
+    return LoadWorkers(next);
   }
   // A page without records is no end: it is asked for again.
-  if (++stuck_pages_ < kMostStuckPages)
-    return After(kRetryDelay, [self = shared_from_this(), after] {
-      self->LearnWorkers(after);
+  if (++stuck_pages_ < kMaxStuckPages)
+    return RunAfterUnlessEnded(kRetryDelay, [self = shared_from_this(), after] {
+      self->LoadWorkers(after);
     });
   LogEvent(Severity::kError, "workers_list_cut", {{"after", after}});
-  OnWorkersListed();
+  OnWorkersLoaded();
 }
 
-void LeaderSession::OnWorkersListed() {
+void LeaderSession::OnWorkersLoaded() {
   stuck_pages_ = 0;
   polling_workers_ = false;
-  next_worker_poll_ = SystemNow().mono + kWorkerPollEvery;
-  if (phase_ == Phase::kLearningWorkers) Activate();
+  next_worker_poll_ = SystemNow().mono + kWorkerPollInterval;
+  if (phase_ == Phase::kLoadingWorkers) Activate();
 }
 
-void LeaderSession::TakeWorkerRecord(const Record& record) {
+void LeaderSession::ApplyWorkerRecord(const Record& record) {
   if (!record.value) {
     worker_list_.OnEntryGone(record.key);
   } else {
@@ -203,33 +204,33 @@
   }
   for (const WorkerList::Unused& unused : worker_list_.TakeUnused()) {
     metrics_.Count("worker_entries_refused_total", {});
-    const auto left_out = entry_lines_.Take(now.mono);
-    if (!left_out) continue;
+    const auto suppressed = entry_log_limit_.Take(now.mono);
+    if (!suppressed) continue;
     LogEvent(Severity::kWarning, "worker_entry_unused",
              {{"worker", unused.id},
               {"what", unused.what},
-              {"lines_left_out", absl::StrCat(*left_out)}});
+              {"lines_left_out", absl::StrCat(*suppressed)}});
   }
 }
 
 void LeaderSession::PollWorkers() {
   if (polling_workers_ || SystemNow().mono < next_worker_poll_) return;
-  next_worker_poll_ = SystemNow().mono + kWorkerPollEvery;
+  next_worker_poll_ = SystemNow().mono + kWorkerPollInterval;
   polling_workers_ = true;
-  const int64_t from = workers_next_;
+  const int64_t from = next_worker_offset_;
   ports_.store->Read(Stream::kWorkers, from, absl::ZeroDuration(),
-                     Patience(kReadTimeout, kWorkerPollSilence),
+                     ReadTimeout(kReadTimeout, kWorkerPollIdleTimeout),
                      [self = shared_from_this(), from](const ReadReply& reply) {
                        if (self->ended()) return;
                        self->polling_workers_ = false;
                        if (reply.result == StoreResult::kGone)
-                         return self->LearnWorkers("");
+                         return self->LoadWorkers("");
                        if (reply.result != StoreResult::kDone) return;
                        for (const Record& record : reply.records)
-                         self->TakeWorkerRecord(record);
-                       self->workers_next_ =
+                         self->ApplyWorkerRecord(record);
+                       self->next_worker_offset_ =
                            from + static_cast<int64_t>(reply.records.size());
-                       if (!reply.records.empty()) self->PumpSoon();
+                       if (!reply.records.empty()) self->ScheduleCycle();
                      });
 }
 
--- a/keelbridge/daemon/leader_session_test.cc
+++ b/keelbridge/daemon/leader_session_test.cc
@@ -26,7 +26,7 @@
 constexpr JobId kJob = 0x5c0e7a21d94b36f8;
 constexpr char kQueue[] = "r-restore";
 
-WorkerRecord WorkerWithRoom(const std::string& id) {
+WorkerRecord WorkerWithCapacity(const std::string& id) {
   WorkerRecord record;
   record.id = id;
   record.machine = "machine-of-" + id;
@@ -36,39 +36,39 @@
 }
 
 // Workers that answer at once, or never.
-class FewWorkers : public WorkerOrders {
+class FakeWorkers : public WorkerOrders {
  public:
-  explicit FewWorkers(boost::asio::io_context& loop) : loop_(loop) {}
+  explicit FakeWorkers(boost::asio::io_context& loop) : loop_(loop) {}
 
   void Start(const WorkerRecord& worker, const StartOrder& order,
              std::function<void(OrderReply)> done) override {
     starts.push_back(order.task);
     running_[worker.id].push_back({order.task, order.run, "", 0});
-    Answer([done] { done(Done()); });
+    PostReply([done] { done(Done()); });
   }
   void Stop(const WorkerRecord&, const StopOrder&,
             std::function<void(OrderReply)> done) override {
-    Answer([done] { done(Done()); });
+    PostReply([done] { done(Done()); });
   }
   void Observe(const WorkerRecord& worker, const ObserveOrder& order,
                std::function<void(ObserveReply)> done) override {
-    looked_at.insert(worker.id);
+    observed.insert(worker.id);
     if (order.lease_until_ms > 0) ++leases;
-    if (silent.count(worker.id) > 0) return;
+    if (unresponsive.count(worker.id) > 0) return;
     ObserveReply reply;
     reply.order = Done();
     reply.running = running_[worker.id];
-    RunAfter(loop_, kLook, [reply, done] { done(reply); });
+    RunAfter(loop_, kObserveLatency, [reply, done] { done(reply); });
   }
   void Forget(const std::string&) override {}
 
-  std::set<std::string> silent;
+  std::set<std::string> unresponsive;
   std::vector<TaskId> starts;
-  std::set<std::string> looked_at;
+  std::set<std::string> observed;
   int leases = 0;  // Looks that extended one.
 
  private:
-  static constexpr absl::Duration kLook = absl::Milliseconds(20);
+  static constexpr absl::Duration kObserveLatency = absl::Milliseconds(20);
 
   static OrderReply Done() {
     OrderReply reply;
@@ -76,7 +76,7 @@
     reply.clock_ms = ToMillis(SystemNow().wall);
     return reply;
   }
-  void Answer(std::function<void()> answer) {
+  void PostReply(std::function<void()> answer) {
     boost::asio::post(loop_, std::move(answer));
   }
 
@@ -84,23 +84,24 @@
   std::map<std::string, std::vector<RunningTask>> running_;  // By worker.
 };
 
-std::shared_ptr<const SiteConfiguration> OneQueue() {
+std::shared_ptr<const SiteConfiguration> OneQueueConfiguration() {
   auto configuration = std::make_shared<SiteConfiguration>();
   configuration->version = 1;
   Queue queue;
   queue.name = kQueue;
   queue.pool = "pool";
-  queue.most_attempts = 2;
+  queue.max_attempts = 2;
   configuration->queues.push_back(queue);
   return configuration;
 }
 
-// Reads the record of any worker as one with room in the pool of `OneQueue`.
+// Reads the record of any worker as one with room in the pool of
+// `OneQueueConfiguration`.
 class AnyWorkerDialect : public platform::Dialect {
  public:
   Result<WorkerRecord> ParseWorkerRecord(const std::string& id,
                                          const std::string&) const override {
-    return WorkerWithRoom(id);
+    return WorkerWithCapacity(id);
   }
 };
 
@@ -133,7 +134,7 @@
   Leader& operator=(const Leader&) = delete;
 
   // The answers so far, in `answer`.
-  void Ask(ClientCallKind kind, std::optional<ClientAnswer>* answer) {
+  void Send(ClientCallKind kind, std::optional<ClientAnswer>* answer) {
     ClientCall call;
     call.kind = kind;
     call.queue = kQueue;
@@ -165,24 +166,24 @@
   Leader former(store, 1);
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(former.session().active());
-  former.connection().SetSilent(true);
+  former.connection().SetUnresponsive(true);
   Leader successor(store, 2);
   std::optional<ClientAnswer> accepted;
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(successor.session().active());
-  successor.Ask(ClientCallKind::kSubmit, &accepted);
+  successor.Send(ClientCallKind::kSubmit, &accepted);
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(accepted == ClientAnswer::kAccepted);
 
   std::optional<ClientAnswer> state;
   std::optional<ClientAnswer> cancelled;
-  former.Ask(ClientCallKind::kStatus, &state);
-  former.Ask(ClientCallKind::kCancel, &cancelled);
+  former.Send(ClientCallKind::kStatus, &state);
+  former.Send(ClientCallKind::kCancel, &cancelled);
   RunFor(store, absl::Milliseconds(300));
   CHECK(state != ClientAnswer::kNoSuchJob);
   CHECK(cancelled != ClientAnswer::kNoSuchJob);
   // It hears from the store that it was replaced: another leader is asked.
-  former.connection().SetSilent(false);
+  former.connection().SetUnresponsive(false);
   RunFor(store, absl::Seconds(3));
   CHECK(former.session().ended());
   CHECK(state == ClientAnswer::kUnknown);
@@ -196,15 +197,15 @@
   RunFor(store, absl::Milliseconds(100));
   std::optional<ClientAnswer> state;
   std::optional<ClientAnswer> cancelled;
-  leader.Ask(ClientCallKind::kStatus, &state);
-  leader.Ask(ClientCallKind::kCancel, &cancelled);
+  leader.Send(ClientCallKind::kStatus, &state);
+  leader.Send(ClientCallKind::kCancel, &cancelled);
   RunFor(store, absl::Milliseconds(200));
   CHECK(state == ClientAnswer::kNoSuchJob);
   CHECK(cancelled == ClientAnswer::kNoSuchJob);
 }
 
 // Says that records were appended, and adds none.
-class WithoutEffect : public MemoryStoreConnection {
+class DropsRecords : public MemoryStoreConnection {
  public:
   using MemoryStoreConnection::MemoryStoreConnection;
   void Append(const AppendOrder& order, absl::Duration timeout,
@@ -220,12 +221,12 @@
     "be accepted") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
-  WithoutEffect connection(store);
+  DropsRecords connection(store);
   Leader leader(store, 1, &connection);
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(leader.session().active());
   std::optional<ClientAnswer> accepted;
-  leader.Ask(ClientCallKind::kSubmit, &accepted);
+  leader.Send(ClientCallKind::kSubmit, &accepted);
   RunFor(store, absl::Milliseconds(300));
   CHECK(accepted != ClientAnswer::kAccepted);
 }
@@ -236,13 +237,14 @@
  public:
   explicit HangsWorkerReads(MemoryStore& store)
       : MemoryStoreConnection(store), store_(store) {}
-  void Read(Stream stream, int64_t from, absl::Duration wait, Patience patience,
+  void Read(Stream stream, int64_t from, absl::Duration wait,
+            ReadTimeout patience,
             std::function<void(ReadReply)> done) override {
     if (stream != Stream::kWorkers || to_hang == 0)
       return MemoryStoreConnection::Read(stream, from, wait, patience,
                                          std::move(done));
     --to_hang;
-    RunAfter(store_.loop(), std::min(patience.total, patience.silence),
+    RunAfter(store_.loop(), std::min(patience.total, patience.progress_timeout),
              [done] { done(ReadReply()); });
   }
   int to_hang = 0;
@@ -258,51 +260,51 @@
   boost::asio::io_context loop;
   MemoryStore store(loop);
   HangsWorkerReads connection(store);
-  FewWorkers workers(loop);
+  FakeWorkers workers(loop);
   Leader leader(store, 1, Leader::Parts{&connection, &workers, {}});
-  leader.session().SetConfiguration(OneQueue());
+  leader.session().SetConfiguration(OneQueueConfiguration());
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(leader.session().active());
   connection.to_hang = 2;
   RunFor(store, absl::Milliseconds(450));
   REQUIRE(connection.to_hang < 2);
-  AppendOrder said;
-  said.stream = Stream::kWorkers;
-  said.records.push_back({"w", "{}", 0});
-  store.Append(said);
+  AppendOrder entry;
+  entry.stream = Stream::kWorkers;
+  entry.records.push_back({"w", "{}", 0});
+  store.Append(entry);
   RunFor(store, absl::Milliseconds(2200));
-  CHECK(workers.looked_at.count("w") == 1);
+  CHECK(workers.observed.count("w") == 1);
 }
 
 // Answers appends late, as a store does on whose answers a proxy sits.
-class LateAnswers : public MemoryStoreConnection {
+class DelaysAppendReplies : public MemoryStoreConnection {
  public:
-  LateAnswers(MemoryStore& store, absl::Duration late)
+  DelaysAppendReplies(MemoryStore& store, absl::Duration late)
       : MemoryStoreConnection(store), store_(store), late_(late) {}
   void Append(const AppendOrder& order, absl::Duration timeout,
               std::function<void(AppendReply)> done) override {
     (void)timeout;
     const AppendReply reply = store_.Append(order);
-    ++open_;
+    ++unanswered_;
     RunAfter(store_.loop(), late_, [this, reply, done] {
-      --open_;
+      --unanswered_;
       done(reply);
     });
   }
   // Appends that are not answered yet.
-  int open() const { return open_; }
+  int unanswered() const { return unanswered_; }
 
  private:
   MemoryStore& store_;
   const absl::Duration late_;
-  int open_ = 0;
+  int unanswered_ = 0;
 };
 
 // Carries appends out and loses the answers to some, as a store does that has
 // trouble with its answers.
-class LosesAnswers : public MemoryStoreConnection {
+class LosesAppendReplies : public MemoryStoreConnection {
  public:
-  explicit LosesAnswers(MemoryStore& store)
+  explicit LosesAppendReplies(MemoryStore& store)
       : MemoryStoreConnection(store), store_(store) {}
   void Append(const AppendOrder& order, absl::Duration timeout,
               std::function<void(AppendReply)> done) override {
@@ -325,13 +327,13 @@
 TEST_CASE("leader session: an append goes out again before it is given up") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
-  LosesAnswers connection(store);
+  LosesAppendReplies connection(store);
   Leader leader(store, 1, &connection);
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(leader.session().active());
   connection.to_lose = 3;
   std::optional<ClientAnswer> accepted;
-  leader.Ask(ClientCallKind::kSubmit, &accepted);
+  leader.Send(ClientCallKind::kSubmit, &accepted);
   RunFor(store, absl::Milliseconds(600));
   CHECK(accepted == ClientAnswer::kAccepted);
   CHECK(connection.lost == 3);
@@ -347,12 +349,12 @@
   Leader leader(store, 1);
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(leader.session().active());
-  leader.connection().SetSilent(true);
+  leader.connection().SetUnresponsive(true);
   std::optional<ClientAnswer> waiting;
-  leader.Ask(ClientCallKind::kSubmit, &waiting);
+  leader.Send(ClientCallKind::kSubmit, &waiting);
   RunFor(store, absl::Seconds(2));
   CHECK(!leader.session().CanAccept());
-  leader.connection().SetSilent(false);
+  leader.connection().SetUnresponsive(false);
   RunFor(store, absl::Milliseconds(250));
   CHECK(leader.session().CanAccept());
   CHECK(waiting == ClientAnswer::kAccepted);
@@ -363,7 +365,7 @@
     "a denial") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
-  LateAnswers late(store, absl::Milliseconds(600));
+  DelaysAppendReplies late(store, absl::Milliseconds(600));
   Leader former(store, 1, &late);
   RunFor(store, absl::Milliseconds(700));
   REQUIRE(former.session().active());
@@ -372,11 +374,11 @@
   RunFor(store, absl::Milliseconds(50));
   REQUIRE(successor.session().active());
   std::optional<ClientAnswer> accepted;
-  successor.Ask(ClientCallKind::kSubmit, &accepted);
+  successor.Send(ClientCallKind::kSubmit, &accepted);
   RunFor(store, absl::Milliseconds(50));
   REQUIRE(accepted == ClientAnswer::kAccepted);
   std::optional<ClientAnswer> state;
-  former.Ask(ClientCallKind::kStatus, &state);
+  former.Send(ClientCallKind::kStatus, &state);
   RunFor(store, absl::Seconds(3));
   CHECK(former.session().ended());
   CHECK(state == ClientAnswer::kUnknown);
@@ -384,19 +386,19 @@
 
 // What a leader before this one kept: a job of one task, and a worker that it
 // may run on.
-void KeepJobAndWorker(MemoryStore& store, const std::string& worker) {
+void StoreJobAndWorker(MemoryStore& store, const std::string& worker) {
   JobSpec spec;
   spec.steps.emplace_back();
   spec.steps[0].need = {1000, 1024, 0};
   AppendOrder order;
   order.stream = Stream::kJobs;
   order.records = {DescriptionRecord(Job(kJob, kQueue, spec, 0)),
-                   KnownWorkerRecord({WorkerWithRoom(worker), 1})};
+                   KnownWorkerRecord({WorkerWithCapacity(worker), 1})};
   store.Append(order);
 }
 
 // The platform lists a worker.
-void List(MemoryStore& store, const std::string& worker) {
+void AddWorkerEntry(MemoryStore& store, const std::string& worker) {
   AppendOrder order;
   order.stream = Stream::kWorkers;
   order.records = {{worker, "any"}};
@@ -410,21 +412,21 @@
     "was fenced") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
-  KeepJobAndWorker(store, "gone");
-  List(store, "there");
-  FewWorkers workers(loop);
-  workers.silent = {"gone"};
+  StoreJobAndWorker(store, "gone");
+  AddWorkerEntry(store, "there");
+  FakeWorkers workers(loop);
+  workers.unresponsive = {"gone"};
   MemoryStoreConnection connection(store);
-  connection.SetSilent(true);
+  connection.SetUnresponsive(true);
   Leader::Parts parts;
   parts.store = &connection;
   parts.workers = &workers;
   parts.scheduler.lease = absl::Milliseconds(500);
-  parts.scheduler.earlier_leader_bound = absl::Milliseconds(2600);
+  parts.scheduler.earlier_leader_grace = absl::Milliseconds(2600);
   Leader leader(store, 2, parts);
-  leader.session().SetConfiguration(OneQueue());
+  leader.session().SetConfiguration(OneQueueConfiguration());
   RunFor(store, absl::Milliseconds(1500));
-  connection.SetSilent(false);
+  connection.SetUnresponsive(false);
   const absl::Time reachable = absl::Now();
   while (!leader.session().active() &&
          absl::Now() - reachable < absl::Seconds(2))
@@ -445,17 +447,17 @@
     "nothing") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
-  List(store, "there");
-  FewWorkers workers(loop);
-  LateAnswers late(store, absl::Milliseconds(400));
+  AddWorkerEntry(store, "there");
+  FakeWorkers workers(loop);
+  DelaysAppendReplies late(store, absl::Milliseconds(400));
   Leader::Parts parts;
   parts.store = &late;
   parts.workers = &workers;
   Leader former(store, 1, parts);
-  former.session().SetConfiguration(OneQueue());
+  former.session().SetConfiguration(OneQueueConfiguration());
   RunFor(store, absl::Milliseconds(600));
   REQUIRE(former.session().active());
-  while (late.open() == 0) RunFor(store, absl::Milliseconds(10));
+  while (late.unanswered() == 0) RunFor(store, absl::Milliseconds(10));
   // This process stands still while another leader fences; then its loop runs
   // again.
   absl::SleepFor(absl::Milliseconds(1800));
@@ -476,18 +478,18 @@
     "that the loop saw") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
-  List(store, "there");
-  FewWorkers workers(loop);
-  LateAnswers late(store, absl::Milliseconds(400));
+  AddWorkerEntry(store, "there");
+  FakeWorkers workers(loop);
+  DelaysAppendReplies late(store, absl::Milliseconds(400));
   Leader::Parts parts;
   parts.store = &late;
   parts.workers = &workers;
   Leader former(store, 1, parts);
-  former.session().SetConfiguration(OneQueue());
+  former.session().SetConfiguration(OneQueueConfiguration());
   RunFor(store, absl::Milliseconds(600));
   REQUIRE(former.session().active());
-  while (late.open() == 0) RunFor(store, absl::Milliseconds(10));
-  BootClock::SuspendForTest(absl::Seconds(8));
+  while (late.unanswered() == 0) RunFor(store, absl::Milliseconds(10));
+  BootClock::SimulateSuspensionForTest(absl::Seconds(8));
   AppendOrder fence;
   fence.stream = Stream::kJobs;
   fence.writer = WriterEpoch{"leader", 2, 0};
@@ -510,15 +512,15 @@
   REQUIRE(leader.session().active());
   std::optional<ClientAnswer> state;
   std::optional<ClientAnswer> cancelled;
-  std::optional<ClientAnswer> taken;
-  leader.Ask(ClientCallKind::kStatus, &state);
-  leader.Ask(ClientCallKind::kCancel, &cancelled);
-  leader.Ask(ClientCallKind::kSubmit, &taken);
+  std::optional<ClientAnswer> resubmitted;
+  leader.Send(ClientCallKind::kStatus, &state);
+  leader.Send(ClientCallKind::kCancel, &cancelled);
+  leader.Send(ClientCallKind::kSubmit, &resubmitted);
   RunFor(store, absl::Milliseconds(300));
-  CHECK(state == ClientAnswer::kNotTaken);
-  CHECK(cancelled == ClientAnswer::kNotTaken);
+  CHECK(state == ClientAnswer::kRejected);
+  CHECK(cancelled == ClientAnswer::kRejected);
   // It was accepted once, so that it may have run.
-  CHECK(taken == ClientAnswer::kUnknown);
+  CHECK(resubmitted == ClientAnswer::kUnknown);
 }
 
 TEST_CASE(
@@ -539,7 +541,7 @@
   REQUIRE(store.Append(late).result == StoreResult::kDone);
 
   std::optional<ClientAnswer> state;
-  successor.Ask(ClientCallKind::kStatus, &state);
+  successor.Send(ClientCallKind::kStatus, &state);
   RunFor(store, absl::Milliseconds(300));
   CHECK(state == ClientAnswer::kUnknown);
   CHECK(successor.session().ended());
@@ -547,7 +549,7 @@
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(next.session().active());
   std::optional<ClientAnswer> known;
-  next.Ask(ClientCallKind::kStatus, &known);
+  next.Send(ClientCallKind::kStatus, &known);
   RunFor(store, absl::Milliseconds(100));
   CHECK(known == ClientAnswer::kState);
 }
@@ -588,7 +590,7 @@
   RunFor(store, absl::Milliseconds(1800));
   REQUIRE(leader.session().active());
   std::optional<ClientAnswer> accepted;
-  leader.Ask(ClientCallKind::kSubmit, &accepted);
+  leader.Send(ClientCallKind::kSubmit, &accepted);
   RunFor(store, absl::Milliseconds(300));
   CHECK(accepted == ClientAnswer::kUnknown);
   CHECK(leader.session().ended());
--- a/keelbridge/daemon/node_settings.cc
+++ b/keelbridge/daemon/node_settings.cc
@@ -8,34 +8,35 @@
 namespace {
 
 // What a leader sends and receives for each processor that it uses, Mbit/s.
-constexpr double kLinkOfOneProcessor = 45;
+constexpr double kLinkMbpsPerProcessor = 45;
 
 void ReadAddress(JsonReader& reader, const std::string& key, bool required,
                  Address* out) {
   std::string text;
   if (required)
-    reader.Text(key, &text);
+    reader.String(key, &text);
   else
-    reader.OptionalText(key, &text);
+    reader.OptionalString(key, &text);
   if (text.empty()) return;
   auto address = ParseAddress(text);
-  if (!address) return reader.Fault(key, address.error().message);
+  if (!address) return reader.ReportFault(key, address.error().message);
   *out = address.value();
 }
 
 void ReadPolicy(JsonReader& reader, SchedulerPolicy* policy) {
   if (!reader.Has("switched_off")) return;
   std::vector<std::string> names;
-  reader.Texts("switched_off", &names);
+  reader.StringList("switched_off", &names);
   for (const std::string& name : names) {
     bool known = false;
-    for (const PolicySwitch& one : PolicySwitches()) {
-      if (name != one.name) continue;
-      policy->*one.on = false;
+    for (const PolicySwitch& policy_switch : PolicySwitches()) {
+      if (name != policy_switch.name) continue;
+      policy->*policy_switch.on = false;
       known = true;
     }
     if (!known)
-      reader.Fault("switched_off", "names no mechanism: \"" + name + "\"");
+      reader.ReportFault("switched_off",
+                         "names no mechanism: \"" + name + "\"");
   }
 }
 
@@ -47,7 +48,7 @@
 
 double NodeSettings::Capacity() const {
   return std::min(processor_share * processor_speed,
-                  link_mbps / kLinkOfOneProcessor);
+                  link_mbps / kLinkMbpsPerProcessor);
 }
 
 Result<NodeSettings> ParseNodeSettings(const std::string& text,
@@ -56,8 +57,8 @@
   if (!document.faults().empty()) return document.FaultError();
   NodeSettings out;
   JsonReader reader(document, document.root(), "");
-  reader.Text("name", &out.name);
-  reader.Text("zone", &out.zone);
+  reader.String("name", &out.name);
+  reader.String("zone", &out.zone);
   ReadAddress(reader, "client_listen", true, &out.client_listen);
   ReadAddress(reader, "ready_listen", true, &out.ready_listen);
   ReadAddress(reader, "peer_listen", true, &out.peer_listen);
@@ -65,15 +66,16 @@
   ReadAddress(reader, "metrics_listen", false, &out.metrics_listen);
   ReadAddress(reader, "store", true, &out.store);
   ReadAddress(reader, "advice", false, &out.advice);
-  reader.OptionalText("trace_file", &out.trace_file);
+  reader.OptionalString("trace_file", &out.trace_file);
   if (out.trace_file == "-")
-    reader.Fault("trace_file", "must be a file: standard output is for logs");
-  if (reader.Has("seeds")) reader.Texts("seeds", &out.seeds);
+    reader.ReportFault("trace_file",
+                       "must be a file: standard output is for logs");
+  if (reader.Has("seeds")) reader.StringList("seeds", &out.seeds);
   std::string level = "info";
   if (reader.Has("log_level"))
-    reader.Choice("log_level", {"debug", "info", "warning", "error"}, &level);
+    reader.OneOf("log_level", {"debug", "info", "warning", "error"}, &level);
   out.log_level = SeverityFromName(level);
-  reader.OptionalInteger("most_connections", 4, 65536, &out.most_connections);
+  reader.OptionalInteger("most_connections", 4, 65536, &out.max_connections);
   reader.OptionalInteger("store_append_bytes", 1024, 1 << 30,
                          &out.store_append_bytes);
   reader.OptionalNumber("processor_share", 0.001, 1024, &out.processor_share);
--- a/keelbridge/daemon/node_settings.h
+++ b/keelbridge/daemon/node_settings.h
@@ -33,7 +33,7 @@
   Address advice;                        // Port 0: there is none.
   std::string trace_file;                // Spans as OTLP/JSON lines; "": none.
   Severity log_level = Severity::kInfo;
-  int64_t most_connections = 1500;  // Of clients.
+  int64_t max_connections = 1500;  // Of clients.
   // What this machine gives the node: a share of a processor, how fast that
   // processor is (1: as the measurements were made on), and its network link.
   double processor_share = 1;
--- a/keelbridge/daemon/order_messages.cc
+++ b/keelbridge/daemon/order_messages.cc
@@ -13,7 +13,7 @@
 constexpr Json::ArrayIndex kOrderReplyFields = 4;
 constexpr Json::ArrayIndex kObserveReplyFields = 7;
 // Behind the others, where another life answered.
-constexpr Json::ArrayIndex kLifeField = 1;
+constexpr Json::ArrayIndex kIncarnationFields = 1;
 
 template <typename... Fields>
 Json::Value Row(Fields&&... fields) {
@@ -28,7 +28,7 @@
   return absl::ToInt64Milliseconds(time);
 }
 
-Json::Value RowOf(const RelayedOrder& order, const StartOrder& start) {
+Json::Value OrderRow(const RelayedOrder& order, const StartOrder& start) {
   return Row(Number(order.number), static_cast<int>(kStart), order.worker.id,
              order.worker.address, TaskIdText(start.task), start.run,
              start.payload, start.checkpoint, start.ticket,
@@ -36,17 +36,17 @@
              Millis(start.timeout));
 }
 
-Json::Value RowOf(const RelayedOrder& order, const StopOrder& stop) {
+Json::Value OrderRow(const RelayedOrder& order, const StopOrder& stop) {
   return Row(Number(order.number), static_cast<int>(kStop), order.worker.id,
              order.worker.address, TaskIdText(stop.task), stop.run,
              Number(stop.fence), Millis(stop.timeout));
 }
 
-Json::Value RowOf(const RelayedOrder& order, const ObserveOrder& look) {
+Json::Value OrderRow(const RelayedOrder& order, const ObserveOrder& observe) {
   return Row(Number(order.number), static_cast<int>(kObserve), order.worker.id,
-             order.worker.address, Number(look.fence), Number(look.ends_noted),
-             Number(look.lease_until_ms), Number(look.wait_ms),
-             Millis(look.timeout));
+             order.worker.address, Number(observe.fence),
+             Number(observe.ends_acknowledged), Number(observe.lease_until_ms),
+             Number(observe.wait_ms), Millis(observe.timeout));
 }
 
 std::optional<StartOrder> StartFromRow(const Json::Value& row) {
@@ -76,17 +76,17 @@
 
 std::optional<ObserveOrder> ObserveFromRow(const Json::Value& row) {
   if (row.size() != kObserveFields) return std::nullopt;
-  ObserveOrder look;
-  look.fence = row[4].asInt64();
-  look.ends_noted = row[5].asInt64();
-  look.lease_until_ms = row[6].asInt64();
-  look.wait_ms = row[7].asInt64();
-  look.timeout = absl::Milliseconds(row[8].asInt64());
-  return look;
+  ObserveOrder observe;
+  observe.fence = row[4].asInt64();
+  observe.ends_acknowledged = row[5].asInt64();
+  observe.lease_until_ms = row[6].asInt64();
+  observe.wait_ms = row[7].asInt64();
+  observe.timeout = absl::Milliseconds(row[8].asInt64());
+  return observe;
 }
 
 template <typename Order>
-bool Put(const std::optional<Order>& order, RelayedOrder* out) {
+bool AssignIfRead(const std::optional<Order>& order, RelayedOrder* out) {
   if (order) out->order = *order;
   return order.has_value();
 }
@@ -113,13 +113,13 @@
   bool read = false;
   switch (row[1].asInt()) {
     case kStart:
-      read = Put(StartFromRow(row), &out);
+      read = AssignIfRead(StartFromRow(row), &out);
       break;
     case kStop:
-      read = Put(StopFromRow(row), &out);
+      read = AssignIfRead(StopFromRow(row), &out);
       break;
     case kObserve:
-      read = Put(ObserveFromRow(row), &out);
+      read = AssignIfRead(ObserveFromRow(row), &out);
       break;
     default:
       break;
@@ -138,27 +138,28 @@
     return std::nullopt;
   order.clock_ms = row[2].asInt64();
   order.message = row[3].asString();
-  const bool lists = row.size() >= kObserveReplyFields;
+  const bool has_lists = row.size() >= kObserveReplyFields;
   const Json::ArrayIndex fields =
-      lists ? kObserveReplyFields : kOrderReplyFields;
-  if (row.size() == fields + kLifeField) order.life = row[fields].asString();
-  if (!lists) return out;
-  for (const Json::Value& one : row[4]) {
+      has_lists ? kObserveReplyFields : kOrderReplyFields;
+  if (row.size() == fields + kIncarnationFields)
+    order.incarnation = row[fields].asString();
+  if (!has_lists) return out;
+  for (const Json::Value& item : row[4]) {
     RunningTask task;
-    if (!ParseTaskId(one[0].asString(), &task.task)) return std::nullopt;
-    task.run = one[1].asInt();
-    task.checkpoint = one[2].asString();
-    task.percent = one[3].asInt();
+    if (!ParseTaskId(item[0].asString(), &task.task)) return std::nullopt;
+    task.run = item[1].asInt();
+    task.checkpoint = item[2].asString();
+    task.percent = item[3].asInt();
     out.reply.running.push_back(std::move(task));
   }
-  for (const Json::Value& one : row[5]) {
+  for (const Json::Value& item : row[5]) {
     EndedTask end;
-    if (!ParseTaskId(one[1].asString(), &end.task) ||
-        !ReadEnum(one[3], RunEnd::kAlone, &end.end))
+    if (!ParseTaskId(item[1].asString(), &end.task) ||
+        !ReadEnum(item[3], RunEnd::kAlone, &end.end))
       return std::nullopt;
-    end.number = one[0].asInt64();
-    end.run = one[2].asInt();
-    end.checkpoint = one[4].asString();
+    end.number = item[0].asInt64();
+    end.run = item[2].asInt();
+    end.checkpoint = item[4].asString();
     out.reply.ended.push_back(std::move(end));
   }
   out.reply.more_ends = row[6].asBool();
@@ -167,8 +168,8 @@
 
 // An exception here would take the other rows of the message with it.
 template <typename T>
-std::optional<T> NoneIfMistyped(std::optional<T> (*read)(const Json::Value&),
-                                const Json::Value& row) {
+std::optional<T> NulloptOnTypeError(
+    std::optional<T> (*read)(const Json::Value&), const Json::Value& row) {
   try {
     return read(row);
   } catch (const Json::Exception&) {
@@ -179,7 +180,7 @@
 }  // namespace
 
 Json::Value ToRow(const RelayedOrder& order) {
-  return std::visit([&](const auto& one) { return RowOf(order, one); },
+  return std::visit([&](const auto& item) { return OrderRow(order, item); },
                     order.order);
 }
 
@@ -189,13 +190,13 @@
       Row(Number(reply.number), static_cast<int>(order.result),
           Number(order.clock_ms),
           order.result == OrderResult::kDone ? std::string() : order.message);
-  const bool lists = !reply.reply.running.empty() ||
-                     !reply.reply.ended.empty() || reply.reply.more_ends;
-  const auto with_life = [&order](Json::Value done) {
-    if (!order.life.empty()) done.append(order.life);
+  const bool has_lists = !reply.reply.running.empty() ||
+                         !reply.reply.ended.empty() || reply.reply.more_ends;
+  const auto with_incarnation = [&order](Json::Value done) {
+    if (!order.incarnation.empty()) done.append(order.incarnation);
     return done;
   };
-  if (!lists) return with_life(std::move(row));
+  if (!has_lists) return with_incarnation(std::move(row));
   Json::Value running(Json::arrayValue);
   for (const RunningTask& task : reply.reply.running)
     running.append(
@@ -207,15 +208,15 @@
   row.append(std::move(running));
   row.append(std::move(ended));
   row.append(reply.reply.more_ends);
-  return with_life(std::move(row));
+  return with_incarnation(std::move(row));
 }
 
 std::optional<RelayedOrder> OrderFromRow(const Json::Value& row) {
-  return NoneIfMistyped(ReadOrder, row);
+  return NulloptOnTypeError(ReadOrder, row);
 }
 
 std::optional<RelayedReply> ReplyFromRow(const Json::Value& row) {
-  return NoneIfMistyped(ReadReply, row);
+  return NulloptOnTypeError(ReadReply, row);
 }
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/order_messages_test.cc
+++ b/keelbridge/daemon/order_messages_test.cc
@@ -9,7 +9,7 @@
 namespace keelbridge {
 namespace {
 
-Json::Value RowOf(const std::string& text) {
+Json::Value ParseRow(const std::string& text) {
   return JsonDocument::Parse("{\"row\":" + text + "}", "row").root()["row"];
 }
 
@@ -24,7 +24,7 @@
         "[8,1,\"w\",\"a\"," + task + ",3,9,1e300]",
         std::string("[8,2,\"w\",\"a\",9,{},1,50,400]")}) {
     CAPTURE(text);
-    CHECK_FALSE(OrderFromRow(RowOf(text)).has_value());
+    CHECK_FALSE(OrderFromRow(ParseRow(text)).has_value());
   }
 }
 
@@ -33,7 +33,7 @@
        {"[\"x\",0,1000,\"\"]", "[7,0,1000,{}]", "[7,0,1000,\"\",[1],[],true]",
         "[7,0,1000,\"\",[],[\"x\"],true]", "[7,0,1000,\"\",[],[],{}]"}) {
     CAPTURE(text);
-    CHECK_FALSE(ReplyFromRow(RowOf(text)).has_value());
+    CHECK_FALSE(ReplyFromRow(ParseRow(text)).has_value());
   }
 }
 
@@ -42,14 +42,14 @@
     "order messages: results and ends that there are not make no answer") {
   const std::string end =
       "[7,0,1000,\"\",[],[[1,\"5c0e7a21d94b36f8.0.1.19\",2,";
-  CHECK(ReplyFromRow(RowOf("[7,10,1000,\"\"]")).has_value());
-  CHECK(ReplyFromRow(RowOf(end + "5,\"\"]],false]")).has_value());
+  CHECK(ReplyFromRow(ParseRow("[7,10,1000,\"\"]")).has_value());
+  CHECK(ReplyFromRow(ParseRow(end + "5,\"\"]],false]")).has_value());
   for (const std::string& text :
        {std::string("[7,11,1000,\"\"]"), std::string("[7,-1,1000,\"\"]"),
         std::string("[7,null,1000,\"\"]"), end + "6,\"\"]],false]",
         end + "-1,\"\"]],false]"}) {
     CAPTURE(text);
-    CHECK_FALSE(ReplyFromRow(RowOf(text)).has_value());
+    CHECK_FALSE(ReplyFromRow(ParseRow(text)).has_value());
   }
 }
 
--- a/keelbridge/daemon/order_relay_client.cc
+++ b/keelbridge/daemon/order_relay_client.cc
@@ -14,16 +14,16 @@
 
 // A relay takes a message at once, so that this is the lag of two loops and the
 // network's. Orders in it are waited for by their own times.
-constexpr absl::Duration kTakenWithin = absl::Seconds(1);
+constexpr absl::Duration kDeliveryTimeout = absl::Seconds(1);
 // Messages to one relay that it has not taken yet. With a second one a round
 // trip costs no time; more would only wait on a link that is slow.
-constexpr int kMostUnderWay = 2;
+constexpr int kMaxInFlight = 2;
 // What the way through a relay adds to an order's own patience: gathering
 // twice, four hops, and the lag of two loops.
 constexpr absl::Duration kRelayAllowance = absl::Milliseconds(150);
-constexpr absl::Duration kSweepEvery = absl::Milliseconds(50);
+constexpr absl::Duration kSweepInterval = absl::Milliseconds(50);
 
-ObserveReply Unanswered(OrderResult result, std::string why) {
+ObserveReply UnansweredReply(OrderResult result, std::string why) {
   ObserveReply reply;
   reply.order.result = result;
   reply.order.message = std::move(why);
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-RelayedOrders::RelayedOrders(boost::asio::io_context& loop,
-                             WorkerOrders& direct, EventRpcClient& rpc,
-                             Options options)
+OrderRelayClient::OrderRelayClient(boost::asio::io_context& loop,
+                                   WorkerOrders& direct, EventRpcClient& rpc,
+                                   Options options)
     : loop_(loop),
       direct_(direct),
       rpc_(rpc),
@@ -44,81 +44,84 @@
       flush_timer_(loop),
       sweep_timer_(loop) {}
 
-void RelayedOrders::SetNodes(std::vector<OrderRouting::Node> nodes,
-                             double own_capacity) {
+void OrderRelayClient::SetNodes(std::vector<OrderRouting::Node> nodes,
+                                double own_capacity) {
   routing_.SetNodes(std::move(nodes), own_capacity);
 }
 
-const OrderRouting::Node* RelayedOrders::RelayOf(const WorkerRecord& worker) {
+const OrderRouting::Node* OrderRelayClient::RelayFor(
+    const WorkerRecord& worker) {
   routing_.AddWorker(worker.id, worker.zone);
   return routing_.RouteOf(worker.id, worker.zone, SystemNow().mono);
 }
 
-void RelayedOrders::Start(const WorkerRecord& worker, const StartOrder& order,
-                          std::function<void(OrderReply)> done) {
-  const OrderRouting::Node* relay = RelayOf(worker);
+void OrderRelayClient::Start(const WorkerRecord& worker,
+                             const StartOrder& order,
+                             std::function<void(OrderReply)> done) {
+  const OrderRouting::Node* relay = RelayFor(worker);
   if (relay == nullptr) return direct_.Start(worker, order, std::move(done));
-  Gather(*relay, {0, worker, order}, order.timeout,
-         [done = std::move(done)](const ObserveReply& reply) {
-           done(reply.order);
-         });
+  Enqueue(*relay, {0, worker, order}, order.timeout,
+          [done = std::move(done)](const ObserveReply& reply) {
+            done(reply.order);
+          });
 }
 
-void RelayedOrders::Stop(const WorkerRecord& worker, const StopOrder& order,
-                         std::function<void(OrderReply)> done) {
-  const OrderRouting::Node* relay = RelayOf(worker);
+void OrderRelayClient::Stop(const WorkerRecord& worker, const StopOrder& order,
+                            std::function<void(OrderReply)> done) {
+  const OrderRouting::Node* relay = RelayFor(worker);
   if (relay == nullptr) return direct_.Stop(worker, order, std::move(done));
-  Gather(*relay, {0, worker, order}, order.timeout,
-         [done = std::move(done)](const ObserveReply& reply) {
-           done(reply.order);
-         });
+  Enqueue(*relay, {0, worker, order}, order.timeout,
+          [done = std::move(done)](const ObserveReply& reply) {
+            done(reply.order);
+          });
 }
 
-void RelayedOrders::Observe(const WorkerRecord& worker,
-                            const ObserveOrder& order,
-                            std::function<void(ObserveReply)> done) {
-  const OrderRouting::Node* relay = RelayOf(worker);
+void OrderRelayClient::Observe(const WorkerRecord& worker,
+                               const ObserveOrder& order,
+                               std::function<void(ObserveReply)> done) {
+  const OrderRouting::Node* relay = RelayFor(worker);
   if (relay == nullptr) return direct_.Observe(worker, order, std::move(done));
-  Gather(*relay, {0, worker, order},
-         order.timeout + absl::Milliseconds(order.wait_ms), std::move(done));
+  Enqueue(*relay, {0, worker, order},
+          order.timeout + absl::Milliseconds(order.wait_ms), std::move(done));
 }
 
-void RelayedOrders::Forget(const std::string& worker_id) {
+void OrderRelayClient::Forget(const std::string& worker_id) {
   routing_.RemoveWorker(worker_id);
   direct_.Forget(worker_id);
 }
 
-void RelayedOrders::Gather(const OrderRouting::Node& node, RelayedOrder order,
-                           absl::Duration patience, Done done) {
+void OrderRelayClient::Enqueue(const OrderRouting::Node& node,
+                               RelayedOrder order, absl::Duration reply_timeout,
+                               Done done) {
   order.number = next_number_++;
   ++relayed_;
   Relay& relay = relays_[node.name];
   relay.node = node;
-  relay.gathered.rows.push_back(ToRow(order));
-  relay.gathered.numbers.push_back(order.number);
-  pending_.emplace(
-      order.number,
-      Pending{std::move(done), waited_ + kGather + patience + kRelayAllowance});
-  FlushSoon();
-  SweepSoon();
-}
-
-void RelayedOrders::FlushSoon() {
-  if (std::exchange(flush_armed_, true)) return;
-  flush_timer_.expires_after(absl::ToChronoNanoseconds(kGather));
+  relay.queued.rows.push_back(ToRow(order));
+  relay.queued.numbers.push_back(order.number);
+  pending_.emplace(order.number, Pending{std::move(done),
+                                         wait_clock_ + kBatchDelay +
+                                             reply_timeout + kRelayAllowance});
+  ScheduleFlush();
+  ScheduleSweep();
+}
+
+void OrderRelayClient::ScheduleFlush() {
+  if (std::exchange(flush_scheduled_, true)) return;
+  flush_timer_.expires_after(absl::ToChronoNanoseconds(kBatchDelay));
   flush_timer_.async_wait([this](boost::system::error_code error) {
-    flush_armed_ = false;
+    flush_scheduled_ = false;
     if (!error) FlushAll();
   });
 }
 
-void RelayedOrders::FlushAll() {
+void OrderRelayClient::FlushAll() {
   for (auto& [name, relay] : relays_) Flush(relay);
 }
 
-void RelayedOrders::Flush(Relay& relay) {
-  if (relay.gathered.rows.empty() || relay.under_way >= kMostUnderWay) return;
-  Batch batch = std::exchange(relay.gathered, {});
+void OrderRelayClient::Flush(Relay& relay) {
+  if (relay.queued.rows.empty() || relay.in_flight >= kMaxInFlight) return;
+  Batch batch = std::exchange(relay.queued, {});
   Json::Value params(Json::objectValue);
   params["reply_to"] = options_.own_address;
   Json::Value& rows = params["rows"] = Json::Value(Json::arrayValue);
@@ -129,22 +132,22 @@
     rows.append(std::move(batch.rows[i]));
   }
   if (rows.empty()) return;
-  ++relay.under_way;
+  ++relay.in_flight;
   rpc_.Call(
-      relay.node.address, kOrdersMethod, std::move(params), kTakenWithin,
+      relay.node.address, kOrdersMethod, std::move(params), kDeliveryTimeout,
       [this, name = relay.node.name, numbers = std::move(batch.numbers)](
-          const RpcOutcome& outcome) { OnTaken(name, numbers, outcome); },
+          const RpcOutcome& outcome) { OnDelivered(name, numbers, outcome); },
       RpcLane::kOrders);
 }
 
-void RelayedOrders::OnTaken(const std::string& name,
-                            const std::vector<int64_t>& numbers,
-                            const RpcOutcome& outcome) {
+void OrderRelayClient::OnDelivered(const std::string& name,
+                                   const std::vector<int64_t>& numbers,
+                                   const RpcOutcome& outcome) {
   Relay& relay = relays_[name];
-  --relay.under_way;
-  FlushSoon();
+  --relay.in_flight;
+  ScheduleFlush();
   if (outcome.answered) return;
-  if (routing_.OnUnanswered(name, SystemNow().mono)) {
+  if (routing_.OnRelayFailure(name, SystemNow().mono)) {
     LogEvent(Severity::kWarning, "relay_silent",
              {{"relay", name},
               {"orders", absl::StrCat(numbers.size())},
@@ -153,10 +156,10 @@
   const OrderResult result =
       outcome.sent ? OrderResult::kUnknown : OrderResult::kNotSent;
   for (const int64_t number : numbers)
-    Finish(number, Unanswered(result, outcome.error));
+    Finish(number, UnansweredReply(result, outcome.error));
 }
 
-void RelayedOrders::TakeReplies(const Json::Value& params) {
+void OrderRelayClient::HandleReplies(const Json::Value& params) {
   for (const Json::Value& row : params["rows"]) {
     auto reply = ReplyFromRow(row);
     if (reply) {
@@ -168,7 +171,7 @@
   }
 }
 
-void RelayedOrders::Finish(int64_t number, ObserveReply reply) {
+void OrderRelayClient::Finish(int64_t number, ObserveReply reply) {
   const auto found = pending_.find(number);
   if (found == pending_.end()) return;  // It was answered, or given up.
   const Done done = std::move(found->second.done);
@@ -176,32 +179,32 @@
   done(std::move(reply));
 }
 
-void RelayedOrders::SweepSoon() {
-  if (std::exchange(sweep_armed_, true)) return;
-  sweep_timer_.expires_after(absl::ToChronoNanoseconds(kSweepEvery));
+void OrderRelayClient::ScheduleSweep() {
+  if (std::exchange(sweep_scheduled_, true)) return;
+  sweep_timer_.expires_after(absl::ToChronoNanoseconds(kSweepInterval));
   sweep_timer_.async_wait([this](boost::system::error_code error) {
-    sweep_armed_ = false;
-    if (!error) Sweep();
+    sweep_scheduled_ = false;
+    if (!error) ExpireOverdue();
   });
 }
 
-void RelayedOrders::Sweep() {
-  waited_ += kSweepEvery;
-  std::vector<int64_t> late;
+void OrderRelayClient::ExpireOverdue() {
+  wait_clock_ += kSweepInterval;
+  std::vector<int64_t> overdue;
   for (const auto& [number, pending] : pending_) {
-    if (pending.deadline < waited_) late.push_back(number);
+    if (pending.deadline < wait_clock_) overdue.push_back(number);
   }
-  for (const int64_t number : late) {
+  for (const int64_t number : overdue) {
     const auto found = pending_.find(number);
     if (found == pending_.end()) continue;
     ++unanswered_;
     const bool sent = found->second.sent;
-    Finish(
-        number,
-        sent ? Unanswered(OrderResult::kUnknown, "no answer through the relay")
-             : Unanswered(OrderResult::kNotSent, "the relay takes no orders"));
+    Finish(number, sent ? UnansweredReply(OrderResult::kUnknown,
+                                          "no answer through the relay")
+                        : UnansweredReply(OrderResult::kNotSent,
+                                          "the relay takes no orders"));
   }
-  if (!pending_.empty()) SweepSoon();
+  if (!pending_.empty()) ScheduleSweep();
 }
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/order_relay_client.h
+++ b/keelbridge/daemon/order_relay_client.h
@@ -10,7 +10,7 @@
 // did not take yet, further orders wait, and those that wait for too long were
 // never sent: a slow link or relay gets less instead of a queue.
 //
-//   RelayedOrders orders(loop, direct, rpc, options);
+//   OrderRelayClient orders(loop, direct, rpc, options);
 //   orders.SetNodes(nodes, own_capacity);
 //   orders.Start(worker, order, [](OrderReply reply) { ... });
 
@@ -37,7 +37,7 @@
 namespace keelbridge {
 
 // All on the loop's thread. Must outlive what the loop runs.
-class RelayedOrders : public WorkerOrders {
+class OrderRelayClient : public WorkerOrders {
  public:
   // By which relays are given orders, and give their answers. Not "orders": a
   // relay of a version that knew no lives would take an id for a name.
@@ -46,19 +46,19 @@
   // Orders are gathered for so long, and answers at the relay. With five relays
   // that makes 660 messages a second in both directions at most, whatever the
   // number of orders, for 15 ms more until a task starts.
-  static constexpr absl::Duration kGather = absl::Milliseconds(15);
+  static constexpr absl::Duration kBatchDelay = absl::Milliseconds(15);
 
   struct Options {
     OrderRouting::Options routing;
     std::string own_address;  // Where relays send answers.
   };
 
-  RelayedOrders(boost::asio::io_context& loop, WorkerOrders& direct,
-                EventRpcClient& rpc, Options options);
+  OrderRelayClient(boost::asio::io_context& loop, WorkerOrders& direct,
+                   EventRpcClient& rpc, Options options);
 
   void SetNodes(std::vector<OrderRouting::Node> nodes, double own_capacity);
   // The answers that a relay sent.
-  void TakeReplies(const Json::Value& params);
+  void HandleReplies(const Json::Value& params);
   int64_t relayed() const { return relayed_; }
   int64_t unanswered() const { return unanswered_; }
 
@@ -74,7 +74,7 @@
   using Done = std::function<void(ObserveReply)>;
   struct Pending {
     Done done;
-    absl::Duration deadline;  // On `waited_`.
+    absl::Duration deadline;  // On `wait_clock_`.
     bool sent = false;        // Its message left, or may have.
   };
   // A message to a relay, or what is gathered for it.
@@ -84,22 +84,22 @@
   };
   struct Relay {
     OrderRouting::Node node;
-    Batch gathered;
-    int under_way = 0;  // Messages that it has not taken yet.
+    Batch queued;
+    int in_flight = 0;  // Messages that it has not taken yet.
   };
 
-  const OrderRouting::Node* RelayOf(const WorkerRecord& worker);
-  void Gather(const OrderRouting::Node& node, RelayedOrder order,
-              absl::Duration patience, Done done);
-  void FlushSoon();
+  const OrderRouting::Node* RelayFor(const WorkerRecord& worker);
+  void Enqueue(const OrderRouting::Node& node, RelayedOrder order,
+               absl::Duration reply_timeout, Done done);
+  void ScheduleFlush();
   void FlushAll();
   void Flush(Relay& relay);
-  void OnTaken(const std::string& name, const std::vector<int64_t>& numbers,
-               const RpcOutcome& outcome);
+  void OnDelivered(const std::string& name, const std::vector<int64_t>& numbers,
+                   const RpcOutcome& outcome);
   void Finish(int64_t number, ObserveReply reply);
-  void SweepSoon();
+  void ScheduleSweep();
   // Ends orders whose answers did not come.
-  void Sweep();
+  void ExpireOverdue();
 
   boost::asio::io_context& loop_;
   WorkerOrders& direct_;
@@ -114,11 +114,11 @@
   int64_t unanswered_ = 0;
   EventTimer flush_timer_;
   EventTimer sweep_timer_;
-  bool flush_armed_ = false;
-  bool sweep_armed_ = false;
+  bool flush_scheduled_ = false;
+  bool sweep_scheduled_ = false;
   // The time that answers were waited for since the beginning. It stands while
   // the loop does: what lies unread in a socket then is not late.
-  absl::Duration waited_;
+  absl::Duration wait_clock_;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/order_relay_client_test.cc
+++ b/keelbridge/daemon/order_relay_client_test.cc
@@ -25,25 +25,25 @@
   void Start(const WorkerRecord& worker, const StartOrder& order,
              std::function<void(OrderReply)> done) override {
     starts.push_back({worker, order});
-    if (!silent) done(reply.order);
+    if (!unresponsive) done(reply.order);
   }
   void Stop(const WorkerRecord&, const StopOrder& order,
             std::function<void(OrderReply)> done) override {
     stops.push_back(order);
-    if (!silent) done(reply.order);
+    if (!unresponsive) done(reply.order);
   }
   void Observe(const WorkerRecord&, const ObserveOrder& order,
                std::function<void(ObserveReply)> done) override {
-    looks.push_back(order);
-    if (!silent) done(reply);
+    observations.push_back(order);
+    if (!unresponsive) done(reply);
   }
   void Forget(const std::string&) override {}
 
-  bool silent = false;
+  bool unresponsive = false;
   ObserveReply reply;
   std::vector<std::pair<WorkerRecord, StartOrder>> starts;
   std::vector<StopOrder> stops;
-  std::vector<ObserveOrder> looks;
+  std::vector<ObserveOrder> observations;
 };
 
 // A leader and one relay, each with a server of its own.
@@ -56,22 +56,22 @@
         relay_(loop, workers, client_) {
     const auto leader_port = leader_server_.Start();
     relay_port_ = relay_server_.Start().value();
-    RelayedOrders::Options options;
+    OrderRelayClient::Options options;
     options.routing.direct_workers_per_processor = 0;
     options.own_address = absl::StrCat("127.0.0.1:", leader_port.value());
-    orders = std::make_unique<RelayedOrders>(loop, direct, client_, options);
+    orders = std::make_unique<OrderRelayClient>(loop, direct, client_, options);
     leader_server_.Add(
-        RelayedOrders::kRepliesMethod,
+        OrderRelayClient::kRepliesMethod,
         [this](const Json::Value& params, const EventRpcServer::Reply& done) {
           done({Json::Value(Json::objectValue), 0, ""});
-          orders->TakeReplies(params);
+          orders->HandleReplies(params);
         });
     relay_server_.Add(
-        RelayedOrders::kOrdersMethod,
+        OrderRelayClient::kOrdersMethod,
         [this](const Json::Value& params, const EventRpcServer::Reply& done) {
           ++messages;
           done({Json::Value(Json::objectValue), 0, ""});
-          relay_.Carry(params);
+          relay_.HandleOrders(params);
         });
     UseRelay(absl::StrCat("127.0.0.1:", relay_port_));
   }
@@ -114,22 +114,22 @@
   boost::asio::io_context loop;
   FakeWorkers workers;  // As the relay reaches them.
   FakeWorkers direct;   // As the leader does.
-  std::unique_ptr<RelayedOrders> orders;
+  std::unique_ptr<OrderRelayClient> orders;
   int messages = 0;
 
  private:
   EventRpcClient client_;
   EventRpcServer leader_server_;
   EventRpcServer relay_server_;
-  OrderRelay relay_;
+  OrderRelayServer relay_;
   int relay_port_ = 0;
 };
 
 TEST_CASE("relayed orders: a start arrives whole, and its answer comes back") {
   Pair pair;
-  pair.workers.reply.order.result = OrderResult::kNoRoom;
+  pair.workers.reply.order.result = OrderResult::kNoCapacity;
   CHECK(pair.Start(pair.Worker(), absl::Milliseconds(200)) ==
-        OrderResult::kNoRoom);
+        OrderResult::kNoCapacity);
   REQUIRE(pair.workers.starts.size() == 1);
   const auto& [worker, order] = pair.workers.starts[0];
   CHECK(worker.id == "w");
@@ -151,28 +151,29 @@
   pair.workers.reply.running = {{{7, 0, 0, 1}, 2, "saved", 40}};
   pair.workers.reply.ended = {{9, {7, 0, 0, 2}, 1, RunEnd::kStopped, "kept"}};
   pair.workers.reply.more_ends = true;
-  std::optional<ObserveReply> seen;
-  ObserveOrder look;
-  look.ends_noted = 8;
-  look.lease_until_ms = 4000;
-  look.wait_ms = 100;
-  pair.orders->Observe(pair.Worker(), look,
-                       [&](ObserveReply reply) { seen = std::move(reply); });
+  std::optional<ObserveReply> received;
+  ObserveOrder observe;
+  observe.ends_acknowledged = 8;
+  observe.lease_until_ms = 4000;
+  observe.wait_ms = 100;
+  pair.orders->Observe(pair.Worker(), observe, [&](ObserveReply reply) {
+    received = std::move(reply);
+  });
   pair.Run(absl::Milliseconds(200));
-  REQUIRE(seen.has_value());
-  REQUIRE(pair.workers.looks.size() == 1);
-  CHECK(pair.workers.looks[0].ends_noted == 8);
-  CHECK(pair.workers.looks[0].lease_until_ms == 4000);
-  CHECK(pair.workers.looks[0].wait_ms == 100);
-  CHECK(seen->order.result == OrderResult::kDone);
-  CHECK(seen->order.clock_ms == 1234);
-  REQUIRE(seen->running.size() == 1);
-  CHECK(seen->running[0].task == TaskId{7, 0, 0, 1});
-  CHECK(seen->running[0].percent == 40);
-  REQUIRE(seen->ended.size() == 1);
-  CHECK(seen->ended[0].number == 9);
-  CHECK(seen->ended[0].end == RunEnd::kStopped);
-  CHECK(seen->more_ends);
+  REQUIRE(received.has_value());
+  REQUIRE(pair.workers.observations.size() == 1);
+  CHECK(pair.workers.observations[0].ends_acknowledged == 8);
+  CHECK(pair.workers.observations[0].lease_until_ms == 4000);
+  CHECK(pair.workers.observations[0].wait_ms == 100);
+  CHECK(received->order.result == OrderResult::kDone);
+  CHECK(received->order.clock_ms == 1234);
+  REQUIRE(received->running.size() == 1);
+  CHECK(received->running[0].task == TaskId{7, 0, 0, 1});
+  CHECK(received->running[0].percent == 40);
+  REQUIRE(received->ended.size() == 1);
+  CHECK(received->ended[0].number == 9);
+  CHECK(received->ended[0].end == RunEnd::kStopped);
+  CHECK(received->more_ends);
 }
 
 // 200 orders at once: one message there and one back for each 15 ms, instead of
@@ -202,7 +203,7 @@
 // The worker may have got it: nobody may say that it was not carried out.
 TEST_CASE("relayed orders: without an answer nobody knows whether it ran") {
   Pair pair;
-  pair.workers.silent = true;
+  pair.workers.unresponsive = true;
   CHECK_FALSE(pair.Start(pair.Worker(), absl::Milliseconds(300)).has_value());
   CHECK(pair.Start(pair.Worker(), absl::Seconds(1)) == OrderResult::kUnknown);
   CHECK(pair.orders->unanswered() == 2);
@@ -220,7 +221,7 @@
 // leader's address.
 TEST_CASE("relayed orders: an answer to another life's order is passed over") {
   Pair pair;
-  pair.workers.silent = true;
+  pair.workers.unresponsive = true;
   std::optional<OrderResult> result;
   pair.orders->Start(
       pair.Worker(), StartOrder(),
@@ -230,10 +231,10 @@
   for (int64_t number = 0; number < 100; ++number) {
     RelayedReply stale;
     stale.number = number;
-    stale.reply.order.result = OrderResult::kNoRoom;
+    stale.reply.order.result = OrderResult::kNoCapacity;
     params["rows"].append(ToRow(stale));
   }
-  pair.orders->TakeReplies(params);
+  pair.orders->HandleReplies(params);
   CHECK_FALSE(result.has_value());
 }
 
--- a/keelbridge/daemon/order_relay_server.cc
+++ b/keelbridge/daemon/order_relay_server.cc
@@ -14,45 +14,45 @@
 namespace {
 
 // A leader takes the answers at once: this is its loop's lag and the network's.
-constexpr absl::Duration kTakenWithin = absl::Milliseconds(700);
+constexpr absl::Duration kRepliesTimeout = absl::Milliseconds(700);
 // Answers that were not taken are sent again: they count once. A leader gives
 // an order up after at most 1.8 s.
-constexpr int kMostTries = 3;
-constexpr absl::Duration kTryAgain = absl::Milliseconds(50);
+constexpr int kMaxTries = 3;
+constexpr absl::Duration kRetryDelay = absl::Milliseconds(50);
 // Connections to a worker that gets no orders are closed after this. A leader
 // looks at each worker every second.
-constexpr absl::Duration kForgetAfter = absl::Seconds(20);
-constexpr absl::Duration kForgetEvery = absl::Seconds(5);
+constexpr absl::Duration kIdleTimeout = absl::Seconds(20);
+constexpr absl::Duration kIdleCheckInterval = absl::Seconds(5);
 
 }  // namespace
 
-OrderRelay::OrderRelay(boost::asio::io_context& loop, WorkerOrders& workers,
-                       EventRpcClient& rpc)
+OrderRelayServer::OrderRelayServer(boost::asio::io_context& loop,
+                                   WorkerOrders& workers, EventRpcClient& rpc)
     : loop_(loop), workers_(workers), rpc_(rpc) {}
 
-void OrderRelay::Carry(const Json::Value& params) {
+void OrderRelayServer::HandleOrders(const Json::Value& params) {
   const std::string reply_to = params["reply_to"].asString();
   for (const Json::Value& row : params["rows"]) {
     const auto order = OrderFromRow(row);
     if (order) {
-      CarryOne(*order, reply_to);
+      ForwardOrder(*order, reply_to);
       continue;
     }
     LogEvent(Severity::kError, "order_unreadable",
              {{"leader", reply_to}, {"row", ToJsonText(row).substr(0, 200)}});
   }
-  ForgetIdle();
+  CloseIdleConnections();
 }
 
-void OrderRelay::CarryOne(const RelayedOrder& order,
-                          const std::string& reply_to) {
-  ++carried_;
+void OrderRelayServer::ForwardOrder(const RelayedOrder& order,
+                                    const std::string& reply_to) {
+  ++forwarded_;
   last_order_[order.worker.id] = SystemNow().mono;
   const auto answer = [this, reply_to,
                        number = order.number](OrderReply reply) {
     ObserveReply out;
     out.order = std::move(reply);
-    Answer(reply_to, number, std::move(out));
+    QueueReply(reply_to, number, std::move(out));
   };
   if (const auto* start = std::get_if<StartOrder>(&order.order))
     return workers_.Start(order.worker, *start, answer);
@@ -60,33 +60,33 @@
     return workers_.Stop(order.worker, *stop, answer);
   workers_.Observe(order.worker, std::get<ObserveOrder>(order.order),
                    [this, reply_to, number = order.number](ObserveReply reply) {
-                     Answer(reply_to, number, std::move(reply));
+                     QueueReply(reply_to, number, std::move(reply));
                    });
 }
 
-void OrderRelay::Answer(const std::string& reply_to, int64_t number,
-                        ObserveReply reply) {
-  Json::Value& rows = gathered_[reply_to];
+void OrderRelayServer::QueueReply(const std::string& reply_to, int64_t number,
+                                  ObserveReply reply) {
+  Json::Value& rows = queued_replies_[reply_to];
   const bool first = rows.empty();
   rows.append(ToRow(RelayedReply{number, std::move(reply)}));
   if (!first) return;
-  RunAfter(loop_, RelayedOrders::kGather,
+  RunAfter(loop_, OrderRelayClient::kBatchDelay,
            [this, reply_to] { Flush(reply_to); });
 }
 
-void OrderRelay::Flush(const std::string& reply_to) {
-  const auto found = gathered_.find(reply_to);
-  if (found == gathered_.end()) return;
+void OrderRelayServer::Flush(const std::string& reply_to) {
+  const auto found = queued_replies_.find(reply_to);
+  if (found == queued_replies_.end()) return;
   Json::Value params(Json::objectValue);
   params["rows"] = std::move(found->second);
-  gathered_.erase(found);
+  queued_replies_.erase(found);
   Send(reply_to, params, 1);
 }
 
-void OrderRelay::Send(const std::string& reply_to, const Json::Value& params,
-                      int tries) {
+void OrderRelayServer::Send(const std::string& reply_to,
+                            const Json::Value& params, int tries) {
   rpc_.Call(
-      reply_to, RelayedOrders::kRepliesMethod, params, kTakenWithin,
+      reply_to, OrderRelayClient::kRepliesMethod, params, kRepliesTimeout,
       [this, reply_to, params, tries](const RpcOutcome& outcome) {
         if (outcome.answered) return;
         LogEvent(Severity::kWarning, "order_replies_not_taken",
@@ -94,21 +94,21 @@
                   {"answers", absl::StrCat(params["rows"].size())},
                   {"tries", absl::StrCat(tries)},
                   {"detail", outcome.error}});
-        if (tries >= kMostTries) return;
-        RunAfter(loop_, kTryAgain, [this, reply_to, params, tries] {
+        if (tries >= kMaxTries) return;
+        RunAfter(loop_, kRetryDelay, [this, reply_to, params, tries] {
           Send(reply_to, params, tries + 1);
         });
       },
       RpcLane::kOrders);
 }
 
-void OrderRelay::ForgetIdle() {
+void OrderRelayServer::CloseIdleConnections() {
   const absl::Time now = SystemNow().mono;
-  if (now < next_forget_) return;
-  next_forget_ = now + kForgetEvery;
+  if (now < next_idle_check_) return;
+  next_idle_check_ = now + kIdleCheckInterval;
   std::vector<std::string> idle;
   for (const auto& [worker, last] : last_order_) {
-    if (now - last > kForgetAfter) idle.push_back(worker);
+    if (now - last > kIdleTimeout) idle.push_back(worker);
   }
   for (const std::string& worker : idle) {
     workers_.Forget(worker);
--- a/keelbridge/daemon/order_relay_server.h
+++ b/keelbridge/daemon/order_relay_server.h
@@ -3,7 +3,7 @@
 // A relay decides nothing: each order is sent once, under the fence that the
 // leader gave it, and its answer goes back as it came.
 //
-//   OrderRelay relay(loop, workers, rpc);
+//   OrderRelayServer relay(loop, workers, rpc);
 //   relay.Carry(params);  // of `kOrdersMethod`.
 
 #ifndef KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
@@ -25,32 +25,33 @@
 namespace keelbridge {
 
 // All on the loop's thread. Must outlive what the loop runs.
-class OrderRelay {
+class OrderRelayServer {
  public:
-  OrderRelay(boost::asio::io_context& loop, WorkerOrders& workers,
-             EventRpcClient& rpc);
+  OrderRelayServer(boost::asio::io_context& loop, WorkerOrders& workers,
+                   EventRpcClient& rpc);
 
   // Takes the orders of a message.
-  void Carry(const Json::Value& params);
-  int64_t carried() const { return carried_; }
+  void HandleOrders(const Json::Value& params);
+  int64_t forwarded() const { return forwarded_; }
 
  private:
-  void CarryOne(const RelayedOrder& order, const std::string& reply_to);
-  void Answer(const std::string& reply_to, int64_t number, ObserveReply reply);
+  void ForwardOrder(const RelayedOrder& order, const std::string& reply_to);
+  void QueueReply(const std::string& reply_to, int64_t number,
+                  ObserveReply reply);
   // Sends what was gathered for one leader.
   void Flush(const std::string& reply_to);
   void Send(const std::string& reply_to, const Json::Value& params, int tries);
   // Closes the connections to workers that got no order for long.
-  void ForgetIdle();
+  void CloseIdleConnections();
 
   boost::asio::io_context& loop_;
   WorkerOrders& workers_;
   EventRpcClient& rpc_;
   // Rows of answers, by the leader that they go to.
-  std::map<std::string, Json::Value> gathered_;
+  std::map<std::string, Json::Value> queued_replies_;
   absl::flat_hash_map<std::string, absl::Time> last_order_;  // By worker.
-  absl::Time next_forget_ = absl::InfinitePast();
-  int64_t carried_ = 0;
+  absl::Time next_idle_check_ = absl::InfinitePast();
+  int64_t forwarded_ = 0;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/periodic_task.cc
+++ b/keelbridge/daemon/periodic_task.cc
@@ -15,14 +15,14 @@
 using StopAtom = caf::atom_constant<caf::atom("stop")>;
 
 // What an actor and its handle share.
-struct DutyState {
+struct TaskState {
   std::string name;
   std::chrono::nanoseconds period;
   std::function<void()> step;
   std::atomic<bool> wake_pending{false};
 };
 
-void RunStep(DutyState& state) {
+void RunStep(TaskState& state) {
   try {
     state.step();
   } catch (const std::exception& e) {
@@ -31,8 +31,8 @@
   }
 }
 
-caf::behavior DutyActor(caf::event_based_actor* self,
-                        const std::shared_ptr<DutyState>& state) {
+caf::behavior TaskBehavior(caf::event_based_actor* self,
+                           const std::shared_ptr<TaskState>& state) {
   self->send(self, TickAtom::value);
   return {
       [=](TickAtom) {
@@ -47,9 +47,9 @@
   };
 }
 
-class ActorDuty : public Duty {
+class ActorTask : public PeriodicTask {
  public:
-  ActorDuty(caf::actor actor, std::shared_ptr<DutyState> state)
+  ActorTask(caf::actor actor, std::shared_ptr<TaskState> state)
       : actor_(std::move(actor)), state_(std::move(state)) {}
 
   void Wake() override {
@@ -60,31 +60,31 @@
 
  private:
   const caf::actor actor_;
-  const std::shared_ptr<DutyState> state_;
+  const std::shared_ptr<TaskState> state_;
 };
 
 }  // namespace
 
-class DutyHost::Impl {
+class PeriodicTaskRunner::Impl {
  public:
   Impl() : config_(MakeConfig()), system_(*config_) {}
 
-  Duty* Start(const std::string& name, absl::Duration period,
-              std::function<void()> step) {
-    auto state = std::make_shared<DutyState>();
+  PeriodicTask* Start(const std::string& name, absl::Duration period,
+                      std::function<void()> step) {
+    auto state = std::make_shared<TaskState>();
     state->name = name;
     state->period = absl::ToChronoNanoseconds(period);
     state->step = std::move(step);
-    caf::actor actor = system_.spawn<caf::detached>(DutyActor, state);
-    duties_.push_back(
-        std::make_unique<ActorDuty>(std::move(actor), std::move(state)));
-    return duties_.back().get();
+    caf::actor actor = system_.spawn<caf::detached>(TaskBehavior, state);
+    tasks_.push_back(
+        std::make_unique<ActorTask>(std::move(actor), std::move(state)));
+    return tasks_.back().get();
   }
 
   void Stop() {
-    for (const auto& duty : duties_)
-      caf::anon_send(duty->actor(), StopAtom::value);
-    duties_.clear();
+    for (const auto& task : tasks_)
+      caf::anon_send(task->actor(), StopAtom::value);
+    tasks_.clear();
     system_.await_all_actors_done();
   }
 
@@ -98,15 +98,16 @@
 
   std::unique_ptr<caf::actor_system_config> config_;
   caf::actor_system system_;
-  std::vector<std::unique_ptr<ActorDuty>> duties_;
+  std::vector<std::unique_ptr<ActorTask>> tasks_;
 };
 
-DutyHost::DutyHost() : impl_(std::make_unique<Impl>()) {}
-DutyHost::~DutyHost() { impl_->Stop(); }
-Duty* DutyHost::Start(const std::string& name, absl::Duration period,
-                      std::function<void()> step) {
+PeriodicTaskRunner::PeriodicTaskRunner() : impl_(std::make_unique<Impl>()) {}
+PeriodicTaskRunner::~PeriodicTaskRunner() { impl_->Stop(); }
+PeriodicTask* PeriodicTaskRunner::Start(const std::string& name,
+                                        absl::Duration period,
+                                        std::function<void()> step) {
   return impl_->Start(name, period, std::move(step));
 }
-void DutyHost::Stop() { impl_->Stop(); }
+void PeriodicTaskRunner::Stop() { impl_->Stop(); }
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/periodic_task.h
+++ b/keelbridge/daemon/periodic_task.h
@@ -4,7 +4,7 @@
 // reaches it through bounded rings; the actor's message is only the wake-up, of
 // which at most one waits, because CAF's mailboxes are unbounded.
 //
-//   DutyHost host;
+//   PeriodicTaskRunner host;
 //   Duty* reader = host.Start("log_reader", absl::Milliseconds(500), [&] {
 //   ReadLog(); }); reader->Wake();
 
@@ -20,24 +20,24 @@
 
 namespace keelbridge {
 
-class Duty {
+class PeriodicTask {
  public:
-  virtual ~Duty() = default;
+  virtual ~PeriodicTask() = default;
   // Runs the step soon. Thread-safe; does not wait.
   virtual void Wake() = 0;
 };
 
 // Owns the actor system and its duties.
-class DutyHost {
+class PeriodicTaskRunner {
  public:
-  DutyHost();
-  ~DutyHost();
-  DutyHost(const DutyHost&) = delete;
-  DutyHost& operator=(const DutyHost&) = delete;
+  PeriodicTaskRunner();
+  ~PeriodicTaskRunner();
+  PeriodicTaskRunner(const PeriodicTaskRunner&) = delete;
+  PeriodicTaskRunner& operator=(const PeriodicTaskRunner&) = delete;
 
   // The duty lives as long as the host. `step` never runs twice at a time.
-  Duty* Start(const std::string& name, absl::Duration period,
-              std::function<void()> step);
+  PeriodicTask* Start(const std::string& name, absl::Duration period,
+                      std::function<void()> step);
 
   // Ends all duties after the steps that run now.
   void Stop();
--- a/keelbridge/daemon/request_server.cc
+++ b/keelbridge/daemon/request_server.cc
@@ -15,12 +15,12 @@
 namespace keelbridge {
 namespace {
 
-constexpr absl::Duration kLongestDeadline = absl::Hours(1);
-constexpr size_t kLongestKey = 256;
-constexpr int kMostAttempts = 4;
+constexpr absl::Duration kMaxDeadline = absl::Hours(1);
+constexpr size_t kMaxKeyBytes = 256;
+constexpr int kMaxAttempts = 4;
 
 // Headers that belong to one hop and are not handed on.
-bool HopHeader(const std::string& name) {
+bool IsHopByHopHeader(const std::string& name) {
   static const auto* names = new std::set<std::string>{"connection",
                                                        "keep-alive",
                                                        "proxy-authenticate",
@@ -53,7 +53,7 @@
   return response;
 }
 
-int StatusOf(ErrorCode code) {
+int HttpStatusOf(ErrorCode code) {
   switch (code) {
     case ErrorCode::kNotFound:
       return 404;
@@ -86,7 +86,7 @@
     Result<Address> address = ParseAddress(target.address);
     if (!address) continue;
     HttpClient::Options options;
-    options.most_idle = static_cast<size_t>(target.connections);
+    options.max_idle = static_cast<size_t>(target.connections);
     clients_[target.name] =
         std::make_shared<HttpClient>(address.value(), options);
     addresses_[target.name] = target.address;
@@ -148,7 +148,7 @@
   if (!deadline.empty()) {
     int64_t millis = 0;
     if (!absl::SimpleAtoi(deadline, &millis) || millis < 1 ||
-        millis > absl::ToInt64Milliseconds(kLongestDeadline)) {
+        millis > absl::ToInt64Milliseconds(kMaxDeadline)) {
       return Refusal(
           400, Verdict::kDidNotRun,
           absl::StrCat(
@@ -159,12 +159,12 @@
   }
   context.deadline = SystemNow().mono + timeout;
   if (context.repeatable) return Forward(request, context, span);
-  return ServeOnce(request, context, span);
+  return ServeNonRepeatable(request, context, span);
 }
 
-ServerResponse RequestServer::ServeOnce(const ServerRequest& request,
-                                        const RequestContext& context,
-                                        Span& span) {
+ServerResponse RequestServer::ServeNonRepeatable(const ServerRequest& request,
+                                                 const RequestContext& context,
+                                                 Span& span) {
   const std::string ticket = FindHeader(request.headers, kTicketHeader);
   if (!ticket.empty()) return ServeWithTicket(ticket, request, context, span);
   const std::string key = FindHeader(request.headers, kIdempotencyKeyHeader);
@@ -176,32 +176,33 @@
                      kTicketHeader, " with a ticket from POST ", kTicketPath,
                      ", the same one each time you send this request"));
   }
-  if (key.size() > kLongestKey)
+  if (key.size() > kMaxKeyBytes)
     return Refusal(400, Verdict::kDidNotRun,
                    "the key must be at most 256 bytes");
   const std::string claim = absl::StrCat(context.service, "|", key);
   switch (claims_.Claim(claim, context.deadline - SystemNow().mono)) {
-    case ClaimDesk::Answer::kTaken:
+    case ClaimService::Answer::kAlreadyClaimed:
       return Refusal(
           409, Verdict::kMayHaveRun,
           "a request with this key was taken on before; it may have run");
-    case ClaimDesk::Answer::kNoRecord:
+    case ClaimService::Answer::kNotRecorded:
       return Refusal(
           503, Verdict::kDidNotRun,
           "the log took no record of the key in time; nothing was sent on",
           absl::Seconds(2));
-    case ClaimDesk::Answer::kBusy:
+    case ClaimService::Answer::kBusy:
       return Refusal(503, Verdict::kDidNotRun,
                      "too many requests wait for the log", absl::Seconds(1));
-    case ClaimDesk::Answer::kMine:
+    case ClaimService::Answer::kGranted:
       break;
   }
   ServerResponse response = Forward(request, context, span);
-  if (VerdictIs(response, Verdict::kDidNotRun)) claims_.Release(claim);
+  if (HasVerdict(response, Verdict::kDidNotRun)) claims_.Release(claim);
   return response;
 }
 
-bool RequestServer::VerdictIs(const ServerResponse& response, Verdict verdict) {
+bool RequestServer::HasVerdict(const ServerResponse& response,
+                               Verdict verdict) {
   return FindHeader(response.headers, kVerdictHeader) == VerdictName(verdict);
 }
 
@@ -212,12 +213,12 @@
   Result<Ticket> ticket = TicketFromText(text);
   if (!ticket) return Refusal(400, Verdict::kDidNotRun, ticket.error().message);
   if (ticket.value().gateway != name_)
-    return PassToOwner(ticket.value(), request, context, span);
+    return ForwardToIssuer(ticket.value(), request, context, span);
   {
     absl::MutexLock lock(&mutex_);
     const bool first =
-        tickets_.Mine(ticket.value()) &&
-        tickets_.Use(ticket.value(), absl::Now()) == OnceUse::kFirst;
+        tickets_.IssuedByThisRun(ticket.value()) &&
+        tickets_.Use(ticket.value(), absl::Now()) == TicketUse::kFirst;
     if (!first) {
       return Refusal(409, Verdict::kMayHaveRun,
                      "this ticket was used before, has expired, or is of an "
@@ -225,7 +226,7 @@
     }
   }
   ServerResponse response = Forward(request, context, span);
-  if (VerdictIs(response, Verdict::kDidNotRun)) {
+  if (HasVerdict(response, Verdict::kDidNotRun)) {
     absl::MutexLock lock(&mutex_);
     tickets_.Release(ticket.value());
   }
@@ -233,44 +234,45 @@
 }
 
 // The request goes to the one gateway that may dispatch it.
-ServerResponse RequestServer::PassToOwner(const Ticket& ticket,
-                                          const ServerRequest& request,
-                                          const RequestContext& context,
-                                          Span& span) {
-  std::shared_ptr<HttpClient> owner;
+ServerResponse RequestServer::ForwardToIssuer(const Ticket& ticket,
+                                              const ServerRequest& request,
+                                              const RequestContext& context,
+                                              Span& span) {
+  std::shared_ptr<HttpClient> issuer;
   {
     absl::MutexLock lock(&mutex_);
     const auto it = entry_hosts_.find(ticket.gateway);
     if (it != entry_hosts_.end()) {
-      std::shared_ptr<HttpClient>& client = owners_[it->second];
+      std::shared_ptr<HttpClient>& client = ticket_issuers_[it->second];
       Result<Address> address = ParseAddress(it->second);
       if (!client && address)
         client = std::make_shared<HttpClient>(address.value(),
                                               HttpClient::Options());
-      owner = client;
+      issuer = client;
     }
   }
-  if (!owner) {
+  if (!issuer) {
     return Refusal(409, Verdict::kMayHaveRun,
                    "the gateway that issued this ticket is not in the "
                    "configuration; nothing runs now");
   }
-  HttpRequest out = OutRequest(request, context, span, 0);
+  HttpRequest out = MakeForwardedRequest(request, context, span, 0);
   out.headers.emplace_back(kTicketHeader, TicketToText(ticket));
   const HttpOutcome outcome =
-      owner->Send(out, context.deadline - SystemNow().mono);
+      issuer->Send(out, context.deadline - SystemNow().mono);
   if (!outcome.response) {
     return Refusal(502, Verdict::kMayHaveRun,
                    "the gateway that issued this ticket does not answer; the "
                    "request may have run");
   }
-  return FromTarget(*outcome.response,
-                    FindHeader(outcome.response->headers, kVerdictHeader));
+  return ResponseFromTarget(
+      *outcome.response, FindHeader(outcome.response->headers, kVerdictHeader));
 }
 
-HttpRequest RequestServer::OutRequest(const ServerRequest& request,
-                                      const RequestContext& context,
-                                      const Span& span, int attempt) const {
+HttpRequest RequestServer::MakeForwardedRequest(const ServerRequest& request,
+                                                const RequestContext& context,
+                                                const Span& span,
+                                                int attempt) const {
   HttpRequest out;
   out.method = request.method;
   out.path = request.path;
@@ -281,15 +283,15 @@
     separator = '&';
   }
   for (const auto& [name, value] : request.headers) {
-    if (!HopHeader(name) && !OwnHeader(name))
+    if (!IsHopByHopHeader(name) && !IsPerHopHeader(name))
       out.headers.emplace_back(name, value);
   }
   out.headers.emplace_back(kRequestIdHeader, context.request_id);
   out.headers.emplace_back(kAttemptHeader, absl::StrCat(attempt));
-  const int64_t left_ms =
+  const int64_t remaining_ms =
       absl::ToInt64Milliseconds(context.deadline - SystemNow().mono);
   out.headers.emplace_back(kDeadlineHeader,
-                           absl::StrCat(std::max<int64_t>(1, left_ms)));
+                           absl::StrCat(std::max<int64_t>(1, remaining_ms)));
   out.headers.emplace_back("traceparent", span.context().ToHeader());
   out.body = request.body;
   const std::string type = FindHeader(request.headers, "Content-Type");
@@ -298,7 +300,7 @@
 }
 
 // Headers that are set anew on each hop.
-bool RequestServer::OwnHeader(const std::string& name) {
+bool RequestServer::IsPerHopHeader(const std::string& name) {
   for (const char* own :
        {kRequestIdHeader, kAttemptHeader, kDeadlineHeader, kTicketHeader}) {
     if (absl::EqualsIgnoreCase(name, own)) return true;
@@ -325,33 +327,33 @@
                                       Span& parent) {
   std::set<std::string> tried;
   Verdict verdict = Verdict::kDidNotRun;
-  std::string trouble = "no attempt was made";
+  std::string last_failure = "no attempt was made";
   {
     absl::MutexLock lock(&mutex_);
-    Budget(context.team).OnFirstTry();
+    RetryBudgetFor(context.team).OnFirstTry();
   }
-  for (int attempt = 1; attempt <= kMostAttempts; ++attempt) {
-    const absl::Duration left = context.deadline - SystemNow().mono;
-    if (left <= absl::ZeroDuration()) break;
+  for (int attempt = 1; attempt <= kMaxAttempts; ++attempt) {
+    const absl::Duration remaining = context.deadline - SystemNow().mono;
+    if (remaining <= absl::ZeroDuration()) break;
     Router::Pick pick;
     std::shared_ptr<HttpClient> client;
     {
       absl::MutexLock lock(&mutex_);
-      Result<Router::Pick> chosen =
+      Result<Router::Pick> choice =
           router_.Choose(context.service, tried, SystemNow().mono);
-      if (!chosen) {
+      if (!choice) {
         if (attempt > 1) break;
-        return Refusal(StatusOf(chosen.error().code), Verdict::kDidNotRun,
-                       chosen.error().message, chosen.error().retry_after);
+        return Refusal(HttpStatusOf(choice.error().code), Verdict::kDidNotRun,
+                       choice.error().message, choice.error().retry_after);
       }
-      pick = chosen.value();
+      pick = choice.value();
       client = clients_[pick.target];
     }
     Span span("gateway.attempt", parent.context());
     span.Set("keelbridge.target", pick.target);
-    HttpOutcome outcome =
-        client->Send(OutRequest(request, context, span, attempt), left);
-    const AttemptResult result = Judge(outcome, context, attempt);
+    HttpOutcome outcome = client->Send(
+        MakeForwardedRequest(request, context, span, attempt), remaining);
+    const AttemptResult result = ClassifyAttempt(outcome, context, attempt);
     {
       absl::MutexLock lock(&mutex_);
       router_.Done(pick.target, result, SystemNow().mono);
@@ -359,21 +361,22 @@
     metrics_.Count("attempts_total",
                    {{"target", pick.target}, {"result", AttemptName(result)}});
     if (result == AttemptResult::kAnswered) {
-      return FromTarget(*outcome.response, VerdictName(Verdict::kRan));
+      return ResponseFromTarget(*outcome.response, VerdictName(Verdict::kRan));
     }
     tried.insert(pick.target);
-    trouble = outcome.message;
+    last_failure = outcome.message;
     if (result == AttemptResult::kNoAnswer) verdict = Verdict::kMayHaveRun;
     if (!Router::MayRetry(result, context.repeatable)) break;
     absl::MutexLock lock(&mutex_);
-    if (!Budget(context.team).Spend()) break;
+    if (!RetryBudgetFor(context.team).TrySpend()) break;
   }
-  const bool late = SystemNow().mono >= context.deadline;
+  const bool deadline_passed = SystemNow().mono >= context.deadline;
   const std::string message =
       absl::StrCat(verdict == Verdict::kDidNotRun ? "the request did not run"
                                                   : "the request may have run",
-                   ": ", trouble);
-  return Refusal(late ? 504 : 503, verdict, message, absl::Seconds(1));
+                   ": ", last_failure);
+  return Refusal(deadline_passed ? 504 : 503, verdict, message,
+                 absl::Seconds(1));
 }
 
 const char* RequestServer::AttemptName(AttemptResult result) {
@@ -392,10 +395,11 @@
 
 // What an attempt's outcome means. An answer to another request, or to
 // another attempt, is no answer.
-AttemptResult RequestServer::Judge(HttpOutcome& outcome,
-                                   const RequestContext& context, int attempt) {
+AttemptResult RequestServer::ClassifyAttempt(HttpOutcome& outcome,
+                                             const RequestContext& context,
+                                             int attempt) {
   if (!outcome.response) {
-    return VerdictOfFailure(outcome.failure) == Verdict::kDidNotRun
+    return VerdictFromFailure(outcome.failure) == Verdict::kDidNotRun
                ? AttemptResult::kUnreached
                : AttemptResult::kNoAnswer;
   }
@@ -407,9 +411,9 @@
   }
   const std::string id = FindHeader(response.headers, kRequestIdHeader);
   const std::string echoed = FindHeader(response.headers, kAttemptHeader);
-  const bool strange = (!id.empty() && id != context.request_id) ||
-                       (!echoed.empty() && echoed != absl::StrCat(attempt));
-  if (strange) {
+  const bool mismatched = (!id.empty() && id != context.request_id) ||
+                          (!echoed.empty() && echoed != absl::StrCat(attempt));
+  if (mismatched) {
     metrics_.Count("strange_answers_total", {});
     outcome.message = "the target sent the answer to another request";
     return AttemptResult::kNoAnswer;
@@ -417,15 +421,16 @@
   return AttemptResult::kAnswered;
 }
 
-ServerResponse RequestServer::FromTarget(const HttpResponse& in,
-                                         const std::string& verdict) {
+ServerResponse RequestServer::ResponseFromTarget(const HttpResponse& in,
+                                                 const std::string& verdict) {
   ServerResponse out;
   out.status = in.status;
   out.body = in.body;
   out.content_type = FindHeader(in.headers, "Content-Type");
   if (out.content_type.empty()) out.content_type = "application/octet-stream";
   for (const auto& [name, value] : in.headers) {
-    if (!HopHeader(name) && !absl::EqualsIgnoreCase(name, kVerdictHeader))
+    if (!IsHopByHopHeader(name) &&
+        !absl::EqualsIgnoreCase(name, kVerdictHeader))
       out.headers.emplace_back(name, value);
   }
   out.headers.emplace_back(
@@ -434,9 +439,9 @@
   return out;
 }
 
-RetryBudget& RequestServer::Budget(const std::string& team) {
+RetryBudget& RequestServer::RetryBudgetFor(const std::string& team) {
   // Unknown names share one budget, so that made-up ones cost no memory.
-  const bool known = budgets_.size() < kMostBudgets || budgets_.count(team) > 0;
+  const bool known = budgets_.size() < kMaxBudgets || budgets_.count(team) > 0;
   return budgets_.try_emplace(known ? team : "", RetryBudget::Options())
       .first->second;
 }
--- a/keelbridge/daemon/request_server.h
+++ b/keelbridge/daemon/request_server.h
@@ -52,7 +52,7 @@
   ServerResponse IssueTicket(const ServerRequest& request);
 
   // To be stepped by a duty.
-  ClaimDesk& claims() { return claims_; }
+  ClaimService& claims() { return claims_; }
 
  private:
   // What a request is allowed and how it is identified.
@@ -64,36 +64,37 @@
     bool repeatable = false;
   };
 
-  ServerResponse ServeOnce(const ServerRequest& request,
-                           const RequestContext& context, Span& span);
-  static bool VerdictIs(const ServerResponse& response, Verdict verdict);
+  ServerResponse ServeNonRepeatable(const ServerRequest& request,
+                                    const RequestContext& context, Span& span);
+  static bool HasVerdict(const ServerResponse& response, Verdict verdict);
   ServerResponse ServeWithTicket(const std::string& text,
                                  const ServerRequest& request,
                                  const RequestContext& context, Span& span);
-  ServerResponse PassToOwner(const Ticket& ticket, const ServerRequest& request,
-                             const RequestContext& context, Span& span);
-  HttpRequest OutRequest(const ServerRequest& request,
-                         const RequestContext& context, const Span& span,
-                         int attempt) const;
-  static bool OwnHeader(const std::string& name);
+  ServerResponse ForwardToIssuer(const Ticket& ticket,
+                                 const ServerRequest& request,
+                                 const RequestContext& context, Span& span);
+  HttpRequest MakeForwardedRequest(const ServerRequest& request,
+                                   const RequestContext& context,
+                                   const Span& span, int attempt) const;
+  static bool IsPerHopHeader(const std::string& name);
   static std::string UrlEncode(const std::string& text);
   ServerResponse Forward(const ServerRequest& request,
                          const RequestContext& context, Span& parent);
   static const char* AttemptName(AttemptResult result);
-  AttemptResult Judge(HttpOutcome& outcome, const RequestContext& context,
-                      int attempt);
-  static ServerResponse FromTarget(const HttpResponse& in,
-                                   const std::string& verdict);
-  RetryBudget& Budget(const std::string& team)
+  AttemptResult ClassifyAttempt(HttpOutcome& outcome,
+                                const RequestContext& context, int attempt);
+  static ServerResponse ResponseFromTarget(const HttpResponse& in,
+                                           const std::string& verdict);
+  RetryBudget& RetryBudgetFor(const std::string& team)
 
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_);
 
-  static constexpr size_t kMostBudgets = 256;
+  static constexpr size_t kMaxBudgets = 256;
 
   const std::string name_;
   const std::string zone_;
   Metrics& metrics_;
-  ClaimDesk claims_;
+  ClaimService claims_;
   absl::Mutex mutex_;
   bool configured_ ABSL_GUARDED_BY(mutex_) = false;
   Router router_ ABSL_GUARDED_BY(mutex_);
@@ -103,7 +104,7 @@
   std::map<std::string, std::string> addresses_ ABSL_GUARDED_BY(mutex_);
   std::map<std::string, std::string> entry_hosts_ ABSL_GUARDED_BY(mutex_);
   // Gateways that issued tickets, by address.
-  std::map<std::string, std::shared_ptr<HttpClient>> owners_
+  std::map<std::string, std::shared_ptr<HttpClient>> ticket_issuers_
       ABSL_GUARDED_BY(mutex_);
   std::map<std::string, RetryBudget> budgets_ ABSL_GUARDED_BY(mutex_);
 };
