--- a/keelbridge/daemon/scheduler.cc
+++ b/keelbridge/daemon/scheduler.cc
@@ -28,12 +28,12 @@
 namespace keelbridge {
 namespace {
 
-constexpr size_t kMostEvents = 20000;
-constexpr size_t kEventsAStep = 2000;
-constexpr size_t kMostHttpThreads = 16;
-constexpr absl::Duration kConfirmWait = absl::Seconds(4);
-constexpr absl::Duration kAskWait = absl::Seconds(5);
-constexpr absl::Duration kRenewConfigurationEvery = absl::Minutes(10);
+constexpr size_t kMaxQueuedEvents = 20000;
+constexpr size_t kMaxEventsPerStep = 2000;
+constexpr size_t kMaxHttpThreads = 16;
+constexpr absl::Duration kConfirmTimeout = absl::Seconds(4);
+constexpr absl::Duration kCoreCallTimeout = absl::Seconds(5);
+constexpr absl::Duration kConfigurationRenewalInterval = absl::Minutes(10);
 
 // Something for the one thread that owns the `ZoneScheduler`.
 using Event = std::function<void(ZoneScheduler&, Now)>;
@@ -54,7 +54,8 @@
   options.leases.command_validity = settings.command_validity;
   options.leases.clock_error = settings.clock_error;
   // Silence is more than a poll or two that went wrong.
-  options.log_silence = std::max(options.log_silence, 3 * settings.poll_every);
+  options.log_down_after =
+      std::max(options.log_down_after, 3 * settings.poll_every);
   options.log.incarnation = incarnation;
   options.log.seed = incarnation;
   options.log.append_every = settings.append_every;
@@ -94,8 +95,8 @@
     HttpServer::Options options;
     options.ip = listen.value().ip;
     options.port = listen.value().port;
-    options.most_threads = kMostHttpThreads;
-    options.most_body_bytes = static_cast<size_t>(settings_.most_body_bytes);
+    options.max_threads = kMaxHttpThreads;
+    options.max_body_bytes = static_cast<size_t>(settings_.max_body_bytes);
     AddRpcMethods();
     server_ = std::make_unique<HttpServer>(
         options,
@@ -103,14 +104,14 @@
     Result<int> port = server_->Start();
     if (!port) return port.error();
     port_ = port.value();
-    decider_ = duties_.Start("decider", settings_.tick, [this] { Step(); });
-    duties_.Start("configuration", settings_.poll_every,
-                  [this] { FollowConfiguration(); });
-    reader_ =
-        duties_.Start("log_reader", absl::Seconds(1), [this] { ReadLog(); });
-    writer_ =
-        duties_.Start("log_writer", absl::Seconds(1), [this] { WriteLog(); });
-    duties_.Start("hosts", settings_.poll_every, [this] { FollowHosts(); });
+    decider_task_ = tasks_.Start("decider", settings_.tick, [this] { Step(); });
+    tasks_.Start("configuration", settings_.poll_every,
+                 [this] { FollowConfiguration(); });
+    log_reader_task_ =
+        tasks_.Start("log_reader", absl::Seconds(1), [this] { ReadLog(); });
+    log_writer_task_ =
+        tasks_.Start("log_writer", absl::Seconds(1), [this] { WriteLog(); });
+    tasks_.Start("hosts", settings_.poll_every, [this] { FollowHosts(); });
     if (!settings_.ready_file.empty())
       std::ofstream(settings_.ready_file) << port_ << "\n";
     LogEvent(Severity::kInfo, "scheduler_serves",
@@ -125,15 +126,15 @@
     draining_ = true;
     server_->Drain();
     // Releases go out, and what waits for the log gets the time to reach it.
-    Ask([this](ZoneScheduler& core, Now now) {
+    CallCore([this](ZoneScheduler& core, Now now) {
       for (Action& action : core.HandOver(now))
-        CarryOut(std::move(action), now.mono);
+        ExecuteAction(std::move(action), now.mono);
       return 0;
     });
-    const absl::Time most = SystemNow().mono + settings_.drain_notice;
-    while (SystemNow().mono < most) {
-      const auto idle =
-          Ask([](ZoneScheduler& core, Now) { return core.writer().idle(); });
+    const absl::Time deadline = SystemNow().mono + settings_.drain_notice;
+    while (SystemNow().mono < deadline) {
+      const auto idle = CallCore(
+          [](ZoneScheduler& core, Now) { return core.writer().idle(); });
       if (idle && *idle) break;
       absl::SleepFor(absl::Milliseconds(20));
     }
@@ -146,24 +147,25 @@
     if (server_) server_->Stop();
     // Its threads wake the decider, so they end first.
     workers_.Stop();
-    duties_.Stop();
+    tasks_.Stop();
   }
 
   // The one thread that owns the core.
 
   void Step() {
-    for (Event& event : events_.Drain(kEventsAStep)) event(core_, SystemNow());
+    for (Event& event : events_.Drain(kMaxEventsPerStep))
+      event(core_, SystemNow());
     const Now now = SystemNow();
     for (Action& action : core_.Tick(now))
-      CarryOut(std::move(action), now.mono);
-    Publish(now);
+      ExecuteAction(std::move(action), now.mono);
+    PublishMetrics(now);
   }
 
-  void CarryOut(Action action, absl::Time sent_at) {
+  void ExecuteAction(Action action, absl::Time sent_at) {
     if (auto* append = std::get_if<SendAppend>(&action)) {
       if (!appends_.Push(std::move(append->envelope)))
         core_.OnAppendAnswer(std::nullopt, SystemNow());
-      writer_->Wake();
+      log_writer_task_->Wake();
       return;
     }
     WorkerCall call;
@@ -175,11 +177,11 @@
     if (auto* stop = std::get_if<SendStop>(&action))
       call.command = std::move(*stop);
     if (!workers_.Send(call))
-      Deliver(core_, call, std::monostate(), SystemNow());
+      DeliverReply(core_, call, std::monostate(), SystemNow());
   }
 
-  static void Deliver(ZoneScheduler& core, const WorkerCall& call,
-                      const WorkerAnswer& answer, Now now) {
+  static void DeliverReply(ZoneScheduler& core, const WorkerCall& call,
+                           const WorkerAnswer& answer, Now now) {
     std::optional<HoldReply> hold_reply;
     std::optional<CommandReply> command_reply;
     if (const auto* reply = std::get_if<HoldReply>(&answer))
@@ -197,7 +199,7 @@
   void OnWorkerAnswer(WorkerCall call, WorkerAnswer answer) {
     PushEvent([call = std::move(call), answer = std::move(answer)](
                   ZoneScheduler& core, Now now) {
-      Deliver(core, call, answer, now);
+      DeliverReply(core, call, answer, now);
     });
   }
 
@@ -206,12 +208,12 @@
   void PushEvent(Event event) {
     if (!events_.Push(std::move(event)))
       metrics_.Count("events_dropped_total", {});
-    if (decider_ != nullptr) decider_->Wake();
+    if (decider_task_ != nullptr) decider_task_->Wake();
   }
 
   // Runs `f` on the core's thread and waits for its result.
   template <typename F>
-  auto Ask(F f)
+  auto CallCore(F f)
       -> std::optional<decltype(f(std::declval<ZoneScheduler&>(), Now()))> {
     using R = decltype(f(std::declval<ZoneScheduler&>(), Now()));
     auto promise = std::make_shared<std::promise<R>>();
@@ -219,13 +221,13 @@
     PushEvent([promise, f = std::move(f)](ZoneScheduler& core, Now now) {
       promise->set_value(f(core, now));
     });
-    if (future.wait_for(absl::ToChronoNanoseconds(kAskWait)) !=
+    if (future.wait_for(absl::ToChronoNanoseconds(kCoreCallTimeout)) !=
         std::future_status::ready)
       return std::nullopt;
     return future.get();
   }
 
-  void Publish(Now now) {
+  void PublishMetrics(Now now) {
     const bool leads = core_.Leads(now.mono);
     if (leads != leads_) {
       LogEvent(
@@ -270,8 +272,8 @@
                {{"version", absl::StrCat(next.version)}});
     }
     if (!leads_) return;
-    const std::optional<ConfigurationEntry> renewal =
-        configuration_.RenewalDue(SystemNow().mono, kRenewConfigurationEvery);
+    const std::optional<ConfigurationEntry> renewal = configuration_.RenewalDue(
+        SystemNow().mono, kConfigurationRenewalInterval);
     if (!renewal) return;
     const Envelope envelope{{RandomId() >> 1, 1}, {*renewal}};
     // A renewal that is lost is made again at the next poll.
@@ -281,8 +283,8 @@
 
   void ReadLog() {
     while (true) {
-      const auto from =
-          Ask([](ZoneScheduler& core, Now) { return core.replica().next(); });
+      const auto from = CallCore(
+          [](ZoneScheduler& core, Now) { return core.replica().next(); });
       if (!from) return;
       Result<LogBatch> batch = log_.Read(stream_, *from, settings_.log_timeout);
       if (!batch) return;
@@ -305,7 +307,7 @@
         core.OnAppendAnswer(answer, now);
       });
       // What was written counts when it has been read back.
-      reader_->Wake();
+      log_reader_task_->Wake();
     }
   }
 
@@ -341,14 +343,14 @@
             "text/plain"};
   }
 
-  static JsonRpcReply Busy() {
+  static JsonRpcReply BusyReply() {
     return ToRpcReply(MakeError(ErrorCode::kOverloaded,
                                 "the scheduler is busy; nothing was done",
                                 absl::Seconds(1)));
   }
 
   // Only the leader knows what is decided; a caller tries the next scheduler.
-  static JsonRpcReply IfLeader(const Json::Value& value) {
+  static JsonRpcReply LeaderReply(const Json::Value& value) {
     if (value["leads"].asBool()) return Reply(value);
     return ToRpcReply(MakeError(ErrorCode::kUnavailable,
                                 "this scheduler does not lead its zone",
@@ -362,9 +364,9 @@
              [this](const Json::Value& params) { return OnConfirm(params); });
     rpc_.Add("explain", [this](const Json::Value& params) {
       const std::string task = params["task"].asString();
-      auto text =
-          Ask([task](ZoneScheduler& core, Now) { return core.Explain(task); });
-      if (!text) return Busy();
+      auto text = CallCore(
+          [task](ZoneScheduler& core, Now) { return core.Explain(task); });
+      if (!text) return BusyReply();
       if (!*text) return ToRpcReply(text->error());
       Json::Value out;
       out["text"] = text->value();
@@ -372,7 +374,7 @@
     });
     rpc_.Add("watch", [this](const Json::Value& params) {
       const int64_t after = params["after"].asInt64();
-      const auto out = Ask([after](ZoneScheduler& core, Now now) {
+      const auto out = CallCore([after](ZoneScheduler& core, Now now) {
         Json::Value value;
         value["leads"] = core.Leads(now.mono);
         int64_t next = 0;
@@ -382,29 +384,30 @@
         value["next"] = static_cast<Json::Int64>(next);
         return value;
       });
-      return out ? IfLeader(*out) : Busy();
+      return out ? LeaderReply(*out) : BusyReply();
     });
     rpc_.Add("drained_targets", [this](const Json::Value&) {
-      const auto out = Ask([](ZoneScheduler& core, Now) {
+      const auto out = CallCore([](ZoneScheduler& core, Now) {
         Json::Value value;
         value["targets"] = Json::Value(Json::arrayValue);
         for (const std::string& name : core.replica().state().drained_targets())
           value["targets"].append(name);
         return value;
       });
-      return out ? Reply(*out) : Busy();
+      return out ? Reply(*out) : BusyReply();
     });
     rpc_.Add("configuration", [this](const Json::Value& params) {
-      return Reply(configuration_.ForPeer(params["have"].asInt64()));
+      return Reply(configuration_.MakePeerReply(params["have"].asInt64()));
     });
     rpc_.Add("status", [this](const Json::Value&) {
-      const auto out = Ask(
+      const auto out = CallCore(
           [this](ZoneScheduler& core, Now now) { return Status(core, now); });
-      return out ? Reply(*out) : Busy();
+      return out ? Reply(*out) : BusyReply();
     });
     rpc_.Add("top", [this](const Json::Value&) {
-      const auto out = Ask([](ZoneScheduler& core, Now) { return Top(core); });
-      return out ? Reply(*out) : Busy();
+      const auto out =
+          CallCore([](ZoneScheduler& core, Now) { return Top(core); });
+      return out ? Reply(*out) : BusyReply();
     });
   }
 
@@ -412,35 +415,37 @@
     std::vector<Intent> intents;
     for (const Json::Value& intent : params["intents"])
       intents.push_back(IntentFromJson(intent));
-    auto plan = Ask([intents](ZoneScheduler& core, Now now) {
+    auto plan = CallCore([intents](ZoneScheduler& core, Now now) {
       return core.Propose(intents, now);
     });
-    if (!plan) return Busy();
+    if (!plan) return BusyReply();
     if (!*plan) return ToRpcReply(plan->error());
     return Reply(ToJson(plan->value()));
   }
 
   JsonRpcReply OnConfirm(const Json::Value& params) {
     const Plan plan = PlanFromJson(params["plan"]);
-    const auto sent = Ask([plan](ZoneScheduler& core, Now now) -> Result<void> {
-      return core.Confirm(plan, now);
-    });
-    if (!sent) return Busy();
+    const auto sent =
+        CallCore([plan](ZoneScheduler& core, Now now) -> Result<void> {
+          return core.Confirm(plan, now);
+        });
+    if (!sent) return BusyReply();
     if (!*sent)
       return sent->error().code == ErrorCode::kStale
-                 ? Stale(plan, sent->error())
+                 ? StaleReply(plan, sent->error())
                  : ToRpcReply(sent->error());
-    const absl::Time most = SystemNow().mono + kConfirmWait;
-    while (SystemNow().mono < most) {
-      const auto fate = Ask(
-          [id = plan.id](ZoneScheduler& core, Now) { return core.FateOf(id); });
-      if (fate && *fate == ZoneState::PlanFate::kConfirmed) {
+    const absl::Time deadline = SystemNow().mono + kConfirmTimeout;
+    while (SystemNow().mono < deadline) {
+      const auto outcome = CallCore([id = plan.id](ZoneScheduler& core, Now) {
+        return core.GetPlanOutcome(id);
+      });
+      if (outcome && *outcome == ZoneState::PlanOutcome::kConfirmed) {
         Json::Value out;
         out["confirmed"] = plan.id;
         return Reply(out);
       }
-      if (fate && *fate == ZoneState::PlanFate::kStale) {
-        return Stale(
+      if (outcome && *outcome == ZoneState::PlanOutcome::kStale) {
+        return StaleReply(
             plan,
             MakeError(
                 ErrorCode::kStale,
@@ -455,13 +460,14 @@
   }
 
   // The refusal of a stale plan carries a fresh one for the same intents.
-  JsonRpcReply Stale(const Plan& plan, const Error& error) {
-    auto fresh = Ask([intents = plan.intents](ZoneScheduler& core, Now now) {
-      return core.Propose(intents, now);
-    });
+  JsonRpcReply StaleReply(const Plan& plan, const Error& error) {
+    auto new_plan =
+        CallCore([intents = plan.intents](ZoneScheduler& core, Now now) {
+          return core.Propose(intents, now);
+        });
     Json::Value out;
     out["stale"] = error.message;
-    if (fresh && *fresh) out["fresh"] = ToJson(fresh->value());
+    if (new_plan && *new_plan) out["fresh"] = ToJson(new_plan->value());
     return Reply(out);
   }
 
@@ -516,7 +522,7 @@
       Json::Value row;
       row["team"] = core.decider().TeamName(team);
       row["share"] = core.decider().ShareOf(team);
-      row["quota"] = core.decider().QuotaOf(team);
+      row["quota"] = core.decider().ComputeWorkerQuota(team);
       out["teams"].append(row);
     }
     return out;
@@ -530,19 +536,19 @@
   ConfigurationFollower configuration_;
   Metrics metrics_;
   JsonRpcServer rpc_;
-  BoundedRing<Event> events_{kMostEvents};
-  BoundedRing<Envelope> appends_{4};
+  BoundedQueue<Event> events_{kMaxQueuedEvents};
+  BoundedQueue<Envelope> appends_{4};
   std::atomic<bool> draining_{false};
   std::atomic<bool> leads_{false};
   int port_ = 0;
   ZoneScheduler core_;  // Of the decider duty only.
   absl::Time next_publish_ = absl::InfinitePast();
   WorkerPool workers_;
-  Duty* decider_ = nullptr;
-  Duty* reader_ = nullptr;
-  Duty* writer_ = nullptr;
+  PeriodicTask* decider_task_ = nullptr;
+  PeriodicTask* log_reader_task_ = nullptr;
+  PeriodicTask* log_writer_task_ = nullptr;
   std::unique_ptr<HttpServer> server_;
-  DutyHost duties_;
+  PeriodicTaskRunner tasks_;
 };
 
 Scheduler::Scheduler(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
--- a/keelbridge/daemon/settings.cc
+++ b/keelbridge/daemon/settings.cc
@@ -14,7 +14,7 @@
                   const std::string& value) {
   if (value.empty()) return;
   if (auto address = ParseAddress(value); !address)
-    reader.Fault(key, address.error().message);
+    reader.ReportFault(key, address.error().message);
 }
 
 }  // namespace
@@ -25,34 +25,33 @@
   if (!document.faults().empty()) return document.FaultError();
   Settings out;
   JsonReader reader(document, document.root(), "");
-  reader.Text("name", &out.name);
-  reader.Text("zone", &out.zone);
-  reader.Text("listen", &out.listen);
+  reader.String("name", &out.name);
+  reader.String("zone", &out.zone);
+  reader.String("listen", &out.listen);
   CheckAddress(reader, "listen", out.listen);
-  reader.Text("log", &out.log);
+  reader.String("log", &out.log);
   CheckAddress(reader, "log", out.log);
-  reader.Text("host_list", &out.host_list);
+  reader.String("host_list", &out.host_list);
   CheckAddress(reader, "host_list", out.host_list);
   if (reader.Has("peers")) {
-    reader.Texts("peers", &out.peers);
+    reader.StringList("peers", &out.peers);
     for (const std::string& peer : out.peers)
       CheckAddress(reader, "peers", peer);
   }
-  reader.OptionalText("scheduler", &out.scheduler);
+  reader.OptionalString("scheduler", &out.scheduler);
   CheckAddress(reader, "scheduler", out.scheduler);
-  reader.OptionalText("ready_file", &out.ready_file);
-  reader.OptionalText("trace_file", &out.trace_file);
+  reader.OptionalString("ready_file", &out.ready_file);
+  reader.OptionalString("trace_file", &out.trace_file);
   std::string level = "info";
   if (reader.Has("log_level"))
-    reader.Choice("log_level", {"debug", "info", "warning", "error"}, &level);
+    reader.OneOf("log_level", {"debug", "info", "warning", "error"}, &level);
   out.log_level = SeverityFromName(level);
-  reader.OptionalInteger("most_connections", 4, 4096, &out.most_connections);
-  reader.OptionalInteger("most_body_bytes", 1024, 1 << 28,
-                         &out.most_body_bytes);
+  reader.OptionalInteger("most_connections", 4, 4096, &out.max_connections);
+  reader.OptionalInteger("most_body_bytes", 1024, 1 << 28, &out.max_body_bytes);
   reader.OptionalMillis("log_timeout_ms", 10, 60000, &out.log_timeout);
   reader.OptionalMillis("poll_every_ms", 50, 4000, &out.poll_every);
   reader.OptionalMillis("drain_notice_ms", 0, 60000, &out.drain_notice);
-  reader.OptionalMillis("drain_most_ms", 0, 600000, &out.drain_most);
+  reader.OptionalMillis("drain_most_ms", 0, 600000, &out.drain_timeout);
   reader.OptionalMillis("tick_ms", 1, 1000, &out.tick);
   reader.OptionalMillis("hold_ttl_ms", 300, 60000, &out.hold_ttl);
   reader.OptionalMillis("lease_ttl_ms", 600, 600000, &out.lease_ttl);
@@ -62,9 +61,10 @@
   reader.OptionalMillis("append_every_ms", 10, 10000, &out.append_every);
   reader.OptionalInteger("worker_threads", 1, 64, &out.worker_threads);
   if (out.lease_ttl < 2 * out.hold_ttl) {
-    reader.Fault("lease_ttl_ms",
-                 "must be at least twice hold_ttl_ms, so that tasks outlive a "
-                 "change of leader");
+    reader.ReportFault(
+        "lease_ttl_ms",
+        "must be at least twice hold_ttl_ms, so that tasks outlive a "
+        "change of leader");
   }
   reader.Finish();
   if (!document.faults().empty()) return document.FaultError();
--- a/keelbridge/daemon/settings.h
+++ b/keelbridge/daemon/settings.h
@@ -30,8 +30,8 @@
   std::string trace_file;  // Spans as OTLP/JSON lines; "-": standard output.
   Severity log_level = Severity::kInfo;
 
-  int64_t most_connections = 256;  // Callers' connections served at a time.
-  int64_t most_body_bytes = 4 << 20;
+  int64_t max_connections = 256;  // Callers' connections served at a time.
+  int64_t max_body_bytes = 4 << 20;
   absl::Duration log_timeout = absl::Seconds(2);
   absl::Duration poll_every = absl::Seconds(2);  // Of log and host list.
   // Least time between two appends of this daemon to the log, which takes about
@@ -39,7 +39,7 @@
   absl::Duration append_every = absl::Milliseconds(200);
   absl::Duration drain_notice =
       absl::Seconds(2);  // From the signal to no longer accepting.
-  absl::Duration drain_most =
+  absl::Duration drain_timeout =
       absl::Seconds(30);  // At most until requests in flight have ended.
 
   // Scheduler.
--- a/keelbridge/daemon/site_node.cc
+++ b/keelbridge/daemon/site_node.cc
@@ -12,13 +12,13 @@
 namespace keelbridge {
 namespace {
 
-constexpr absl::Duration kElectEvery = absl::Milliseconds(100);
+constexpr absl::Duration kElectionInterval = absl::Milliseconds(100);
 // Looks whether the configuration has to be confirmed; see `Freshness`.
-constexpr absl::Duration kCheckEvery = absl::Milliseconds(100);
+constexpr absl::Duration kConfigurationCheckInterval = absl::Milliseconds(100);
 // Looks whether a heartbeat is due.
-constexpr absl::Duration kHeartbeatCheckEvery = absl::Milliseconds(50);
+constexpr absl::Duration kHeartbeatCheckInterval = absl::Milliseconds(50);
 // A node is ready while a leader that takes jobs answered this lately.
-constexpr absl::Duration kLeaderFresh = absl::Milliseconds(1500);
+constexpr absl::Duration kMaxLeaderAnswerAge = absl::Milliseconds(1500);
 // From the stop signal until nothing new arrives: the balancer looks every
 // second and takes a node out after two misses.
 constexpr absl::Duration kDrainNotice = absl::Milliseconds(2300);
@@ -26,19 +26,20 @@
 constexpr absl::Duration kGraceMargin = absl::Milliseconds(500);
 // Before that, all calls that wait are answered: what was read of a client must
 // not end without an answer.
-constexpr absl::Duration kLastAnswersBefore = absl::Milliseconds(500);
+constexpr absl::Duration kFinalRepliesMargin = absl::Milliseconds(500);
 constexpr int kNotFoundStatus = 404;
 constexpr int kUnavailableStatus = 503;
 
-EventHttpServer::Options ServerOptions(const Address& listen, size_t most) {
+EventHttpServer::Options ServerOptions(const Address& listen,
+                                       size_t max_connections) {
   EventHttpServer::Options options;
   options.listen = listen;
-  options.most_connections = most;
+  options.max_connections = max_connections;
   return options;
 }
 
-RelayedOrders::Options OrderOptions(const NodeSettings& settings) {
-  RelayedOrders::Options options;
+OrderRelayClient::Options OrderOptions(const NodeSettings& settings) {
+  OrderRelayClient::Options options;
   options.routing.direct_workers_per_processor =
       settings.direct_workers_per_processor;
   options.own_address = settings.PeerAddress();
@@ -54,26 +55,28 @@
 }  // namespace
 
 SiteNode::SiteNode(boost::asio::io_context& loop, NodeSettings settings,
-                   NodePorts ports, StoreFailover& carrier, EventRpcClient& rpc)
+                   NodePorts ports, StoreFailover& store_failover,
+                   EventRpcClient& rpc)
     : loop_(loop),
       settings_(std::move(settings)),
       ports_(ports),
-      carrier_(carrier),
+      store_failover_(store_failover),
       rpc_(rpc),
       boot_(RandomId()),
       metrics_("node"),
       peer_server_(loop, settings_.peer_listen),
-      relayed_orders_(loop, *ports.workers, rpc, OrderOptions(settings_)),
-      order_relay_(loop, *ports.workers, rpc),
+      order_relay_client_(loop, *ports.workers, rpc, OrderOptions(settings_)),
+      order_relay_server_(loop, *ports.workers, rpc),
       election_(settings_.name, boot_, settings_.PeerAddress(),
                 ElectionOptions(settings_)) {}
 
-void SiteNode::Every(absl::Duration period, std::function<void()> step) {
+void SiteNode::RunPeriodically(absl::Duration period,
+                               std::function<void()> step) {
   auto timer = std::make_shared<EventTimer>(loop_);
   auto run = std::make_shared<std::function<void()>>();
   *run = [timer, period, step = std::move(step), run] {
     // Also when the step throws: the duty goes on with its next turn.
-    const auto next_turn = absl::MakeCleanup([&timer, &period, &run] {
+    const auto schedule_next = absl::MakeCleanup([&timer, &period, &run] {
       timer->expires_after(absl::ToChronoNanoseconds(period));
       timer->async_wait([run](boost::system::error_code error) {
         if (!error) (*run)();
@@ -85,13 +88,13 @@
 }
 
 Result<void> SiteNode::Start() {
-  const auto most = static_cast<size_t>(settings_.most_connections);
-  clients_ = std::make_unique<EventHttpServer>(
-      loop_, ServerOptions(settings_.client_listen, most),
+  const auto max_connections = static_cast<size_t>(settings_.max_connections);
+  client_server_ = std::make_unique<EventHttpServer>(
+      loop_, ServerOptions(settings_.client_listen, max_connections),
       [this](const ServerRequest& request, EventHttpServer::Reply reply) {
         ServeClient(request, std::move(reply));
       });
-  ready_ = std::make_unique<EventHttpServer>(
+  ready_server_ = std::make_unique<EventHttpServer>(
       loop_, ServerOptions(settings_.ready_listen, 16),
       [this](const ServerRequest& request,
              const EventHttpServer::Reply& reply) {
@@ -99,8 +102,8 @@
       });
   AddPeerMethods();
   AddOrderMethods();
-  for (auto start :
-       {clients_->Start(), ready_->Start(), peer_server_.Start()}) {
+  for (auto start : {client_server_->Start(), ready_server_->Start(),
+                     peer_server_.Start()}) {
     if (!start) return start.error();
   }
   if (settings_.metrics_listen.port != 0) {
@@ -116,11 +119,12 @@
            {{"zone", settings_.zone},
             {"clients", settings_.client_listen.ToString()},
             {"peers", settings_.peer_listen.ToString()}});
-  Every(kElectEvery, [this] { Elect(); });
+  RunPeriodically(kElectionInterval, [this] { StepElection(); });
   ReadConfiguration();
-  Every(kCheckEvery, [this] { CheckConfiguration(); });
-  Every(kHeartbeatCheckEvery, [this] {
-    if (SystemNow().mono >= next_heartbeat_) Heartbeat();
+  RunPeriodically(kConfigurationCheckInterval,
+                  [this] { CheckConfiguration(); });
+  RunPeriodically(kHeartbeatCheckInterval, [this] {
+    if (SystemNow().mono >= next_heartbeat_at_) Heartbeat();
   });
   return Success();
 }
@@ -128,12 +132,13 @@
 bool SiteNode::Ready() const {
   if (draining_ || configuration_ == nullptr) return false;
   if (session_ != nullptr && session_->active()) return session_->CanAccept();
-  return leader_accepts_ && SystemNow().mono - leader_answered_ < kLeaderFresh;
+  return leader_accepts_jobs_ &&
+         SystemNow().mono - leader_answered_at_ < kMaxLeaderAnswerAge;
 }
 
 bool SiteNode::LeaderOutOfReach() const {
   if (session_ != nullptr && !session_->ended()) return false;
-  return SystemNow().mono - leader_answered_ >= kLeaderFresh;
+  return SystemNow().mono - leader_answered_at_ >= kMaxLeaderAnswerAge;
 }
 
 void SiteNode::ServeReady(const ServerRequest& request,
@@ -151,14 +156,14 @@
   if (request.path != "/metrics")
     return reply({kNotFoundStatus, {}, "see /metrics\n", "text/plain"});
   metrics_.Set("log_lines_dropped", {}, static_cast<double>(DroppedLogLines()));
-  metrics_.Set("store_calls", {}, static_cast<double>(carrier_.calls()));
+  metrics_.Set("store_calls", {}, static_cast<double>(store_failover_.calls()));
   metrics_.Set("store_calls_through_peers", {},
-               static_cast<double>(carrier_.relayed()));
+               static_cast<double>(store_failover_.relayed()));
   const auto count = [](int64_t value) { return static_cast<double>(value); };
-  metrics_.Set("orders_relayed", {}, count(relayed_orders_.relayed()));
+  metrics_.Set("orders_relayed", {}, count(order_relay_client_.relayed()));
   metrics_.Set("orders_relayed_unanswered", {},
-               count(relayed_orders_.unanswered()));
-  metrics_.Set("orders_carried", {}, count(order_relay_.carried()));
+               count(order_relay_client_.unanswered()));
+  metrics_.Set("orders_carried", {}, count(order_relay_server_.forwarded()));
   metrics_.Set("ready", {}, Ready() ? 1 : 0);
   metrics_.Set("leads", {}, session_ != nullptr && session_->active() ? 1 : 0);
   metrics_.Set("configuration_version", {},
@@ -171,33 +176,35 @@
 void SiteNode::Drain(std::function<void()> done) {
   if (draining_) return;
   draining_ = true;
-  drained_ = std::move(done);
-  drain_begun_ = SystemNow().mono;
+  on_drained_ = std::move(done);
+  drain_started_ = SystemNow().mono;
   election_.Retire();
-  clients_->Drain();
+  client_server_->Drain();
   LogEvent(Severity::kInfo, "node_draining", {});
-  Every(absl::Milliseconds(100), [this] {
-    const absl::Duration since = SystemNow().mono - drain_begun_;
+  RunPeriodically(absl::Milliseconds(100), [this] {
+    const absl::Duration since = SystemNow().mono - drain_started_;
     const bool leads = session_ != nullptr && !session_->ended();
     if (leads) {
       const auto successor = election_.Successor();
       const auto peer = successor ? peers_.find(*successor) : peers_.end();
-      if (peer != peers_.end()) AskToTakeOver(peer->second);
+      if (peer != peers_.end()) RequestTakeover(peer->second);
     }
     const bool idle =
-        since > kDrainNotice && clients_->InFlight() == 0 && !leads;
-    const absl::Duration longest = settings_.stop_grace - kGraceMargin;
-    const bool out_of_time = since > longest;
-    if (since > longest - kLastAnswersBefore && !last_answers_given_) {
-      last_answers_given_ = true;
+        since > kDrainNotice && client_server_->InFlight() == 0 && !leads;
+    const absl::Duration max_drain_duration =
+        settings_.stop_grace - kGraceMargin;
+    const bool out_of_time = since > max_drain_duration;
+    if (since > max_drain_duration - kFinalRepliesMargin &&
+        !final_replies_sent_) {
+      final_replies_sent_ = true;
       GiveUpAll();
     }
     if (!idle && !out_of_time) return;
-    if (!drained_) return;
+    if (!on_drained_) return;
     LogEvent(Severity::kInfo, "node_stopped",
-             {{"in_flight", absl::StrCat(clients_->InFlight())},
+             {{"in_flight", absl::StrCat(client_server_->InFlight())},
               {"leads", leads ? "yes" : "no"}});
-    std::exchange(drained_, nullptr)();
+    std::exchange(on_drained_, nullptr)();
   });
 }
 
--- a/keelbridge/daemon/site_node_clients.cc
+++ b/keelbridge/daemon/site_node_clients.cc
@@ -16,21 +16,21 @@
 
 // A client gets its answer this much before it stops waiting.
 constexpr absl::Duration kAnswerMargin = absl::Milliseconds(200);
-constexpr absl::Duration kLongestForward = absl::Milliseconds(2600);
+constexpr absl::Duration kMaxCallDuration = absl::Milliseconds(2600);
 constexpr absl::Duration kTryTimeout = absl::Milliseconds(1000);
 // The first pause before another try; each further one is twice as long.
-constexpr absl::Duration kTryPause = absl::Milliseconds(60);
-constexpr absl::Duration kLongestTryPause = absl::Milliseconds(480);
+constexpr absl::Duration kMinRetryDelay = absl::Milliseconds(60);
+constexpr absl::Duration kMaxRetryDelay = absl::Milliseconds(480);
 // Without anybody who leads, a call is given up after this long.
-constexpr absl::Duration kLeaderlessPatience = absl::Milliseconds(1000);
+constexpr absl::Duration kLeaderlessTimeout = absl::Milliseconds(1000);
 // The same, once the leader is known to be out of reach.
-constexpr absl::Duration kKnownLeaderlessPatience = absl::Milliseconds(150);
+constexpr absl::Duration kKnownLeaderlessTimeout = absl::Milliseconds(150);
 constexpr absl::Duration kRetryAfter = absl::Seconds(1);
 // Bytes of a path in a log line: enough for a prefix and a job's id.
-constexpr size_t kMostLoggedPath = 128;
+constexpr size_t kMaxLoggedPathBytes = 128;
 constexpr int kFirstErrorStatus = 400;
 
-ClientAnswer AnswerOf(const Error& error) {
+ClientAnswer AnswerForError(const Error& error) {
   return error.code == ErrorCode::kNotFound ? ClientAnswer::kNoSuchQueue
                                             : ClientAnswer::kInvalid;
 }
@@ -50,9 +50,9 @@
 }
 
 // Not taken here and now, and not to be run.
-ClientReply ComeBack(std::string message) {
+ClientReply RetryLaterReply(std::string message) {
   ClientReply reply;
-  reply.answer = ClientAnswer::kNotTaken;
+  reply.answer = ClientAnswer::kRejected;
   reply.message = std::move(message);
   reply.retry_after = kRetryAfter;
   return reply;
@@ -71,24 +71,25 @@
   return span;
 }
 
-CallFate::TryEnd EndOfTry(const ClientReply& reply) {
+CallOutcome::TryResult ClassifyTry(const ClientReply& reply) {
   switch (reply.answer) {
     case ClientAnswer::kUnknown:
-      return CallFate::TryEnd::kTermEnded;
-    case ClientAnswer::kNotTaken:
-      return CallFate::TryEnd::kNotTaken;
+      return CallOutcome::TryResult::kTermEnded;
+    case ClientAnswer::kRejected:
+      return CallOutcome::TryResult::kRejected;
     default:
-      return CallFate::TryEnd::kAnswered;
+      return CallOutcome::TryResult::kAnswered;
   }
 }
 
-CallFate::TryEnd EndOfTry(const RpcOutcome& outcome) {
+CallOutcome::TryResult ClassifyTry(const RpcOutcome& outcome) {
   if (!outcome.answered) {
-    return outcome.sent ? CallFate::TryEnd::kNoAnswer
-                        : CallFate::TryEnd::kNothingSent;
+    return outcome.sent ? CallOutcome::TryResult::kNoAnswer
+                        : CallOutcome::TryResult::kNothingSent;
   }
-  if (outcome.result["not_leader"].asBool()) return CallFate::TryEnd::kNotLed;
-  return EndOfTry(ClientReplyFromJson(outcome.result));
+  if (outcome.result["not_leader"].asBool())
+    return CallOutcome::TryResult::kNotLeader;
+  return ClassifyTry(ClientReplyFromJson(outcome.result));
 }
 
 }  // namespace
@@ -97,72 +98,75 @@
                            EventHttpServer::Reply reply) {
   if (configuration_ == nullptr) {
     return reply(ports_.dialect->FormatReply(
-        ComeBack("this node has no configuration yet")));
+        RetryLaterReply("this node has no configuration yet")));
   }
-  if (last_answers_given_)
-    return reply(ports_.dialect->FormatReply(ComeBack("this node stops")));
+  if (final_replies_sent_)
+    return reply(
+        ports_.dialect->FormatReply(RetryLaterReply("this node stops")));
   auto call = ports_.dialect->ParseClientCall(request, *configuration_);
   if (!call)
-    return reply(ports_.dialect->FormatReply(Deny(request, call.error())));
-  auto forward = std::make_shared<Forward>();
-  forward->call = std::move(call.value());
-  forward->begun = SystemNow().mono;
-  forward->deadline =
-      forward->begun +
-      std::min(kLongestForward,
-               std::max(forward->call.remaining - kAnswerMargin, kTryPause));
-  std::shared_ptr<Span> span = BeginSpan(request, forward->call);
-  if (span != nullptr) forward->trace = span->context().ToHeader();
-  forward->reply = [this, kind = forward->call.kind, job = forward->call.job,
-                    begun = forward->begun, span = std::move(span),
+    return reply(
+        ports_.dialect->FormatReply(DenialReply(request, call.error())));
+  auto pending = std::make_shared<PendingCall>();
+  pending->call = std::move(call.value());
+  pending->started_at = SystemNow().mono;
+  pending->deadline = pending->started_at +
+                      std::min(kMaxCallDuration,
+                               std::max(pending->call.remaining - kAnswerMargin,
+                                        kMinRetryDelay));
+  std::shared_ptr<Span> span = BeginSpan(request, pending->call);
+  if (span != nullptr) pending->trace = span->context().ToHeader();
+  pending->reply = [this, kind = pending->call.kind, job = pending->call.job,
+                    started_at = pending->started_at, span = std::move(span),
                     reply = std::move(reply)](const ClientReply& answer) {
     ServerResponse response = ports_.dialect->FormatReply(answer);
     // The balancer then leads the client to a node that can take work.
     response.close_connection = !Ready();
     if (span != nullptr) span->Set("status", absl::StrCat(response.status));
-    TellAnswer(kind, job, answer, response.status, SystemNow().mono - begun);
+    RecordReply(kind, job, answer, response.status,
+                SystemNow().mono - started_at);
     reply(std::move(response));
   };
-  open_calls_.insert(forward);
-  Try(forward);
+  pending_calls_.insert(pending);
+  TryCall(pending);
 }
 
-ClientReply SiteNode::Deny(const ServerRequest& request,
-                           const Error& error) const {
-  ClientReply refused;
-  refused.answer = AnswerOf(error);
-  refused.message = error.message;
+ClientReply SiteNode::DenialReply(const ServerRequest& request,
+                                  const Error& error) const {
+  ClientReply denial;
+  denial.answer = AnswerForError(error);
+  denial.message = error.message;
   // The queue may have been added since, also below a prefix that is known
   // here: what is too old denies nothing.
   const bool may_deny = !configuration_unreadable_ &&
                         configuration_freshness_.MayDeny(SystemNow().mono);
   if (!may_deny) {
-    refused = ComeBack(
+    denial = RetryLaterReply(
         absl::StrCat("the configuration here may be old, and ", error.message));
   }
   LogEvent(Severity::kInfo, "call_denied",
            {{"method", request.method},
             {"host", FindHeader(request.headers, "Host")},
-            {"path", request.path.substr(0, kMostLoggedPath)},
-            {"why", refused.message},
+            {"path", request.path.substr(0, kMaxLoggedPathBytes)},
+            {"why", denial.message},
             {"configuration_version", absl::StrCat(configuration_version())},
             {"unconfirmed_ms", UnconfirmedText()}});
-  return refused;
+  return denial;
 }
 
-void SiteNode::TellAnswer(ClientCallKind kind, JobId job,
-                          const ClientReply& answer, int status,
-                          absl::Duration took) {
+void SiteNode::RecordReply(ClientCallKind kind, JobId job,
+                           const ClientReply& answer, int status,
+                           absl::Duration took) {
   metrics_.Observe("call_seconds", {{"kind", KindName(kind)}},
                    absl::ToDoubleSeconds(took));
   metrics_.Count("calls_total",
                  {{"kind", KindName(kind)}, {"status", absl::StrCat(status)}});
   // Looks at a state change nothing; only those that fail or deny a job are
   // told of.
-  const bool telling = kind == ClientCallKind::kSubmit ||
-                       kind == ClientCallKind::kCancel ||
-                       status >= kFirstErrorStatus;
-  if (!telling) return;
+  const bool logged = kind == ClientCallKind::kSubmit ||
+                      kind == ClientCallKind::kCancel ||
+                      status >= kFirstErrorStatus;
+  if (!logged) return;
   LogEvent(Severity::kInfo, "call_answered",
            {{"kind", KindName(kind)},
             {"job", JobIdText(job)},
@@ -173,84 +177,86 @@
             {"why", answer.message}});
 }
 
-void SiteNode::Finish(const std::shared_ptr<Forward>& forward,
+void SiteNode::Finish(const std::shared_ptr<PendingCall>& pending,
                       const ClientReply& reply) {
-  open_calls_.erase(forward);
-  if (forward->reply) std::exchange(forward->reply, nullptr)(reply);
+  pending_calls_.erase(pending);
+  if (pending->reply) std::exchange(pending->reply, nullptr)(reply);
 }
 
 void SiteNode::GiveUpAll() {
-  const auto open = open_calls_;
-  for (const auto& forward : open) GiveUp(forward);
+  const auto calls = pending_calls_;
+  for (const auto& pending : calls) GiveUp(pending);
 }
 
-void SiteNode::Try(const std::shared_ptr<Forward>& forward) {
-  if (SystemNow().mono >= forward->deadline) return GiveUp(forward);
+void SiteNode::TryCall(const std::shared_ptr<PendingCall>& pending) {
+  if (SystemNow().mono >= pending->deadline) return GiveUp(pending);
   if (session_ != nullptr && !session_->ended())
-    return session_->active() ? TryHere(forward) : TryAgain(forward);
+    return session_->active() ? TryLocally(pending) : RetryLater(pending);
   const LeaderRecord& leader = election_.leader();
   if (leader.epoch == 0 || leader.address == settings_.PeerAddress())
-    return TryAgain(forward);
-  TryAt(leader.address, forward);
+    return RetryLater(pending);
+  TryRemotely(leader.address, pending);
 }
 
-void SiteNode::TryHere(const std::shared_ptr<Forward>& forward) {
-  forward->fate.BeginTry();
-  session_->Handle(forward->call, [this, forward](const ClientReply& reply) {
-    if (!forward->fate.EndTry(EndOfTry(reply))) return TryAgain(forward);
-    Finish(forward, reply);
+void SiteNode::TryLocally(const std::shared_ptr<PendingCall>& pending) {
+  pending->call_outcome.BeginTry();
+  session_->Handle(pending->call, [this, pending](const ClientReply& reply) {
+    if (!pending->call_outcome.EndTry(ClassifyTry(reply)))
+      return RetryLater(pending);
+    Finish(pending, reply);
   });
-  RunAfter(loop_, forward->deadline - SystemNow().mono,
-           [this, forward] { GiveUp(forward); });
+  RunAfter(loop_, pending->deadline - SystemNow().mono,
+           [this, pending] { GiveUp(pending); });
 }
 
-void SiteNode::TryAt(const std::string& address,
-                     const std::shared_ptr<Forward>& forward) {
-  Json::Value params = ToJson(forward->call);
-  if (!forward->trace.empty()) params["traceparent"] = forward->trace;
-  forward->fate.BeginTry();
+void SiteNode::TryRemotely(const std::string& address,
+                           const std::shared_ptr<PendingCall>& pending) {
+  Json::Value params = ToJson(pending->call);
+  if (!pending->trace.empty()) params["traceparent"] = pending->trace;
+  pending->call_outcome.BeginTry();
   rpc_.Call(address, "call", params,
-            std::min(kTryTimeout, forward->deadline - SystemNow().mono),
-            [this, forward](const RpcOutcome& outcome) {
-              if (!forward->fate.EndTry(EndOfTry(outcome)))
-                return TryAgain(forward);
-              Finish(forward, ClientReplyFromJson(outcome.result));
+            std::min(kTryTimeout, pending->deadline - SystemNow().mono),
+            [this, pending](const RpcOutcome& outcome) {
+              if (!pending->call_outcome.EndTry(ClassifyTry(outcome)))
+                return RetryLater(pending);
+              Finish(pending, ClientReplyFromJson(outcome.result));
             });
 }
 
-void SiteNode::TryAgain(const std::shared_ptr<Forward>& forward) {
-  if (!forward->reply) return;
+void SiteNode::RetryLater(const std::shared_ptr<PendingCall>& pending) {
+  if (!pending->reply) return;
   const absl::Time now = SystemNow().mono;
-  const absl::Duration patience =
-      LeaderOutOfReach() ? kKnownLeaderlessPatience : kLeaderlessPatience;
-  const bool leaderless =
-      !forward->fate.MayHaveRun() && now - forward->begun > patience;
-  forward->pause = std::clamp(forward->pause * 2, kTryPause, kLongestTryPause);
-  if (leaderless || now + kTryPause >= forward->deadline)
-    return GiveUp(forward);
-  RunAfter(loop_, std::min(forward->pause, forward->deadline - now),
-           [this, forward] {
-             if (forward->reply) Try(forward);
+  const absl::Duration leaderless_timeout =
+      LeaderOutOfReach() ? kKnownLeaderlessTimeout : kLeaderlessTimeout;
+  const bool leaderless = !pending->call_outcome.MayHaveRun() &&
+                          now - pending->started_at > leaderless_timeout;
+  pending->retry_delay =
+      std::clamp(pending->retry_delay * 2, kMinRetryDelay, kMaxRetryDelay);
+  if (leaderless || now + kMinRetryDelay >= pending->deadline)
+    return GiveUp(pending);
+  RunAfter(loop_, std::min(pending->retry_delay, pending->deadline - now),
+           [this, pending] {
+             if (pending->reply) TryCall(pending);
            });
 }
 
-void SiteNode::GiveUp(const std::shared_ptr<Forward>& forward) {
-  if (!forward->reply) return;
+void SiteNode::GiveUp(const std::shared_ptr<PendingCall>& pending) {
+  if (!pending->reply) return;
   ClientReply reply;
-  const bool unknown = forward->call.kind == ClientCallKind::kSubmit &&
-                       forward->fate.MayHaveRun();
-  reply.answer = unknown ? ClientAnswer::kUnknown : ClientAnswer::kNotTaken;
+  const bool unknown = pending->call.kind == ClientCallKind::kSubmit &&
+                       pending->call_outcome.MayHaveRun();
+  reply.answer = unknown ? ClientAnswer::kUnknown : ClientAnswer::kRejected;
   reply.message = unknown ? "nobody could confirm the job in time"
                           : "no leader answered; come back later";
   reply.retry_after = kRetryAfter;
   LogEvent(Severity::kInfo, "call_given_up",
-           {{"kind", KindName(forward->call.kind)},
-            {"job", JobIdText(forward->call.job)},
-            {"queue", forward->call.queue},
+           {{"kind", KindName(pending->call.kind)},
+            {"job", JobIdText(pending->call.job)},
+            {"queue", pending->call.queue},
             {"leader", election_.leader().node},
             {"epoch", absl::StrCat(election_.leader().epoch)},
             {"answer", unknown ? "unknown" : "not_taken"}});
-  Finish(forward, reply);
+  Finish(pending, reply);
 }
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/site_node_configuration.cc
+++ b/keelbridge/daemon/site_node_configuration.cc
@@ -19,7 +19,7 @@
 // A read without a byte for so long is given up, which makes room for another.
 // A store that takes 1.2 s to answer (300 times its usual 4 ms, by the sites'
 // files) is still heard.
-constexpr absl::Duration kTransferSilence = absl::Milliseconds(1500);
+constexpr absl::Duration kTransferIdleTimeout = absl::Milliseconds(1500);
 // Of a probe, whose answer is small. A longer time-out would gain nothing: the
 // next probe may begin this soon (see `SourceReads`).
 constexpr absl::Duration kProbeTimeout = absl::Milliseconds(500);
@@ -27,77 +27,80 @@
 constexpr absl::Duration kFollowTimeout = absl::Seconds(22);
 // Ages are told to peers in whole milliseconds, rounded up, and bounded.
 constexpr absl::Duration kAgeUnit = absl::Milliseconds(1);
-constexpr absl::Duration kOldestTold = absl::Hours(1);
+constexpr absl::Duration kMaxReportedAge = absl::Hours(1);
 
 }  // namespace
 
 void SiteNode::ReadConfiguration() {
-  configuration_anew_ = true;
+  configuration_reload_needed_ = true;
   CheckConfiguration();
 }
 
-void SiteNode::ReadConfigurationAfter(const std::string& key, absl::Time begun,
-                                      int64_t end) {
+void SiteNode::ReadConfigurationAfter(const std::string& key,
+                                      absl::Time started_at, int64_t end) {
   ports_.store->Newest(
-      Stream::kConfiguration, key, {kTransferTimeout, kTransferSilence},
-      [this, key, begun, end](const NewestReply& r) {
-        const std::string next_key = r.NextAfter();
+      Stream::kConfiguration, key, {kTransferTimeout, kTransferIdleTimeout},
+      [this, key, started_at, end](const NewestReply& r) {
+        const std::string next_key = r.NextPageKey();
         // A page that does not lead on would be asked for without end.
-        const bool leads_on = !r.more || (!next_key.empty() && next_key != key);
-        if (r.result != StoreResult::kDone || !leads_on) {
-          configuration_reads_.OnReadEnded(begun, false);
+        const bool advances = !r.more || (!next_key.empty() && next_key != key);
+        if (r.result != StoreResult::kDone || !advances) {
+          configuration_reads_.OnReadEnded(started_at, false);
           return OnConfigurationReadFailed("newest", r.result, r.message);
         }
-        TakeConfigurationRecords(r.records);
-        TakeUnreadableItems(r.unreadable);
+        ApplyConfigurationRecords(r.records);
+        RecordUnreadableItems(r.unreadable);
         // Reading goes on from where the first page was taken.
         const int64_t next = key.empty() ? r.end : end;
-        if (r.more) return ReadConfigurationAfter(next_key, begun, next);
-        configuration_reads_.OnReadEnded(begun, true);
-        OnConfigurationSourceAnswers();
-        OnConfigurationConfirmed(begun);
-        if (configuration_anew_) FollowConfigurationFrom(next);
+        if (r.more) return ReadConfigurationAfter(next_key, started_at, next);
+        configuration_reads_.OnReadEnded(started_at, true);
+        OnConfigurationSourceAnswered();
+        OnConfigurationConfirmed(started_at);
+        if (configuration_reload_needed_) FollowConfigurationFrom(next);
       });
 }
 
 void SiteNode::FollowConfigurationFrom(int64_t next) {
-  configuration_anew_ = false;
-  configuration_next_ = next;
+  configuration_reload_needed_ = false;
+  configuration_read_offset_ = next;
   FollowConfiguration();
 }
 
 void SiteNode::FollowConfiguration() {
-  const int64_t from = configuration_next_;
-  const int64_t poll = ++configuration_poll_;
-  ports_.store->Read(
-      Stream::kConfiguration, from, kFollowWait, kFollowTimeout,
-      [this, from, poll](const ReadReply& reply) {
-        if (poll != configuration_poll_) return;  // Another took its place.
-        if (reply.result != StoreResult::kDone) {
-          OnConfigurationReadFailed("follow", reply.result, reply.message);
-          return ReadConfiguration();
-        }
-        TakeConfigurationRecords(reply.records);
-        configuration_next_ = from + static_cast<int64_t>(reply.records.size());
-        FollowConfiguration();
-      });
+  const int64_t from = configuration_read_offset_;
+  const int64_t poll = ++configuration_poll_number_;
+  ports_.store->Read(Stream::kConfiguration, from, kFollowWait, kFollowTimeout,
+                     [this, from, poll](const ReadReply& reply) {
+                       if (poll != configuration_poll_number_)
+                         return;  // Another took its place.
+                       if (reply.result != StoreResult::kDone) {
+                         OnConfigurationReadFailed("follow", reply.result,
+                                                   reply.message);
+                         return ReadConfiguration();
+                       }
+                       ApplyConfigurationRecords(reply.records);
+                       configuration_read_offset_ =
+                           from + static_cast<int64_t>(reply.records.size());
+                       FollowConfiguration();
+                     });
 }
 
-bool SiteNode::WantsConfiguration(absl::Time now) const {
+bool SiteNode::ConfigurationCheckDue(absl::Time now) const {
   const bool leads = session_ != nullptr && !session_->ended();
   const auto role =
       leads ? Freshness::Role::kLeader : Freshness::Role::kFollower;
-  const bool behind = newest_heard_ > configuration_version();
-  return configuration_anew_ || behind ||
-         configuration_freshness_.AskDue(role, now);
+  const bool known_outdated =
+      newest_reported_version_ > configuration_version();
+  return configuration_reload_needed_ || known_outdated ||
+         configuration_freshness_.RefreshDue(role, now);
 }
 
 void SiteNode::CheckConfiguration() {
   const absl::Time now = SystemNow().mono;
-  if (!WantsConfiguration(now)) return;
+  if (!ConfigurationCheckDue(now)) return;
   switch (configuration_reads_.Next(now)) {
     case SourceReads::Step::kRead:
-      return AskForConfiguration(now);
+      return ReadConfigurationNow(now);
     case SourceReads::Step::kProbe:
       return ProbeStore();
     case SourceReads::Step::kNone:
@@ -105,11 +108,11 @@
   }
 }
 
-void SiteNode::AskForConfiguration(absl::Time now) {
-  if (configuration_anew_) return ReadConfigurationAfter("", now, -1);
-  const int64_t from = configuration_next_;
+void SiteNode::ReadConfigurationNow(absl::Time now) {
+  if (configuration_reload_needed_) return ReadConfigurationAfter("", now, -1);
+  const int64_t from = configuration_read_offset_;
   ports_.store->Read(Stream::kConfiguration, from, absl::ZeroDuration(),
-                     {kTransferTimeout, kTransferSilence},
+                     {kTransferTimeout, kTransferIdleTimeout},
                      [this, from, now](const ReadReply& reply) {
                        const bool answered =
                            reply.result == StoreResult::kDone ||
@@ -130,7 +133,7 @@
                                            reply.message);
         // If a peer carried the probe, the next turn (100 ms) is soon enough:
         // the direct way may be back by then, and carries more.
-        if (carrier_.direct()) CheckConfiguration();
+        if (store_failover_.direct()) CheckConfiguration();
       });
 }
 
@@ -138,45 +141,46 @@
                                       absl::Time sent) {
   if (reply.result == StoreResult::kGone) {
     // Another read has found this out, and has begun anew or moved on.
-    if (configuration_anew_ || from != configuration_next_) return;
+    if (configuration_reload_needed_ || from != configuration_read_offset_)
+      return;
     // What followed was dropped: only a read anew tells what is newest.
-    ++configuration_poll_;
-    configuration_reads_.Hurry();
+    ++configuration_poll_number_;
+    configuration_reads_.ExpediteNextRead();
     return ReadConfiguration();
   }
   if (reply.result != StoreResult::kDone)
     return OnConfigurationReadFailed("check", reply.result, reply.message);
-  OnConfigurationSourceAnswers();
-  TakeConfigurationRecords(reply.records);
+  OnConfigurationSourceAnswered();
+  ApplyConfigurationRecords(reply.records);
   const int64_t next = from + static_cast<int64_t>(reply.records.size());
   // An answer may carry less than there is.
   if (next >= reply.end) OnConfigurationConfirmed(sent);
   // The poll failed while this check was under way. The check has read up to
   // the end of the stream, so that no read from the beginning is needed.
-  if (configuration_anew_ && next >= reply.end)
+  if (configuration_reload_needed_ && next >= reply.end)
     return FollowConfigurationFrom(next);
   // The poll has moved on meanwhile, or there was nothing to bring.
-  if (from != configuration_next_ || reply.records.empty()) return;
+  if (from != configuration_read_offset_ || reply.records.empty()) return;
   LogEvent(Severity::kWarning, "configuration_poll_missed",
            {{"from", absl::StrCat(from)},
             {"records", absl::StrCat(reply.records.size())}});
   FollowConfigurationFrom(next);
 }
 
-void SiteNode::TakeConfigurationRecords(const std::vector<Record>& records) {
+void SiteNode::ApplyConfigurationRecords(const std::vector<Record>& records) {
   for (const Record& record : records) {
-    const bool wanted =
+    const bool relevant =
         record.key == ports_.dialect->ConfigurationKey() && record.value;
     // The answer to a slow read may bring records older than those taken.
-    if (!wanted || record.offset < configuration_offset_) continue;
+    if (!relevant || record.offset < configuration_record_offset_) continue;
     if (record.offset == unreadable_offset_) continue;  // It was told of.
-    configuration_offset_ = record.offset;
-    configuration_unreadable_ = !TakeConfiguration(*record.value, "store");
+    configuration_record_offset_ = record.offset;
+    configuration_unreadable_ = !ApplyConfiguration(*record.value, "store");
     if (configuration_unreadable_) unreadable_offset_ = record.offset;
   }
 }
 
-void SiteNode::TakeUnreadableItems(const std::vector<UnreadableItem>& items) {
+void SiteNode::RecordUnreadableItems(const std::vector<UnreadableItem>& items) {
   for (const UnreadableItem& item : items) {
     // One without a key that can be read is taken for nobody's: the operator's
     // other records are not read either.
@@ -190,13 +194,13 @@
 
 void SiteNode::DescribeConfiguration(Json::Value* out) const {
   (*out)["configuration_version"] = Json::Int64(configuration_version());
-  const absl::Duration age = std::min(ConfigurationAge(), kOldestTold);
+  const absl::Duration age = std::min(ConfigurationAge(), kMaxReportedAge);
   (*out)["configuration_age_ms"] =
       Json::Int64(absl::ToInt64Milliseconds(absl::Ceil(age, kAgeUnit)));
 }
 
-void SiteNode::OnConfigurationOfPeer(const std::string& address,
-                                     const Json::Value& in, absl::Time sent) {
+void SiteNode::OnPeerConfiguration(const std::string& address,
+                                   const Json::Value& in, absl::Time sent) {
   const int64_t version = in["configuration_version"].asInt64();
   if (version > configuration_version())
     return CatchUpWithConfiguration(address, version);
@@ -209,10 +213,11 @@
 
 void SiteNode::CatchUpWithConfiguration(const std::string& peer,
                                         int64_t version) {
-  newest_heard_ = std::max(newest_heard_, version);
+  newest_reported_version_ = std::max(newest_reported_version_, version);
   CheckConfiguration();
   // A large one in force everywhere at once would fill the leader's link.
-  const bool ask_store = carrier_.direct() && !configuration_lost_;
+  const bool ask_store =
+      store_failover_.direct() && !configuration_source_lost_;
   if (!ask_store) FetchConfiguration(peer);
 }
 
@@ -220,13 +225,13 @@
   // A newer version was written, but its record cannot be read.
   if (configuration_unreadable_) return;
   configuration_freshness_.OnConfirmed(at);
-  configuration_lost_ = false;
+  configuration_source_lost_ = false;
 }
 
-void SiteNode::OnConfigurationSourceAnswers() {
-  configuration_lost_ = false;
-  if (!configuration_loss_told_) return;
-  configuration_loss_told_ = false;
+void SiteNode::OnConfigurationSourceAnswered() {
+  configuration_source_lost_ = false;
+  if (!configuration_loss_logged_) return;
+  configuration_loss_logged_ = false;
   LogEvent(Severity::kInfo, "configuration_source_back",
            {{"version", absl::StrCat(configuration_version())}});
 }
@@ -235,10 +240,10 @@
                                          const std::string& detail) {
   metrics_.Count("configuration_reads_failed_total",
                  {{"result", StoreResultName(result)}});
-  configuration_lost_ = true;
+  configuration_source_lost_ = true;
   // One line for an outage, not one for each try.
-  if (configuration_loss_told_) return;
-  configuration_loss_told_ = true;
+  if (configuration_loss_logged_) return;
+  configuration_loss_logged_ = true;
   LogEvent(Severity::kWarning, "configuration_source_lost",
            {{"read", read},
             {"result", StoreResultName(result)},
@@ -269,13 +274,13 @@
       [this, address](const RpcOutcome& outcome) {
         fetching_configuration_ = false;
         if (outcome.answered && outcome.result["document"].isString())
-          TakeConfiguration(outcome.result["document"].asString(), address);
+          ApplyConfiguration(outcome.result["document"].asString(), address);
       },
       RpcLane::kControl);
 }
 
-bool SiteNode::TakeConfiguration(const std::string& document,
-                                 const std::string& source) {
+bool SiteNode::ApplyConfiguration(const std::string& document,
+                                  const std::string& source) {
   auto parsed = ports_.dialect->ParseConfiguration(document);
   if (!parsed) {
     LogEvent(Severity::kError, "configuration_unreadable",
@@ -283,13 +288,13 @@
     return false;
   }
   const int64_t version = parsed.value().version;
-  const int64_t before = configuration_version();
-  if (version <= before) return true;
+  const int64_t previous_version = configuration_version();
+  if (version <= previous_version) return true;
   configuration_ =
       std::make_shared<SiteConfiguration>(std::move(parsed.value()));
   LogEvent(Severity::kInfo, "configuration_in_force",
            {{"version", absl::StrCat(version)},
-            {"before", absl::StrCat(before)},
+            {"before", absl::StrCat(previous_version)},
             {"queues", absl::StrCat(configuration_->queues.size())},
             {"source", source},
             {"unconfirmed_ms", UnconfirmedText()}});
--- a/keelbridge/daemon/site_node_leading.cc
+++ b/keelbridge/daemon/site_node_leading.cc
@@ -17,17 +17,17 @@
 constexpr absl::Duration kFollowTimeout = absl::Seconds(22);
 constexpr absl::Duration kFollowRetry = absl::Milliseconds(500);
 constexpr absl::Duration kAskPeersTimeout = absl::Milliseconds(300);
-constexpr absl::Duration kAskEarlierEvery = absl::Milliseconds(300);
+constexpr absl::Duration kEarlierLeaderPollInterval = absl::Milliseconds(300);
 constexpr absl::Duration kTakeOverTimeout = absl::Milliseconds(800);
 // A peer that was asked to lead in place of a weaker node gets that long.
-constexpr absl::Duration kOfferEvery = absl::Seconds(2);
+constexpr absl::Duration kOfferInterval = absl::Seconds(2);
 // A leader that reaches the store only through peers for this long offers
 // leadership to one that reaches it itself.
-constexpr absl::Duration kStoreLostTolerated = absl::Milliseconds(1200);
+constexpr absl::Duration kMaxStoreLostDuration = absl::Milliseconds(1200);
 
 }  // namespace
 
-void SiteNode::Elect() {
+void SiteNode::StepElection() {
   const absl::Time now = SystemNow().mono;
   const bool serving = session_ != nullptr && !session_->ended();
   const bool replaced =
@@ -39,11 +39,12 @@
     return;
   }
   if (election_.Leads() && !serving) return BeginTerm();
-  const bool claims_may_be_late =
+  const bool delayed_claim_possible =
       peers_lost_ ||
-      (serving && session_->store_returns() > reaffirmed_returns_);
-  const bool reaffirms = claims_may_be_late && !election_.control_unreadable();
-  if (serving && session_->active() && reaffirms) Reaffirm();
+      (serving && session_->store_recoveries() > reaffirmed_store_returns_);
+  const bool should_reaffirm =
+      delayed_claim_possible && !election_.control_unreadable();
+  if (serving && session_->active() && should_reaffirm) Reaffirm();
   if (serving && session_->active()) OfferLeadership();
   switch (election_.Decide(now)) {
     case ElectionStep::kReadControl:
@@ -66,20 +67,20 @@
         if (reply.result != StoreResult::kDone)
           return OnControlReadFailed("newest", reply.result, reply.message);
         control_lost_ = false;
-        TakeControl(ControlRecords(reply), reply.end, sent);
-        control_next_ = reply.end;
+        ApplyControlRecords(ControlRecords(reply), reply.end, sent);
+        control_read_offset_ = reply.end;
         if (!following_control_) FollowControl();
-        Elect();
+        StepElection();
       });
 }
 
-void SiteNode::TakeControl(const std::vector<Record>& records, int64_t end,
-                           absl::Time read) {
-  const bool before = election_.control_unreadable();
+void SiteNode::ApplyControlRecords(const std::vector<Record>& records,
+                                   int64_t end, absl::Time read) {
+  const bool was_unreadable = election_.control_unreadable();
   election_.OnControlRead(records, end, read);
   const bool unreadable = election_.control_unreadable();
   metrics_.Set("leader_record_unreadable", {}, unreadable ? 1 : 0);
-  if (unreadable == before) return;
+  if (unreadable == was_unreadable) return;
   LogEvent(unreadable ? Severity::kError : Severity::kInfo,
            unreadable ? "leader_record_unreadable" : "leader_record_readable",
            {{"end", absl::StrCat(end)},
@@ -89,27 +90,27 @@
 
 void SiteNode::FollowControl() {
   following_control_ = true;
-  const int64_t from = control_next_;
-  ports_.store->Read(Stream::kControl, from, kFollowWait, kFollowTimeout,
-                     [this, from](const ReadReply& reply) {
-                       if (reply.result == StoreResult::kDone) {
-                         const int64_t next =
-                             from + static_cast<int64_t>(reply.records.size());
-                         control_next_ = std::max(control_next_, next);
-                         if (!reply.records.empty()) {
-                           TakeControl(reply.records, next, SystemNow().mono);
-                           Elect();
-                         }
-                         return FollowControl();
-                       }
-                       OnControlReadFailed("poll", reply.result, reply.message);
-                       RunAfter(loop_, kFollowRetry, [this] {
-                         following_control_ = false;
-                         ReadControl();
-                         if (!following_control_ && control_next_ >= 0)
-                           FollowControl();
-                       });
-                     });
+  const int64_t from = control_read_offset_;
+  ports_.store->Read(
+      Stream::kControl, from, kFollowWait, kFollowTimeout,
+      [this, from](const ReadReply& reply) {
+        if (reply.result == StoreResult::kDone) {
+          const int64_t next =
+              from + static_cast<int64_t>(reply.records.size());
+          control_read_offset_ = std::max(control_read_offset_, next);
+          if (!reply.records.empty()) {
+            ApplyControlRecords(reply.records, next, SystemNow().mono);
+            StepElection();
+          }
+          return FollowControl();
+        }
+        OnControlReadFailed("poll", reply.result, reply.message);
+        RunAfter(loop_, kFollowRetry, [this] {
+          following_control_ = false;
+          ReadControl();
+          if (!following_control_ && control_read_offset_ >= 0) FollowControl();
+        });
+      });
 }
 
 void SiteNode::OnControlReadFailed(const char* read, StoreResult result,
@@ -125,18 +126,18 @@
 
 void SiteNode::AskPeersThenClaim() {
   claiming_ = true;
-  struct Round {
-    size_t open = 0;
+  struct PeerPoll {
+    size_t outstanding = 0;
     // When the leader last answered one of them.
     absl::Time answered = absl::InfinitePast();
-    absl::Time begun;
+    absl::Time started_at;
   };
-  auto round = std::make_shared<Round>();
-  round->begun = SystemNow().mono;
-  const auto finish = [this, round] {
+  auto poll = std::make_shared<PeerPoll>();
+  poll->started_at = SystemNow().mono;
+  const auto finish = [this, poll] {
     claiming_ = false;
-    if (round->begun - round->answered < election_.suspect_after()) {
-      election_.OnLeaderVouched(round->answered);
+    if (poll->started_at - poll->answered < election_.suspect_after()) {
+      election_.OnLeaderConfirmedByPeer(poll->answered);
       return;
     }
     // Something may have been heard meanwhile.
@@ -146,36 +147,36 @@
   params["epoch"] = Json::Int64(election_.leader().epoch);
   for (const auto& [name, peer] : peers_) {
     if (name == election_.leader().node) continue;
-    ++round->open;
+    ++poll->outstanding;
     rpc_.Call(
         peer.address, "leader_age", params, kAskPeersTimeout,
-        [this, round, finish](const RpcOutcome& outcome) {
+        [this, poll, finish](const RpcOutcome& outcome) {
           if (outcome.answered) {
-            election_.OnLeaderHeard(LeaderFromJson(outcome.result["newer"]),
-                                    SystemNow().mono);
+            election_.OnLeaderReported(LeaderFromJson(outcome.result["newer"]),
+                                       SystemNow().mono);
             if (outcome.result.isMember("age_ms")) {
               const auto age =
                   absl::Milliseconds(outcome.result["age_ms"].asInt64());
-              round->answered = std::max(round->answered, round->begun - age);
+              poll->answered = std::max(poll->answered, poll->started_at - age);
             }
           }
-          if (--round->open == 0) finish();
+          if (--poll->outstanding == 0) finish();
         },
         RpcLane::kControl);
   }
-  if (round->open == 0) finish();
+  if (poll->outstanding == 0) finish();
 }
 
 void SiteNode::Claim() {
   if (claiming_ || election_.Leads()) return;
   claiming_ = true;
-  const Now begun = SystemNow();
+  const Now started_at = SystemNow();
   LogEvent(Severity::kInfo, "claiming",
            {{"after_epoch", absl::StrCat(election_.leader().epoch)},
             {"leader", election_.leader().node},
             {"silent_ms", absl::StrCat(absl::ToInt64Milliseconds(
-                              begun.mono - election_.last_heard()))}});
-  ports_.store->Append(election_.Claim(ToMillis(begun.wall)), kReadTimeout,
+                              started_at.mono - election_.last_contact()))}});
+  ports_.store->Append(election_.Claim(ToMillis(started_at.wall)), kReadTimeout,
                        [this](const AppendReply& reply) {
                          claiming_ = false;
                          LogEvent(Severity::kInfo, "claim_answered",
@@ -184,12 +185,12 @@
                            election_.OnClaimed(reply.end, SystemNow().mono);
                          else
                            election_.OnClaimFailed();
-                         Elect();
+                         StepElection();
                        });
 }
 
 void SiteNode::Reaffirm() {
-  reaffirmed_returns_ = session_->store_returns();
+  reaffirmed_store_returns_ = session_->store_recoveries();
   peers_lost_ = false;
   ports_.store->Append(election_.Reaffirm(), kReadTimeout,
                        [this](const AppendReply& reply) {
@@ -202,12 +203,12 @@
 
 void SiteNode::BeginTerm() {
   if (draining_) return;
-  reaffirmed_returns_ = 0;
-  next_offer_ = SystemNow().mono + kOfferEvery;
+  reaffirmed_store_returns_ = 0;
+  next_offer_at_ = SystemNow().mono + kOfferInterval;
   LeaderSession::Options options;
   options.node = settings_.name;
   // Half of what the store takes: headers and frames are not counted.
-  options.most_append_bytes =
+  options.max_append_bytes =
       static_cast<size_t>(settings_.store_append_bytes) / 2;
   options.scheduler.lease = settings_.lease;
   options.scheduler.policy = settings_.policy;
@@ -220,11 +221,11 @@
   options.on_ended = [this](const std::string& why) { OnTermEnded(why); };
   last_order_ = LastOrder();
   std::vector<std::string> earlier;
-  for (const EarlierLeader& one : election_.leader().earlier)
-    earlier.push_back(one.address);
+  for (const EarlierLeader& earlier_leader : election_.leader().earlier)
+    earlier.push_back(earlier_leader.address);
   earlier_leaders_ = EarlierLeaders(std::move(earlier), last_order_);
   NodePorts ports = ports_;
-  ports.workers = &relayed_orders_;
+  ports.workers = &order_relay_client_;
   session_ = std::make_shared<LeaderSession>(
       loop_, ports, std::move(options), election_.leader().epoch, metrics_);
   for (const auto& [epoch, at] : leaders_seen_)
@@ -232,7 +233,7 @@
   if (configuration_ != nullptr) session_->SetConfiguration(configuration_);
   UpdatePeers();
   session_->Start();
-  AskEarlierLeaders(session_);
+  PollEarlierLeaders(session_);
 }
 
 void SiteNode::OnTermEnded(const std::string& why) {
@@ -241,7 +242,7 @@
   ReadControl();
 }
 
-void SiteNode::AskToTakeOver(const Peer& peer) {
+void SiteNode::RequestTakeover(const Peer& peer) {
   Json::Value params(Json::objectValue);
   params["epoch"] = Json::Int64(session_->epoch());
   rpc_.Call(
@@ -251,19 +252,20 @@
 
 void SiteNode::OfferLeadership() {
   const absl::Time now = SystemNow().mono;
-  if (draining_ || now < next_offer_) return;
-  const bool lost_store = now - carrier_.lost_since() > kStoreLostTolerated;
+  if (draining_ || now < next_offer_at_) return;
+  const bool lost_store =
+      now - store_failover_.lost_since() > kMaxStoreLostDuration;
   const auto better = election_.BetterLeader(lost_store);
   const auto peer = better ? peers_.find(*better) : peers_.end();
   if (peer == peers_.end()) return;
-  next_offer_ = now + kOfferEvery;
+  next_offer_at_ = now + kOfferInterval;
   LogEvent(Severity::kInfo, "leadership_offered",
            {{"to", peer->second.name},
             {"its_capacity", absl::StrCat(peer->second.capacity)},
             {"own_capacity", absl::StrCat(settings_.Capacity())},
             {"lost_store", lost_store ? "yes" : "no"},
             {"epoch", absl::StrCat(session_->epoch())}});
-  AskToTakeOver(peer->second);
+  RequestTakeover(peer->second);
 }
 
 absl::Time SiteNode::LastOrder() const {
@@ -271,7 +273,7 @@
   return std::max(last_order_, session_->last_order());
 }
 
-void SiteNode::AskEarlierLeaders(const std::weak_ptr<LeaderSession>& term) {
+void SiteNode::PollEarlierLeaders(const std::weak_ptr<LeaderSession>& term) {
   // What is answered to an earlier term says nothing in this one: that node may
   // have led since.
   const auto in_term = [this, term] {
@@ -284,7 +286,7 @@
   }
   Json::Value params(Json::objectValue);
   params["leader"] = ToJson(election_.leader());
-  for (const std::string& address : earlier_leaders_.Unheard()) {
+  for (const std::string& address : earlier_leaders_.Unconfirmed()) {
     rpc_.Call(
         address, "leader_heard", params, kReadTimeout,
         [this, in_term, address](const RpcOutcome& outcome) {
@@ -302,7 +304,8 @@
         },
         RpcLane::kControl);
   }
-  RunAfter(loop_, kAskEarlierEvery, [this, term] { AskEarlierLeaders(term); });
+  RunAfter(loop_, kEarlierLeaderPollInterval,
+           [this, term] { PollEarlierLeaders(term); });
 }
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/site_node_peers.cc
+++ b/keelbridge/daemon/site_node_peers.cc
@@ -18,22 +18,22 @@
 // Heartbeats to a leader: each node sends one after this, and all nodes
 // together at most so many a second (what one costs the leader is not
 // measured).
-constexpr absl::Duration kHeartbeatEvery = absl::Milliseconds(250);
-constexpr double kMostHeartbeatsPerSecond = 100;
+constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(250);
+constexpr double kMaxHeartbeatsPerSecond = 100;
 // A leader is suspect once two heartbeats in a row got no answer, but after
 // this long at the latest. Chosen, not measured.
-constexpr absl::Duration kLongestSuspicion = absl::Milliseconds(1400);
+constexpr absl::Duration kMaxSuspectAfter = absl::Milliseconds(1400);
 constexpr absl::Duration kSuspicionMargin = absl::Milliseconds(50);
 // A timer may fire this much late on a loaded machine.
-constexpr absl::Duration kLateTimers = absl::Milliseconds(300);
-constexpr absl::Duration kHeartbeatAgain = absl::Milliseconds(40);
-constexpr absl::Duration kPeerFresh = absl::Milliseconds(1500);
+constexpr absl::Duration kMaxTimerDelay = absl::Milliseconds(300);
+constexpr absl::Duration kHeartbeatRetryDelay = absl::Milliseconds(40);
+constexpr absl::Duration kPeerFreshness = absl::Milliseconds(1500);
 // A peer that nobody heard for this long is forgotten.
-constexpr absl::Duration kPeerForgotten = absl::Seconds(30);
+constexpr absl::Duration kPeerExpiry = absl::Seconds(30);
 // Leaders that are remembered: those of a minute in which one follows the other
 // every 4 s. What is forgotten makes a later leader wait longer, no worse.
-constexpr size_t kMostLeadersSeen = 16;
-constexpr int kBadCall = -32602;
+constexpr size_t kMaxLeadersSeen = 16;
+constexpr int kInvalidParams = -32602;
 
 JsonRpcReply Ok(Json::Value result) { return {std::move(result), 0, ""}; }
 
@@ -42,7 +42,7 @@
 void SiteNode::AddPeerMethods() {
   peer_server_.Add("heartbeat", [this](const Json::Value& params,
                                        const EventRpcServer::Reply& reply) {
-    reply(Ok(AnswerHeartbeat(params)));
+    reply(Ok(HandleHeartbeat(params)));
   });
   peer_server_.Add("call", [this](const Json::Value& params,
                                   const EventRpcServer::Reply& reply) {
@@ -78,12 +78,12 @@
   });
   peer_server_.Add(StoreFailover::kMethod, [this](const Json::Value& params,
                                                   EventRpcServer::Reply reply) {
-    carrier_.ServePeer(params, std::move(reply));
+    store_failover_.ServePeer(params, std::move(reply));
   });
   peer_server_.Add("configuration", [this](const Json::Value&,
                                            const EventRpcServer::Reply& reply) {
     if (configuration_ == nullptr)
-      return reply({Json::Value(), kBadCall, "no configuration"});
+      return reply({Json::Value(), kInvalidParams, "no configuration"});
     Json::Value out(Json::objectValue);
     out["document"] = configuration_->document;
     reply(Ok(out));
@@ -91,8 +91,9 @@
   // A node that leads tells one that led before, and asks whether it stopped.
   peer_server_.Add("leader_heard", [this](const Json::Value& params,
                                           const EventRpcServer::Reply& reply) {
-    election_.OnLeaderHeard(LeaderFromJson(params["leader"]), SystemNow().mono);
-    Elect();
+    election_.OnLeaderReported(LeaderFromJson(params["leader"]),
+                               SystemNow().mono);
+    StepElection();
     Json::Value out(Json::objectValue);
     out["leads"] = session_ != nullptr && !session_->ended();
     out["idle_ms"] =
@@ -103,14 +104,15 @@
   peer_server_.Add("leader_age", [this](const Json::Value& params,
                                         const EventRpcServer::Reply& reply) {
     Json::Value out(Json::objectValue);
-    const bool same = params["epoch"].asInt64() == election_.leader().epoch;
+    const bool same_epoch =
+        params["epoch"].asInt64() == election_.leader().epoch;
     const bool leads = session_ != nullptr && session_->CanAccept();
     out["newer"] = ToJson(election_.leader());
     if (leads)
       out["age_ms"] = 0;
-    else if (same && leader_accepts_)
+    else if (same_epoch && leader_accepts_jobs_)
       out["age_ms"] = Json::Int64(absl::ToInt64Milliseconds(
-          std::min(SystemNow().mono - leader_answered_, absl::Hours(1))));
+          std::min(SystemNow().mono - leader_answered_at_, absl::Hours(1))));
     reply(Ok(out));
   });
   peer_server_.Add("take_over", [this](const Json::Value& params,
@@ -126,20 +128,20 @@
 
 void SiteNode::AddOrderMethods() {
   peer_server_.Add(
-      RelayedOrders::kOrdersMethod,
+      OrderRelayClient::kOrdersMethod,
       [this](const Json::Value& params, const EventRpcServer::Reply& reply) {
         reply(Ok(Json::Value(Json::objectValue)));
-        order_relay_.Carry(params);
+        order_relay_server_.HandleOrders(params);
       });
   peer_server_.Add(
-      RelayedOrders::kRepliesMethod,
+      OrderRelayClient::kRepliesMethod,
       [this](const Json::Value& params, const EventRpcServer::Reply& reply) {
         reply(Ok(Json::Value(Json::objectValue)));
-        relayed_orders_.TakeReplies(params);
+        order_relay_client_.HandleReplies(params);
       });
 }
 
-void SiteNode::TakePeer(const Json::Value& in) {
+void SiteNode::RecordPeer(const Json::Value& in) {
   const std::string name = in["node"].asString();
   if (name.empty() || name == settings_.name) return;
   Peer& peer = peers_[name];
@@ -148,23 +150,23 @@
   peer.zone = in["zone"].asString();
   peer.store_ok = in["store_ok"].asBool();
   peer.capacity = in.get("capacity", 1.0).asDouble();
-  peer.heard = SystemNow().mono;
+  peer.last_report = SystemNow().mono;
 }
 
-void SiteNode::TakePeersOf(const Json::Value& answer) {
-  leader_list_version_ = answer["peers_version"].asUInt64();
+void SiteNode::RecordLeaderPeers(const Json::Value& answer) {
+  leader_peer_list_version_ = answer["peers_version"].asUInt64();
   if (!answer.isMember("peers")) {
     // As it was: all of it was heard again.
-    for (const std::string& name : leader_list_) {
+    for (const std::string& name : leader_peer_names_) {
       const auto peer = peers_.find(name);
-      if (peer != peers_.end()) peer->second.heard = SystemNow().mono;
+      if (peer != peers_.end()) peer->second.last_report = SystemNow().mono;
     }
     return;
   }
-  leader_list_.clear();
+  leader_peer_names_.clear();
   for (const Json::Value& peer : answer["peers"]) {
-    TakePeer(peer);
-    leader_list_.push_back(peer["node"].asString());
+    RecordPeer(peer);
+    leader_peer_names_.push_back(peer["node"].asString());
   }
 }
 
@@ -173,7 +175,7 @@
   out["node"] = settings_.name;
   out["address"] = settings_.PeerAddress();
   out["zone"] = settings_.zone;
-  out["store_ok"] = carrier_.direct();
+  out["store_ok"] = store_failover_.direct();
   out["capacity"] = settings_.Capacity();
   return out;
 }
@@ -182,14 +184,14 @@
   const absl::Time now = SystemNow().mono;
   Json::Value list(Json::arrayValue);
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard > kPeerFresh) continue;
-    Json::Value one(Json::objectValue);
-    one["node"] = name;
-    one["address"] = peer.address;
-    one["zone"] = peer.zone;
-    one["store_ok"] = peer.store_ok;
-    one["capacity"] = peer.capacity;
-    list.append(std::move(one));
+    if (now - peer.last_report > kPeerFreshness) continue;
+    Json::Value entry(Json::objectValue);
+    entry["node"] = name;
+    entry["address"] = peer.address;
+    entry["zone"] = peer.zone;
+    entry["store_ok"] = peer.store_ok;
+    entry["capacity"] = peer.capacity;
+    list.append(std::move(entry));
   }
   list.append(DescribeSelf());
   if (list == peer_list_) return;
@@ -201,55 +203,55 @@
   const absl::Time now = SystemNow().mono;
   // Peers are heard of through the leader: when it falls silent, those that
   // were there until then are the ones that can replace it.
-  absl::Time last_heard = absl::InfinitePast();
+  absl::Time latest_report = absl::InfinitePast();
   for (const auto& [name, peer] : peers_)
-    last_heard = std::max(last_heard, peer.heard);
+    latest_report = std::max(latest_report, peer.last_report);
   std::vector<ElectionPeer> candidates;
-  std::vector<std::string> fresh = {settings_.name};
-  std::vector<std::string> relays;
+  std::vector<std::string> fresh_peers = {settings_.name};
+  std::vector<std::string> store_relays;
   std::vector<OrderRouting::Node> order_relays;
   for (auto it = peers_.begin(); it != peers_.end();) {
     const Peer& peer = it->second;
-    if (now - peer.heard > kPeerForgotten) {
+    if (now - peer.last_report > kPeerExpiry) {
       it = peers_.erase(it);
       continue;
     }
-    const bool is_fresh = now - peer.heard < kPeerFresh;
+    const bool is_fresh = now - peer.last_report < kPeerFreshness;
     peers_lost_ = peers_lost_ || (it->second.was_fresh && !is_fresh);
     it->second.was_fresh = is_fresh;
-    if (last_heard - peer.heard < kPeerFresh)
+    if (latest_report - peer.last_report < kPeerFreshness)
       candidates.push_back({peer.name, peer.capacity, peer.store_ok});
     if (is_fresh) {
-      fresh.push_back(peer.name);
+      fresh_peers.push_back(peer.name);
       order_relays.push_back(
           {peer.name, peer.address, peer.zone, peer.capacity});
     }
-    if (peer.store_ok && is_fresh) relays.push_back(peer.address);
+    if (peer.store_ok && is_fresh) store_relays.push_back(peer.address);
     ++it;
   }
   election_.SetPeers(std::move(candidates));
-  if (relays.empty()) {
+  if (store_relays.empty()) {
     // Before anybody was heard, the seeds may reach the store.
     for (const std::string& seed : settings_.seeds) {
       const std::string address = absl::StrCat(seed.substr(0, seed.find(':')),
                                                ":", settings_.peer_listen.port);
       if (address != settings_.peer_listen.ToString())
-        relays.push_back(address);
+        store_relays.push_back(address);
     }
   }
-  carrier_.SetPeers(std::move(relays));
+  store_failover_.SetPeers(std::move(store_relays));
   if (session_ != nullptr && !session_->ended()) {
-    session_->SetAdvisers(fresh);
-    relayed_orders_.SetNodes(std::move(order_relays), settings_.Capacity());
+    session_->SetAdvisers(fresh_peers);
+    order_relay_client_.SetNodes(std::move(order_relays), settings_.Capacity());
   }
   UpdatePeerList();
 }
 
-Json::Value SiteNode::AnswerHeartbeat(const Json::Value& params) {
-  TakePeer(params);
-  const LeaderRecord theirs = LeaderFromJson(params["leader"]);
-  if (theirs.epoch > election_.leader().epoch)
-    election_.OnLeaderHeard(theirs, SystemNow().mono);
+Json::Value SiteNode::HandleHeartbeat(const Json::Value& params) {
+  RecordPeer(params);
+  const LeaderRecord sender_leader = LeaderFromJson(params["leader"]);
+  if (sender_leader.epoch > election_.leader().epoch)
+    election_.OnLeaderReported(sender_leader, SystemNow().mono);
   const int64_t version = params["configuration_version"].asInt64();
   if (version > configuration_version())
     CatchUpWithConfiguration(params["address"].asString(), version);
@@ -268,30 +270,30 @@
 
 absl::Duration SiteNode::HeartbeatPeriod() const {
   const auto nodes = static_cast<double>(peers_.size() + 1);
-  return std::max(kHeartbeatEvery,
-                  absl::Seconds(nodes / kMostHeartbeatsPerSecond));
+  return std::max(kHeartbeatInterval,
+                  absl::Seconds(nodes / kMaxHeartbeatsPerSecond));
 }
 
 void SiteNode::Heartbeat() {
   UpdatePeers();
   const LeaderRecord leader = election_.leader();
-  const bool self = leader.address == settings_.PeerAddress();
-  if (leader.epoch == 0 || self || heartbeat_under_way_) return;
-  heartbeat_under_way_ = true;
+  const bool is_self = leader.address == settings_.PeerAddress();
+  if (leader.epoch == 0 || is_self || heartbeat_in_flight_) return;
+  heartbeat_in_flight_ = true;
   const absl::Time now = SystemNow().mono;
-  next_heartbeat_ = now + HeartbeatPeriod();
-  const absl::Duration timeout = heartbeat_times_.Patience();
-  const absl::Duration two_fail =
-      HeartbeatPeriod() + kHeartbeatAgain + 2 * timeout + kSuspicionMargin;
-  election_.SetSuspectAfter(std::min(two_fail, kLongestSuspicion));
+  next_heartbeat_at_ = now + HeartbeatPeriod();
+  const absl::Duration timeout = heartbeat_times_.AnswerTimeout();
+  const absl::Duration two_failures =
+      HeartbeatPeriod() + kHeartbeatRetryDelay + 2 * timeout + kSuspicionMargin;
+  election_.SetSuspectAfter(std::min(two_failures, kMaxSuspectAfter));
   Json::Value params = DescribeSelf();
   params["leader"] = ToJson(leader);
-  params["peers_version"] = Json::UInt64(leader_list_version_);
+  params["peers_version"] = Json::UInt64(leader_peer_list_version_);
   params["configuration_version"] = Json::Int64(configuration_version());
   rpc_.Call(
       leader.address, "heartbeat", params, timeout,
       [this, leader, timeout, sent = now](const RpcOutcome& outcome) {
-        heartbeat_under_way_ = false;
+        heartbeat_in_flight_ = false;
         OnHeartbeatReply(outcome, leader, sent, timeout);
       },
       RpcLane::kControl);
@@ -304,14 +306,14 @@
   // An answer that lay in the socket while this process stood still tells
   // nothing of now; one that came in time counts from its arrival, so that a
   // slow leader is not taken for a silent one.
-  const bool in_time = now - sent <= timeout + kLateTimers;
+  const bool in_time = now - sent <= timeout + kMaxTimerDelay;
   if (!outcome.answered || !in_time) {
     // A closed port tells that the process is gone; a connection that broke is
     // looked into at once.
     if (outcome.refused && to.epoch == election_.leader().epoch)
       election_.OnLeaderGone(now);
     if (++failed_heartbeats_ == 1) {
-      RunAfter(loop_, kHeartbeatAgain, [this] { Heartbeat(); });
+      RunAfter(loop_, kHeartbeatRetryDelay, [this] { Heartbeat(); });
       LogEvent(Severity::kWarning, "leader_silent",
                {{"leader", to.node},
                 {"epoch", absl::StrCat(to.epoch)},
@@ -325,9 +327,9 @@
   failed_heartbeats_ = 0;
   heartbeat_times_.OnAnswer(now - sent);
   const Json::Value& in = outcome.result;
-  election_.OnLeaderHeard(LeaderFromJson(in["leader"]), now);
-  TakePeersOf(in);
-  OnConfigurationOfPeer(to.address, in, sent);
+  election_.OnLeaderReported(LeaderFromJson(in["leader"]), now);
+  RecordLeaderPeers(in);
+  OnPeerConfiguration(to.address, in, sent);
   // What the answer tells is about the process that was asked, which may have
   // been replaced by the leader that it names.
   if (election_.leader().epoch != to.epoch) return;
@@ -337,11 +339,11 @@
   }
   if (!in["leads"].asBool()) return;  // It stepped down; silence follows.
   election_.OnHeartbeatAnswered(now);
-  leader_accepts_ = in["accepts"].asBool();
-  leader_answered_ = now;
-  if (!leader_accepts_) return;
+  leader_accepts_jobs_ = in["accepts"].asBool();
+  leader_answered_at_ = now;
+  if (!leader_accepts_jobs_) return;
   leaders_seen_.try_emplace(to.epoch, now);
-  if (leaders_seen_.size() > kMostLeadersSeen)
+  if (leaders_seen_.size() > kMaxLeadersSeen)
     leaders_seen_.erase(leaders_seen_.begin());
 }
 
--- a/keelbridge/daemon/store_failover.cc
+++ b/keelbridge/daemon/store_failover.cc
@@ -13,14 +13,14 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 // While a peer carries, the store is tried directly this often.
-constexpr absl::Duration kDirectEvery = absl::Milliseconds(150);
-constexpr absl::Duration kTryTimeout = absl::Milliseconds(500);
+constexpr absl::Duration kProbeInterval = absl::Milliseconds(150);
+constexpr absl::Duration kProbeTimeout = absl::Milliseconds(500);
 // The direct way is tried with the last read that has at most this long: who
 // leads, in one short record. One that has longer may bring a whole
 // configuration, which a thin link does not carry within a try.
 constexpr absl::Duration kSmallReadTimeout = absl::Milliseconds(800);
 // A call with less time left is not carried by a peer.
-constexpr absl::Duration kShortestRelay = absl::Milliseconds(50);
+constexpr absl::Duration kMinRelayTime = absl::Milliseconds(50);
 // Appends one at a time, and reads that may hang until they time out beside
 // them: three of the configuration and a probe, one of who leads, of workers,
 // two tries; the rest for what peers ask to be carried.
@@ -29,26 +29,26 @@
 // A connection to the store that idled for longer may have gone silent
 // meanwhile: a new one costs a round trip (some milliseconds), a silent one the
 // time-out of a call. A leader calls more often and keeps its own.
-constexpr absl::Duration kStoreIdle = absl::Seconds(2);
+constexpr absl::Duration kStoreIdleExpiry = absl::Seconds(2);
 
 EventHttpClient::Options ClientOptions(size_t connections) {
   EventHttpClient::Options options;
-  options.most_connections = connections;
-  options.idle_expiry = kStoreIdle;
+  options.max_connections = connections;
+  options.idle_expiry = kStoreIdleExpiry;
   return options;
 }
 
 // The store did not do what was asked, for a reason that another path may not
 // have.
-bool TurnedAway(const HttpOutcome& outcome) {
+bool IsUnavailable(const HttpOutcome& outcome) {
   return !outcome.response || outcome.response->status == kTooManyRequests ||
          outcome.response->status == kUnavailable;
 }
 
 // The store certainly did nothing: the same call may go another way.
-bool NothingDone(const HttpOutcome& outcome) {
+bool CertainlyNotExecuted(const HttpOutcome& outcome) {
   if (!outcome.response) return outcome.failure == SendFailure::kNothingSent;
-  return TurnedAway(outcome);
+  return IsUnavailable(outcome);
 }
 
 Json::Value RequestToJson(const HttpRequest& request) {
@@ -57,8 +57,9 @@
   out["path"] = request.path;
   out["body"] = absl::Base64Escape(request.body);
   out["content_type"] = request.content_type;
-  if (request.silence < absl::InfiniteDuration())
-    out["silence_ms"] = Json::Int64(absl::ToInt64Milliseconds(request.silence));
+  if (request.progress_timeout < absl::InfiniteDuration())
+    out["silence_ms"] =
+        Json::Int64(absl::ToInt64Milliseconds(request.progress_timeout));
   return out;
 }
 
@@ -69,7 +70,7 @@
   absl::Base64Unescape(in["body"].asString(), &request.body);
   request.content_type = in["content_type"].asString();
   if (in["silence_ms"].isIntegral())
-    request.silence = absl::Milliseconds(in["silence_ms"].asInt64());
+    request.progress_timeout = absl::Milliseconds(in["silence_ms"].asInt64());
   return request;
 }
 
@@ -83,88 +84,92 @@
                           std::function<void(HttpOutcome)> done) {
   const bool read = request.method == "GET";
   const bool small = read && timeout <= kSmallReadTimeout;
-  if (small) last_read_ = request;
+  if (small) probe_request_ = request;
   const absl::Time now = SystemNow().mono;
-  const bool can_try_beside = !last_read_.path.empty();
+  const bool can_probe = !probe_request_.path.empty();
   // A store that refuses is asked itself first: it answers at once, and that is
   // how its return is noticed.
-  const bool through_peer = failures_ > 0 && !refused_ && !peers_.empty() &&
-                            (can_try_beside || now < next_direct_);
+  const bool through_peer = failures_ > 0 && !store_refused_ &&
+                            !peers_.empty() && (can_probe || now < next_probe_);
   if (through_peer) {
     // Reads are answered and only appends fail. A large read that went both
     // ways would come twice over one link.
     const bool only_direct = read && !small && !read_failed_;
     if (!only_direct) {
-      const bool try_read = now >= next_direct_ || !read_failed_;
-      if (read && try_read) return BothWays(request, timeout, std::move(done));
-      if (can_try_beside) TryDirectAgain();
-      return Relay(request, timeout, std::move(done));
+      const bool send_both_ways = now >= next_probe_ || !read_failed_;
+      if (read && send_both_ways)
+        return SendBothWays(request, timeout, std::move(done));
+      if (can_probe) ProbeDirect();
+      return SendThroughPeer(request, timeout, std::move(done));
     }
   }
-  next_direct_ = now + kDirectEvery;
-  Direct(request, timeout,
-         [this, request, deadline = now + timeout,
-          done = std::move(done)](HttpOutcome outcome) {
-           const absl::Duration left = deadline - SystemNow().mono;
-           const bool relay =
-               NothingDone(outcome) && !peers_.empty() && left > kShortestRelay;
-           if (relay) return Relay(request, left, done);
-           done(std::move(outcome));
-         });
+  next_probe_ = now + kProbeInterval;
+  SendDirect(request, timeout,
+             [this, request, deadline = now + timeout,
+              done = std::move(done)](HttpOutcome outcome) {
+               const absl::Duration left = deadline - SystemNow().mono;
+               const bool relay = CertainlyNotExecuted(outcome) &&
+                                  !peers_.empty() && left > kMinRelayTime;
+               if (relay) return SendThroughPeer(request, left, done);
+               done(std::move(outcome));
+             });
 }
 
-void StoreFailover::BothWays(const HttpRequest& request, absl::Duration timeout,
-                             std::function<void(HttpOutcome)> done) {
-  next_direct_ = SystemNow().mono + kDirectEvery;
-  auto waiting =
+void StoreFailover::SendBothWays(const HttpRequest& request,
+                                 absl::Duration timeout,
+                                 std::function<void(HttpOutcome)> done) {
+  next_probe_ = SystemNow().mono + kProbeInterval;
+  auto pending_done =
       std::make_shared<std::function<void(HttpOutcome)>>(std::move(done));
-  auto open = std::make_shared<int>(2);
-  const auto ended = [waiting, open](HttpOutcome outcome) {
-    const bool last = --*open == 0;
-    if (*waiting && (last || !TurnedAway(outcome)))
-      std::exchange(*waiting, nullptr)(std::move(outcome));
+  auto outstanding = std::make_shared<int>(2);
+  const auto on_outcome = [pending_done, outstanding](HttpOutcome outcome) {
+    const bool last = --*outstanding == 0;
+    if (*pending_done && (last || !IsUnavailable(outcome)))
+      std::exchange(*pending_done, nullptr)(std::move(outcome));
   };
-  Direct(request, timeout, ended);
-  Relay(request, timeout, ended);
+  SendDirect(request, timeout, on_outcome);
+  SendThroughPeer(request, timeout, on_outcome);
 }
 
-void StoreFailover::TryDirectAgain() {
+void StoreFailover::ProbeDirect() {
   const absl::Time now = SystemNow().mono;
-  if (now < next_direct_) return;
-  next_direct_ = now + kDirectEvery;
-  Direct(last_read_, kTryTimeout, [](const HttpOutcome&) {});
+  if (now < next_probe_) return;
+  next_probe_ = now + kProbeInterval;
+  SendDirect(probe_request_, kProbeTimeout, [](const HttpOutcome&) {});
 }
 
-void StoreFailover::Direct(const HttpRequest& request, absl::Duration timeout,
-                           std::function<void(HttpOutcome)> done) {
+void StoreFailover::SendDirect(const HttpRequest& request,
+                               absl::Duration timeout,
+                               std::function<void(HttpOutcome)> done) {
   ++calls_;
   store_.Send(request, timeout,
               [this, read = request.method == "GET",
                done = std::move(done)](HttpOutcome outcome) {
-                if (read) read_failed_ = TurnedAway(outcome);
-                OnDirect(outcome);
+                if (read) read_failed_ = IsUnavailable(outcome);
+                OnDirectOutcome(outcome);
                 done(std::move(outcome));
               });
 }
 
-void StoreFailover::OnDirect(const HttpOutcome& outcome) {
-  refused_ = outcome.response.has_value() && TurnedAway(outcome);
-  if (!TurnedAway(outcome)) {
+void StoreFailover::OnDirectOutcome(const HttpOutcome& outcome) {
+  store_refused_ = outcome.response.has_value() && IsUnavailable(outcome);
+  if (!IsUnavailable(outcome)) {
     failures_ = 0;
     lost_since_ = absl::InfiniteFuture();
     return;
   }
   if (++failures_ > 1) return;
   lost_since_ = SystemNow().mono;
-  if (outcome.response || last_read_.path.empty()) return;
+  if (outcome.response || probe_request_.path.empty()) return;
   // Perhaps only a kept connection went silent. A read on a new connection
   // shows whether the store is there before the caller tries again.
-  next_direct_ = lost_since_;
-  TryDirectAgain();
+  next_probe_ = lost_since_;
+  ProbeDirect();
 }
 
-void StoreFailover::Relay(const HttpRequest& request, absl::Duration timeout,
-                          std::function<void(HttpOutcome)> done) {
+void StoreFailover::SendThroughPeer(const HttpRequest& request,
+                                    absl::Duration timeout,
+                                    std::function<void(HttpOutcome)> done) {
   ++relayed_;
   // The peer that carried the last call goes on until it fails.
   const size_t number = next_peer_;
@@ -176,10 +181,10 @@
               HttpOutcome out;
               const int status =
                   outcome.answered ? outcome.result["status"].asInt() : 0;
-              const bool turned_away = status == 0 ||
+              const bool unavailable = status == 0 ||
                                        status == kTooManyRequests ||
                                        status == kUnavailable;
-              if (turned_away && next_peer_ == number) ++next_peer_;
+              if (unavailable && next_peer_ == number) ++next_peer_;
               if (status == 0) {
                 const bool sent = outcome.answered
                                       ? outcome.result["sent"].asBool()
@@ -205,15 +210,15 @@
                               EventRpcServer::Reply reply) {
   const absl::Duration timeout =
       absl::Milliseconds(params["timeout_ms"].asInt64());
-  Direct(RequestFromJson(params), timeout,
-         [reply = std::move(reply)](const HttpOutcome& outcome) {
-           Json::Value out(Json::objectValue);
-           out["status"] = outcome.response ? outcome.response->status : 0;
-           out["sent"] = outcome.failure != SendFailure::kNothingSent;
-           if (outcome.response)
-             out["body"] = absl::Base64Escape(outcome.response->body);
-           reply({out, 0, ""});
-         });
+  SendDirect(RequestFromJson(params), timeout,
+             [reply = std::move(reply)](const HttpOutcome& outcome) {
+               Json::Value out(Json::objectValue);
+               out["status"] = outcome.response ? outcome.response->status : 0;
+               out["sent"] = outcome.failure != SendFailure::kNothingSent;
+               if (outcome.response)
+                 out["body"] = absl::Base64Escape(outcome.response->body);
+               reply({out, 0, ""});
+             });
 }
 
 StoreLongPolls::StoreLongPolls(boost::asio::io_context& loop,
--- a/keelbridge/daemon/store_failover.h
+++ b/keelbridge/daemon/store_failover.h
@@ -28,7 +28,7 @@
 
 namespace keelbridge {
 
-class StoreFailover : public StoreCarrier {
+class StoreFailover : public StoreTransport {
  public:
   StoreFailover(boost::asio::io_context& loop, const Address& store,
                 EventRpcClient& rpc);
@@ -51,34 +51,34 @@
   static constexpr char kMethod[] = "relay";
 
  private:
-  void Direct(const HttpRequest& request, absl::Duration timeout,
-              std::function<void(HttpOutcome)> done);
-  void Relay(const HttpRequest& request, absl::Duration timeout,
-             std::function<void(HttpOutcome)> done);
+  void SendDirect(const HttpRequest& request, absl::Duration timeout,
+                  std::function<void(HttpOutcome)> done);
+  void SendThroughPeer(const HttpRequest& request, absl::Duration timeout,
+                       std::function<void(HttpOutcome)> done);
   // A read that goes both ways at once.
-  void BothWays(const HttpRequest& request, absl::Duration timeout,
-                std::function<void(HttpOutcome)> done);
+  void SendBothWays(const HttpRequest& request, absl::Duration timeout,
+                    std::function<void(HttpOutcome)> done);
   // With a read that nobody waits for.
-  void TryDirectAgain();
-  void OnDirect(const HttpOutcome& outcome);
+  void ProbeDirect();
+  void OnDirectOutcome(const HttpOutcome& outcome);
 
   EventHttpClient store_;
   EventRpcClient& rpc_;
   std::vector<std::string> peers_;
   size_t next_peer_ = 0;
-  int failures_ = 0;          // Direct tries in a row.
-  bool read_failed_ = false;  // The last direct read did.
-  bool refused_ = false;      // The store answered, but did nothing.
+  int failures_ = 0;            // Direct tries in a row.
+  bool read_failed_ = false;    // The last direct read did.
+  bool store_refused_ = false;  // The store answered, but did nothing.
   absl::Time lost_since_ = absl::InfiniteFuture();
-  absl::Time next_direct_ = absl::InfinitePast();
-  HttpRequest last_read_;  // What tries whether the direct way is back.
+  absl::Time next_probe_ = absl::InfinitePast();
+  HttpRequest probe_request_;  // What tries whether the direct way is back.
   int64_t calls_ = 0;
   int64_t relayed_ = 0;
 };
 
 // Carries calls that wait for a record; each has a connection of its own and
 // there is nobody else to ask.
-class StoreLongPolls : public StoreCarrier {
+class StoreLongPolls : public StoreTransport {
  public:
   StoreLongPolls(boost::asio::io_context& loop, const Address& store);
   void Carry(const HttpRequest& request, absl::Duration timeout,
--- a/keelbridge/daemon/store_failover_test.cc
+++ b/keelbridge/daemon/store_failover_test.cc
@@ -14,7 +14,8 @@
 // The kernel picks the port: several runs of the tests may share a machine.
 const Address kAnyPort{"127.0.0.1", 0, ""};
 
-HttpOutcome CarryOne(boost::asio::io_context& loop, StoreFailover& carrier) {
+HttpOutcome CarryAndWait(boost::asio::io_context& loop,
+                         StoreFailover& carrier) {
   HttpRequest request;
   request.method = "POST";
   request.path = "/append";
@@ -36,9 +37,9 @@
     server_.Add(
         StoreFailover::kMethod,
         [this](const Json::Value& params, const EventRpcServer::Reply& reply) {
-          ++carried;
-          last = params;
-          if (silent) return held.push_back(reply);
+          ++forwarded;
+          last_params = params;
+          if (unresponsive) return unanswered_calls.push_back(reply);
           Json::Value out(Json::objectValue);
           out["status"] = 200;
           reply({out, 0, ""});
@@ -48,10 +49,10 @@
     address = Address{"127.0.0.1", port.value(), ""}.ToString();
   }
   std::string address;
-  int carried = 0;
-  Json::Value last;
-  bool silent = false;  // It keeps what it would answer.
-  std::vector<EventRpcServer::Reply> held;
+  int forwarded = 0;
+  Json::Value last_params;
+  bool unresponsive = false;  // It keeps what it would answer.
+  std::vector<EventRpcServer::Reply> unanswered_calls;
 
  private:
   EventRpcServer server_;
@@ -77,18 +78,18 @@
   EventRpcClient rpc(loop);
   StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
   carrier.SetPeers({peer.address});
-  const HttpOutcome outcome = CarryOne(loop, carrier);
+  const HttpOutcome outcome = CarryAndWait(loop, carrier);
   REQUIRE(outcome.response);
   CHECK(outcome.response->status == 200);
-  CHECK(peer.carried == 1);
+  CHECK(peer.forwarded == 1);
   CHECK(asked == 1);
   CHECK(!carrier.direct());
   // Another answer is the store's own, whatever it says.
   status = 409;
   StoreFailover second(loop, {"127.0.0.1", port.value(), ""}, rpc);
   second.SetPeers({peer.address});
-  CHECK(CarryOne(loop, second).response->status == 409);
-  CHECK(peer.carried == 1);
+  CHECK(CarryAndWait(loop, second).response->status == 409);
+  CHECK(peer.forwarded == 1);
 }
 
 // Its return was noticed by a try every 0.4 s, while the peer's own calls were
@@ -111,12 +112,12 @@
   EventRpcClient rpc(loop);
   StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
   carrier.SetPeers({peer.address});
-  CarryOne(loop, carrier);
+  CarryAndWait(loop, carrier);
   CHECK(!carrier.direct());
   status = 200;
-  CarryOne(loop, carrier);
+  CarryAndWait(loop, carrier);
   CHECK(carrier.direct());
-  CHECK(peer.carried == 1);
+  CHECK(peer.forwarded == 1);
 }
 
 TEST_CASE("store failover: what nobody can tell of is not sent twice") {
@@ -144,7 +145,7 @@
   REQUIRE(result);
   CHECK(!result->response);
   CHECK(result->failure == SendFailure::kMayHaveSent);
-  CHECK(peer.carried == 0);
+  CHECK(peer.forwarded == 0);
 }
 
 // A peer may have lost its connections at the same moment.
@@ -181,20 +182,20 @@
     return result->response.has_value();
   };
   CHECK(carry("GET"));
-  proxy.SilenceOpen();
+  proxy.SilenceOpenConnections();
   CHECK_FALSE(carry("POST"));
   // The pause of a writer before it tries again.
   loop.run_for(std::chrono::milliseconds(60));
   loop.restart();
   CHECK(carrier.direct());
   CHECK(carry("POST"));
-  CHECK(peer.carried == 0);
+  CHECK(peer.forwarded == 0);
   CHECK(appends == 1);
   // A store that does not answer new ones either is reached through a peer.
-  proxy.SetMode(testing::FaultProxy::Mode::kSilent);
+  proxy.SetMode(testing::FaultProxy::Mode::kDropAll);
   CHECK_FALSE(carry("POST"));
   CHECK(carry("POST"));
-  CHECK(peer.carried == 1);
+  CHECK(peer.forwarded == 1);
 }
 
 TEST_CASE(
@@ -215,26 +216,27 @@
   carrier.SetPeers({peer.address});
   HttpRequest request;
   request.path = "/log";
-  request.silence = absl::Milliseconds(100);
+  request.progress_timeout = absl::Milliseconds(100);
   // The first goes to the store, the second to the peer.
   for (int i = 0; i < 2; ++i) {
     carrier.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
     loop.run_for(std::chrono::milliseconds(300));
     loop.restart();
   }
-  REQUIRE(peer.carried == 1);
-  CHECK(peer.last["silence_ms"].asInt64() == 100);
+  REQUIRE(peer.forwarded == 1);
+  CHECK(peer.last_params["silence_ms"].asInt64() == 100);
   StoreFailover other(loop, {"127.0.0.1", port.value(), ""}, rpc);
   bool answered = false;
-  other.ServePeer(peer.last, [&](const JsonRpcReply&) { answered = true; });
+  other.ServePeer(peer.last_params,
+                  [&](const JsonRpcReply&) { answered = true; });
   loop.run_for(std::chrono::milliseconds(500));
   CHECK(answered);
   // None is told of when there is none.
-  request.silence = absl::InfiniteDuration();
+  request.progress_timeout = absl::InfiniteDuration();
   carrier.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
   loop.restart();
   loop.run_for(std::chrono::milliseconds(100));
-  CHECK_FALSE(peer.last.isMember("silence_ms"));
+  CHECK_FALSE(peer.last_params.isMember("silence_ms"));
 }
 
 TEST_CASE(
@@ -268,11 +270,11 @@
   HttpRequest append;
   append.method = "POST";
   append.path = "/append";
-  bool over = false;
+  bool finished = false;
   carrier.Carry(append, absl::Milliseconds(200),
-                [&](const HttpOutcome&) { over = true; });
+                [&](const HttpOutcome&) { finished = true; });
   loop.run_for(std::chrono::milliseconds(500));
-  REQUIRE(over);
+  REQUIRE(finished);
   REQUIRE_FALSE(carrier.direct());
   HttpRequest read;
   read.path = "/read";
@@ -322,7 +324,7 @@
   REQUIRE(answered == 1);
   loop.restart();
   loop.run_for(std::chrono::milliseconds(2200));
-  proxy.SilenceOpen();
+  proxy.SilenceOpenConnections();
   carry();
   CHECK(answered == 2);
 }
@@ -339,9 +341,9 @@
   const auto port = store.Start();
   REQUIRE(port);
   testing::FaultProxy proxy(loop, {"127.0.0.1", port.value(), ""});
-  proxy.SetMode(testing::FaultProxy::Mode::kSilent);
+  proxy.SetMode(testing::FaultProxy::Mode::kDropAll);
   Peer peer(loop);
-  peer.silent = true;
+  peer.unresponsive = true;
   EventRpcClient rpc(loop);
   StoreFailover carrier(loop, proxy.address(), rpc);
   carrier.SetPeers({peer.address});
@@ -363,10 +365,10 @@
   run(1000);
   CHECK(answers == 0);
   CHECK(!carrier.direct());
-  proxy.HealQuietly();
+  proxy.ResumeForwarding();
   read(absl::Seconds(2));
   run(300);
-  CHECK(peer.carried == 1);
+  CHECK(peer.forwarded == 1);
   CHECK(answers == 1);
   // What becomes of the call to the peer is heard by nobody.
   run(2200);
--- a/keelbridge/daemon/worker_pool.cc
+++ b/keelbridge/daemon/worker_pool.cc
@@ -9,7 +9,7 @@
 namespace keelbridge {
 namespace {
 
-constexpr size_t kDoubtfulThreads = 2;
+constexpr size_t kUnresponsiveThreads = 2;
 
 const std::string& WorkerOf(const WorkerCommand& command) {
   return std::visit(
@@ -42,15 +42,15 @@
     : timeout_(timeout), done_(std::move(done)) {
   for (size_t i = 0; i < threads; ++i)
     threads_.emplace_back([this] { Run(calls_); });
-  for (size_t i = 0; i < kDoubtfulThreads; ++i)
-    threads_.emplace_back([this] { Run(doubtful_calls_); });
+  for (size_t i = 0; i < kUnresponsiveThreads; ++i)
+    threads_.emplace_back([this] { Run(unresponsive_calls_); });
 }
 
 WorkerPool::~WorkerPool() { Stop(); }
 
 void WorkerPool::Stop() {
   calls_.Close();
-  doubtful_calls_.Close();
+  unresponsive_calls_.Close();
   for (std::thread& thread : threads_) {
     if (thread.joinable()) thread.join();
   }
@@ -68,7 +68,7 @@
   addresses_ = addresses;
 }
 
-std::shared_ptr<WorkerClient> WorkerPool::ClientOf(const std::string& worker) {
+std::shared_ptr<WorkerClient> WorkerPool::ClientFor(const std::string& worker) {
   absl::MutexLock lock(&mutex_);
   std::shared_ptr<WorkerClient>& client = clients_[worker];
   if (!client) {
@@ -78,32 +78,32 @@
   return client;
 }
 
-void WorkerPool::NoteAnswer(const std::string& worker, bool answered) {
+void WorkerPool::RecordAnswer(const std::string& worker, bool answered) {
   absl::MutexLock lock(&mutex_);
   if (answered) {
-    doubtful_.erase(worker);
+    unresponsive_.erase(worker);
   } else {
-    doubtful_.insert(worker);
+    unresponsive_.insert(worker);
   }
 }
 
 bool WorkerPool::Send(WorkerCall call) {
-  bool doubtful = false;
+  bool unresponsive = false;
   {
     absl::MutexLock lock(&mutex_);
-    doubtful = doubtful_.count(WorkerOf(call.command)) > 0;
+    unresponsive = unresponsive_.count(WorkerOf(call.command)) > 0;
   }
-  return (doubtful ? doubtful_calls_ : calls_).Push(std::move(call));
+  return (unresponsive ? unresponsive_calls_ : calls_).Push(std::move(call));
 }
 
-void WorkerPool::Run(BoundedRing<WorkerCall>& ring) {
-  while (!ring.Closed()) {
+void WorkerPool::Run(BoundedQueue<WorkerCall>& ring) {
+  while (!ring.ClosedAndEmpty()) {
     for (WorkerCall& call : ring.WaitAndDrain(1, absl::Seconds(1))) {
       const std::string worker = WorkerOf(call.command);
-      const std::shared_ptr<WorkerClient> client = ClientOf(worker);
+      const std::shared_ptr<WorkerClient> client = ClientFor(worker);
       WorkerAnswer answer;
       if (client) answer = Call(*client, call.command, timeout_);
-      NoteAnswer(worker, !std::holds_alternative<std::monostate>(answer));
+      RecordAnswer(worker, !std::holds_alternative<std::monostate>(answer));
       done_(std::move(call), std::move(answer));
     }
   }
--- a/keelbridge/daemon/worker_pool.h
+++ b/keelbridge/daemon/worker_pool.h
@@ -52,21 +52,21 @@
   void Stop();
 
  private:
-  static constexpr size_t kMostWaiting = 8192;
+  static constexpr size_t kMaxQueuedCalls = 8192;
 
-  void Run(BoundedRing<WorkerCall>& ring);
-  std::shared_ptr<WorkerClient> ClientOf(const std::string& worker);
-  void NoteAnswer(const std::string& worker, bool answered);
+  void Run(BoundedQueue<WorkerCall>& ring);
+  std::shared_ptr<WorkerClient> ClientFor(const std::string& worker);
+  void RecordAnswer(const std::string& worker, bool answered);
 
   const absl::Duration timeout_;
   const Done done_;
-  BoundedRing<WorkerCall> calls_{kMostWaiting};
-  BoundedRing<WorkerCall> doubtful_calls_{kMostWaiting};
+  BoundedQueue<WorkerCall> calls_{kMaxQueuedCalls};
+  BoundedQueue<WorkerCall> unresponsive_calls_{kMaxQueuedCalls};
   absl::Mutex mutex_;
   std::map<std::string, std::string> addresses_ ABSL_GUARDED_BY(mutex_);
   std::map<std::string, std::shared_ptr<WorkerClient>> clients_
       ABSL_GUARDED_BY(mutex_);
-  std::set<std::string> doubtful_ ABSL_GUARDED_BY(mutex_);
+  std::set<std::string> unresponsive_ ABSL_GUARDED_BY(mutex_);
   std::vector<std::thread> threads_;
 };
 
--- a/keelbridge/protocol/client_call.h
+++ b/keelbridge/protocol/client_call.h
@@ -31,7 +31,7 @@
   kWaiting,   // The count of waiting jobs.
   kNoSuchJob,
   kNoSuchQueue,
-  kNotTaken,  // Did not run and never will; come back after `retry_after`.
+  kRejected,  // Did not run and never will; come back after `retry_after`.
   kUnknown,   // Nobody can tell whether it was taken.
   kInvalid,   // The call is wrong.
 };
--- a/keelbridge/protocol/configuration.cc
+++ b/keelbridge/protocol/configuration.cc
@@ -10,22 +10,22 @@
 namespace keelbridge {
 namespace {
 
-constexpr double kMostCores = 4096;
-constexpr double kMostMemoryGib = 65536;
+constexpr double kMaxCores = 4096;
+constexpr double kMaxMemoryGib = 65536;
 constexpr int kMilliPerCore = 1000;
 constexpr int kMibPerGib = 1024;
 
 // Notes each name once and reports the second.
-class Names {
+class DeclaredNames {
  public:
   void Add(JsonReader& reader, const std::string& name) {
     if (!name.empty() && !names_.insert(name).second)
-      reader.Fault("name", "must be unique in its list");
+      reader.ReportFault("name", "must be unique in its list");
   }
   void Require(JsonReader& reader, const std::string& key,
                const std::string& name) const {
     if (!name.empty() && names_.count(name) == 0)
-      reader.Fault(key, "must name one that is declared above");
+      reader.ReportFault(key, "must name one that is declared above");
   }
 
  private:
@@ -33,35 +33,35 @@
 };
 
 void ReadAddress(JsonReader& reader, const std::string& key, std::string* out) {
-  reader.Text(key, out);
+  reader.String(key, out);
   if (out->empty()) return;
   if (auto address = ParseAddress(*out); !address)
-    reader.Fault(key, address.error().message);
+    reader.ReportFault(key, address.error().message);
 }
 
 void ReadResources(JsonReader& reader, Resources* out) {
   double cores = 0;
   double memory_gib = 0;
   int64_t accelerators = 0;
-  reader.Number("cpu_cores", 0.001, kMostCores, &cores);
-  reader.Number("memory_gib", 0.001, kMostMemoryGib, &memory_gib);
+  reader.Number("cpu_cores", 0.001, kMaxCores, &cores);
+  reader.Number("memory_gib", 0.001, kMaxMemoryGib, &memory_gib);
   reader.OptionalInteger("accelerators", 0, 1024, &accelerators);
   *out = {static_cast<int32_t>(cores * kMilliPerCore),
           static_cast<int32_t>(memory_gib * kMibPerGib),
           static_cast<int32_t>(accelerators)};
 }
 
-void ReadTarget(JsonReader& reader, const Names& zones, const Names& services,
-                TargetConfig& target) {
-  reader.Text("name", &target.name);
-  reader.Text("zone", &target.zone);
+void ReadTarget(JsonReader& reader, const DeclaredNames& zones,
+                const DeclaredNames& services, TargetConfig& target) {
+  reader.String("name", &target.name);
+  reader.String("zone", &target.zone);
   zones.Require(reader, "zone", target.zone);
   ReadAddress(reader, "address", &target.address);
   reader.Integer("slots", 1, 65536, &target.slots);
   reader.Integer("connections", 1, 65536, &target.connections);
   if (target.connections < target.slots)
-    reader.Fault("connections", "must be at least \"slots\"");
-  reader.Texts("services", &target.services);
+    reader.ReportFault("connections", "must be at least \"slots\"");
+  reader.StringList("services", &target.services);
   for (const std::string& service : target.services)
     services.Require(reader, "services", service);
 }
@@ -75,51 +75,51 @@
   out.text = text;
   if (!document.faults().empty()) return document.FaultError();
   JsonReader reader(document, document.root(), "");
-  reader.Text("deployment", &out.deployment);
+  reader.String("deployment", &out.deployment);
   std::string policy = "waiting-first";
-  reader.Choice("policy", {"waiting-first", "packing-first"}, &policy);
+  reader.OneOf("policy", {"waiting-first", "packing-first"}, &policy);
   out.policy = policy == "packing-first" ? PolicyKind::kPackingFirst
                                          : PolicyKind::kWaitingFirst;
-  Names zones, hosts, workers, targets, services, teams;
-  reader.Each("zones", [&](JsonReader& r) {
+  DeclaredNames zones, hosts, workers, targets, services, teams;
+  reader.ObjectList("zones", [&](JsonReader& r) {
     ZoneConfig& zone = out.zones.emplace_back();
-    r.Text("name", &zone.name);
+    r.String("name", &zone.name);
     zones.Add(r, zone.name);
     r.OptionalNumber("one_way_ms", 0, 10000, &zone.one_way_ms);
   });
-  reader.Each("services", [&](JsonReader& r) {
+  reader.ObjectList("services", [&](JsonReader& r) {
     ServiceConfig& service = out.services.emplace_back();
-    r.Text("name", &service.name);
+    r.String("name", &service.name);
     services.Add(r, service.name);
-    r.Flag("repeatable", &service.repeatable);
+    r.Bool("repeatable", &service.repeatable);
     r.OptionalMillis("timeout_ms", 1, 3600000, &service.timeout);
   });
-  reader.Each("teams", [&](JsonReader& r) {
+  reader.ObjectList("teams", [&](JsonReader& r) {
     TeamConfig& team = out.teams.emplace_back();
-    r.Text("name", &team.name);
+    r.String("name", &team.name);
     teams.Add(r, team.name);
     r.Number("quota", 0, 1, &team.quota);
   });
-  reader.Each("entry_hosts", [&](JsonReader& r) {
+  reader.ObjectList("entry_hosts", [&](JsonReader& r) {
     EntryHostConfig& host = out.entry_hosts.emplace_back();
-    r.Text("name", &host.name);
+    r.String("name", &host.name);
     hosts.Add(r, host.name);
-    r.Text("zone", &host.zone);
+    r.String("zone", &host.zone);
     zones.Require(r, "zone", host.zone);
     ReadAddress(r, "gateway", &host.gateway);
     ReadAddress(r, "scheduler", &host.scheduler);
   });
-  reader.Each("workers", [&](JsonReader& r) {
+  reader.ObjectList("workers", [&](JsonReader& r) {
     WorkerConfig& worker = out.workers.emplace_back();
-    r.Text("name", &worker.name);
+    r.String("name", &worker.name);
     workers.Add(r, worker.name);
-    r.Text("zone", &worker.zone);
+    r.String("zone", &worker.zone);
     zones.Require(r, "zone", worker.zone);
-    r.Text("rack", &worker.rack);
+    r.String("rack", &worker.rack);
     ReadAddress(r, "address", &worker.address);
     ReadResources(r, &worker.resources);
   });
-  reader.Each("targets", [&](JsonReader& r) {
+  reader.ObjectList("targets", [&](JsonReader& r) {
     TargetConfig& target = out.targets.emplace_back();
     ReadTarget(r, zones, services, target);
     targets.Add(r, target.name);
--- a/keelbridge/protocol/intent.cc
+++ b/keelbridge/protocol/intent.cc
@@ -14,80 +14,81 @@
     "cancel",  "resize", "priority"};
 constexpr std::array<const char*, kWorkClasses> kClassNames = {
     "urgent", "interactive", "standard", "bulk"};
-constexpr int64_t kMostTasks = 1000000;
-constexpr int64_t kLongestMs = int64_t{366} * 24 * 3600 * 1000;
+constexpr int64_t kMaxTasks = 1000000;
+constexpr int64_t kMaxDurationMs = int64_t{366} * 24 * 3600 * 1000;
 constexpr int kMilliPerCore = 1000;
 constexpr int kMibPerGib = 1024;
 
 template <size_t N>
-std::vector<std::string> AsList(const std::array<const char*, N>& names) {
+std::vector<std::string> ToVector(const std::array<const char*, N>& names) {
   return {names.begin(), names.end()};
 }
 
 template <typename E, size_t N>
-E FromName(const std::array<const char*, N>& names, const std::string& name,
-           E otherwise) {
+E EnumFromName(const std::array<const char*, N>& names, const std::string& name,
+               E fallback) {
   const auto it = std::find(names.begin(), names.end(), name);
-  return it == names.end() ? otherwise : static_cast<E>(it - names.begin());
+  return it == names.end() ? fallback : static_cast<E>(it - names.begin());
 }
 
 void ReadClass(JsonReader& reader, Intent& intent) {
   std::string name = "standard";
-  reader.Choice("class", AsList(kClassNames), &name);
-  intent.work_class = FromName(kClassNames, name, WorkClass::kStandard);
+  reader.OneOf("class", ToVector(kClassNames), &name);
+  intent.work_class = EnumFromName(kClassNames, name, WorkClass::kStandard);
 }
 
 void ReadWork(JsonReader& reader, Intent& intent) {
   double cores = 0;
   double memory_gib = 0;
   int64_t accelerators = 0;
-  reader.Text("team", &intent.team);
+  reader.String("team", &intent.team);
   ReadClass(reader, intent);
-  reader.Integer("tasks", 1, kMostTasks, &intent.tasks);
+  reader.Integer("tasks", 1, kMaxTasks, &intent.tasks);
   reader.Number("cpu_cores", 0.001, 4096, &cores);
   reader.Number("memory_gib", 0.001, 65536, &memory_gib);
   reader.OptionalInteger("accelerators", 0, 1024, &accelerators);
   intent.resources = {static_cast<int32_t>(cores * kMilliPerCore),
                       static_cast<int32_t>(memory_gib * kMibPerGib),
                       static_cast<int32_t>(accelerators)};
-  reader.OptionalFlag("spread_racks", &intent.spread_racks);
-  reader.OptionalFlag("exclusive", &intent.exclusive);
-  reader.OptionalFlag("repeatable", &intent.repeatable);
-  reader.OptionalFlag("checkpoints", &intent.checkpoints);
+  reader.OptionalBool("spread_racks", &intent.spread_racks);
+  reader.OptionalBool("exclusive", &intent.exclusive);
+  reader.OptionalBool("repeatable", &intent.repeatable);
+  reader.OptionalBool("checkpoints", &intent.checkpoints);
   if (intent.kind != IntentKind::kBatch) return;
   int64_t duration_ms = 0;
-  reader.Integer("task_duration_ms", 1, kLongestMs, &duration_ms);
+  reader.Integer("task_duration_ms", 1, kMaxDurationMs, &duration_ms);
   intent.task_duration = absl::Milliseconds(duration_ms);
   reader.OptionalNumber("estimate_error", 0, 10, &intent.estimate_error);
-  reader.OptionalMillis("deadline_in_ms", 1, kLongestMs, &intent.deadline_in);
+  reader.OptionalMillis("deadline_in_ms", 1, kMaxDurationMs,
+                        &intent.deadline_in);
 }
 
 Intent ReadIntent(JsonReader& reader) {
   Intent intent;
   std::string kind;
-  reader.Text("id", &intent.id);
+  reader.String("id", &intent.id);
   if (intent.id.find('/') != std::string::npos)
-    reader.Fault("id", "must not hold '/', which separates task numbers");
-  reader.Choice("kind", AsList(kKindNames), &kind);
-  intent.kind = FromName(kKindNames, kind, IntentKind::kService);
-  reader.Text("zone", &intent.zone);
+    reader.ReportFault("id", "must not hold '/', which separates task numbers");
+  reader.OneOf("kind", ToVector(kKindNames), &kind);
+  intent.kind = EnumFromName(kKindNames, kind, IntentKind::kService);
+  reader.String("zone", &intent.zone);
   switch (intent.kind) {
     case IntentKind::kService:
     case IntentKind::kBatch:
       ReadWork(reader, intent);
       break;
     case IntentKind::kResize:
-      reader.Text("subject", &intent.subject);
-      reader.Integer("tasks", 0, kMostTasks, &intent.tasks);
+      reader.String("subject", &intent.subject);
+      reader.Integer("tasks", 0, kMaxTasks, &intent.tasks);
       break;
     case IntentKind::kPriority:
-      reader.Text("subject", &intent.subject);
+      reader.String("subject", &intent.subject);
       ReadClass(reader, intent);
       break;
     case IntentKind::kDrainHost:
     case IntentKind::kDrainTarget:
     case IntentKind::kCancel:
-      reader.Text("subject", &intent.subject);
+      reader.String("subject", &intent.subject);
       break;
   }
   return intent;
@@ -122,10 +123,10 @@
   std::vector<Intent> out;
   std::set<std::string> ids;
   JsonReader reader(document, document.root(), "");
-  reader.Each("intents", [&](JsonReader& r) {
+  reader.ObjectList("intents", [&](JsonReader& r) {
     out.push_back(ReadIntent(r));
     if (!ids.insert(out.back().id).second)
-      r.Fault("id", "must be unique in its file");
+      r.ReportFault("id", "must be unique in its file");
   });
   reader.Finish();
   if (!document.faults().empty()) return document.FaultError();
@@ -197,7 +198,7 @@
   });
   const auto text = [](const std::string& line) { return Json::Value(line); };
   out["risks"] = ListToJson(plan.risks, text);
-  out["weighed"] = ListToJson(plan.weighed, text);
+  out["weighed"] = ListToJson(plan.rejected_alternatives, text);
   out["quotas"] = ListToJson(plan.quotas, text);
   return out;
 }
@@ -216,7 +217,7 @@
                           row["detail"].asString()});
   }
   plan.risks = TextsFromJson(in["risks"]);
-  plan.weighed = TextsFromJson(in["weighed"]);
+  plan.rejected_alternatives = TextsFromJson(in["weighed"]);
   plan.quotas = TextsFromJson(in["quotas"]);
   return plan;
 }
--- a/keelbridge/protocol/intent.h
+++ b/keelbridge/protocol/intent.h
@@ -84,8 +84,9 @@
   std::vector<PlanStep> steps;
   std::vector<std::string>
       risks;  // Promises that are at risk, and the earliest that can be kept.
-  std::vector<std::string> weighed;  // What else was weighed, and why it lost.
-  std::vector<std::string> quotas;   // Teams' shares before and after.
+  std::vector<std::string>
+      rejected_alternatives;        // What else was weighed, and why it lost.
+  std::vector<std::string> quotas;  // Teams' shares before and after.
 };
 
 Json::Value ToJson(const Plan& plan);
--- a/keelbridge/protocol/job.cc
+++ b/keelbridge/protocol/job.cc
@@ -18,46 +18,46 @@
     return MakeError(ErrorCode::kInvalid,
                      absl::StrCat("step ", number, ": ", what));
   };
-  if (step.count < 1 || step.count > kMostTasksInStep)
-    return fault(absl::StrCat("count must be from 1 to ", kMostTasksInStep));
+  if (step.count < 1 || step.count > kMaxTasksPerStep)
+    return fault(absl::StrCat("count must be from 1 to ", kMaxTasksPerStep));
   if (step.need.cpu_milli < 0 || step.need.memory_mib < 0 ||
       step.need.accelerators < 0)
     return fault("resources must not be negative");
-  for (const int32_t before : step.after) {
-    if (before < 0 || static_cast<size_t>(before) >= number)
+  for (const int32_t dependency : step.after) {
+    if (dependency < 0 || static_cast<size_t>(dependency) >= number)
       return fault("may only depend on earlier steps");
   }
-  if (step.gang && step.lasting) return fault("a gang cannot last");
+  if (step.gang && step.long_running) return fault("a gang cannot last");
   return Success();
 }
 
 // Writes a member only when it differs from zero, to keep records small.
 template <typename T>
-void SetIf(Json::Value& out, const char* key, const T& value) {
+void SetIfNotDefault(Json::Value& out, const char* key, const T& value) {
   if (value != T()) out[key] = value;
 }
 
 Json::Value StepToJson(const StepSpec& step) {
   Json::Value out(Json::objectValue);
   out["count"] = step.count;
-  SetIf(out, "cpu_milli", step.need.cpu_milli);
-  SetIf(out, "memory_mib", step.need.memory_mib);
-  SetIf(out, "accelerators", step.need.accelerators);
+  SetIfNotDefault(out, "cpu_milli", step.need.cpu_milli);
+  SetIfNotDefault(out, "memory_mib", step.need.memory_mib);
+  SetIfNotDefault(out, "accelerators", step.need.accelerators);
   if (step.estimated_ms != 0)
     out["estimated_ms"] = Json::Int64(step.estimated_ms);
-  for (const int32_t before : step.after) out["after"].append(before);
-  SetIf(out, "checkpoints", step.checkpoints);
-  SetIf(out, "gang", step.gang);
-  SetIf(out, "same_rack", step.same_rack);
-  SetIf(out, "duplicates", step.duplicates);
-  SetIf(out, "lasting", step.lasting);
-  SetIf(out, "fills", step.fills);
-  SetIf(out, "label", step.label);
-  SetIf(out, "rack", step.rack);
-  SetIf(out, "most_per_worker", step.most_per_worker);
-  SetIf(out, "may_miss", step.may_miss);
+  for (const int32_t dependency : step.after) out["after"].append(dependency);
+  SetIfNotDefault(out, "checkpoints", step.checkpoints);
+  SetIfNotDefault(out, "gang", step.gang);
+  SetIfNotDefault(out, "same_rack", step.same_rack);
+  SetIfNotDefault(out, "duplicates", step.duplicates);
+  SetIfNotDefault(out, "lasting", step.long_running);
+  SetIfNotDefault(out, "fills", step.best_effort);
+  SetIfNotDefault(out, "label", step.label);
+  SetIfNotDefault(out, "rack", step.rack);
+  SetIfNotDefault(out, "most_per_worker", step.max_per_worker);
+  SetIfNotDefault(out, "may_miss", step.max_down_tasks);
   if (step.target_ms != 0) out["target_ms"] = Json::Int64(step.target_ms);
-  SetIf(out, "image", step.image);
+  SetIfNotDefault(out, "image", step.image);
   return out;
 }
 
@@ -66,25 +66,25 @@
   step.count = in["count"].asInt();
   step.need = ResourcesFromJson(in);
   step.estimated_ms = in["estimated_ms"].asInt64();
-  for (const Json::Value& before : in["after"])
-    step.after.push_back(before.asInt());
+  for (const Json::Value& dependency : in["after"])
+    step.after.push_back(dependency.asInt());
   step.checkpoints = in["checkpoints"].asBool();
   step.gang = in["gang"].asBool();
   step.same_rack = in["same_rack"].asBool();
   step.duplicates = in["duplicates"].asBool();
-  step.lasting = in["lasting"].asBool();
-  step.fills = in["fills"].asBool();
+  step.long_running = in["lasting"].asBool();
+  step.best_effort = in["fills"].asBool();
   step.label = in["label"].asString();
   step.rack = in["rack"].asString();
-  step.most_per_worker = in["most_per_worker"].asInt();
-  step.may_miss = in["may_miss"].asInt();
+  step.max_per_worker = in["most_per_worker"].asInt();
+  step.max_down_tasks = in["may_miss"].asInt();
   step.target_ms = in["target_ms"].asInt64();
   step.image = in["image"].asString();
   return step;
 }
 
 // A member that is there has the type that it is written with.
-bool StepTypesHold(const Json::Value& step) {
+bool HasValidStepTypes(const Json::Value& step) {
   if (!step.isObject()) return false;
   const auto all = [&step](std::initializer_list<const char*> keys,
                            bool (Json::Value::*is)() const) {
@@ -93,12 +93,12 @@
     });
   };
   const Json::Value& after = step["after"];
-  const bool numbers =
+  const bool has_valid_dependencies =
       !step.isMember("after") ||
       (after.isArray() &&
        std::all_of(after.begin(), after.end(),
                    [](const Json::Value& number) { return number.isInt(); }));
-  return numbers && step["count"].isInt() &&
+  return has_valid_dependencies && step["count"].isInt() &&
          all({"cpu_milli", "memory_mib", "accelerators", "most_per_worker",
               "may_miss"},
              &Json::Value::isInt) &&
@@ -134,13 +134,12 @@
 }
 
 Result<void> CheckJobSpec(const JobSpec& spec) {
-  if (spec.payload.size() > kMostPayloadBytes)
+  if (spec.payload.size() > kMaxPayloadBytes)
     return MakeError(ErrorCode::kInvalid, "the payload is over 4000 bytes");
-  if (spec.steps.empty() || spec.steps.size() > kMostSteps)
+  if (spec.steps.empty() || spec.steps.size() > kMaxSteps)
     return MakeError(ErrorCode::kInvalid,
-                     absl::StrCat("a job has 1 to ", kMostSteps, " steps"));
-  if (spec.rounds < 0 || spec.rounds > kMostRounds ||
-      spec.round_interval_ms < 0)
+                     absl::StrCat("a job has 1 to ", kMaxSteps, " steps"));
+  if (spec.rounds < 0 || spec.rounds > kMaxRounds || spec.round_interval_ms < 0)
     return MakeError(ErrorCode::kInvalid, "rounds or their interval are wrong");
   for (size_t i = 0; i < spec.steps.size(); ++i) {
     if (auto step = CheckStep(spec.steps[i], i); !step) return step.error();
@@ -163,13 +162,14 @@
 
 bool ReadJobSpec(const Json::Value& json, JobSpec* spec) {
   const Json::Value& steps = json["steps"];
-  const bool timed = json.isMember("rounds");
-  const bool types =
+  const bool has_rounds = json.isMember("rounds");
+  const bool has_valid_types =
       json["payload"].isString() && steps.isArray() &&
-      std::all_of(steps.begin(), steps.end(), StepTypesHold) &&
-      (!timed || (json["rounds"].isInt() && json["first_round_ms"].isInt64() &&
-                  json["round_interval_ms"].isInt64()));
-  if (!types) return false;
+      std::all_of(steps.begin(), steps.end(), HasValidStepTypes) &&
+      (!has_rounds ||
+       (json["rounds"].isInt() && json["first_round_ms"].isInt64() &&
+        json["round_interval_ms"].isInt64()));
+  if (!has_valid_types) return false;
   *spec = JobSpecFromJson(json);
   return CheckJobSpec(*spec).has_value();
 }
--- a/keelbridge/protocol/job.h
+++ b/keelbridge/protocol/job.h
@@ -20,10 +20,10 @@
 namespace keelbridge {
 
 // Limits on what one job may hold; a job over them is refused with a 4xx.
-constexpr size_t kMostSteps = 64;
-constexpr int32_t kMostTasksInStep = 2000;
-constexpr int32_t kMostRounds = 10000;
-constexpr size_t kMostPayloadBytes = 4000;
+constexpr size_t kMaxSteps = 64;
+constexpr int32_t kMaxTasksPerStep = 2000;
+constexpr int32_t kMaxRounds = 10000;
+constexpr size_t kMaxPayloadBytes = 4000;
 
 // A job's id: 64 bits that its client chose.
 using JobId = uint64_t;
@@ -60,28 +60,28 @@
 bool ParseTaskId(const std::string& text, TaskId* id);
 
 struct StepSpec {
-  int32_t count = 1;            // Tasks, all alike.
-  Resources need;               // Of each task.
-  int64_t estimated_ms = 0;     // A client's rough guess of a task's time.
-  std::vector<int32_t> after;   // Earlier steps whose tasks must be done.
-  bool checkpoints = false;     // Its progress can be carried to a later run.
-  bool gang = false;            // The tasks work only all together.
-  bool same_rack = false;       // Slower when spread over racks.
-  bool duplicates = false;      // Copies may run side by side.
-  bool lasting = false;         // Runs until the job is cancelled.
-  bool fills = false;           // Takes only what others leave unused.
-  std::string label;            // Of the workers that may run it; "": all.
-  std::string rack;             // Where the data lies; "": anywhere.
-  int32_t most_per_worker = 0;  // 0: no bound.
-  int32_t may_miss = 0;         // Of a lasting step, tasks that may be away.
-  int64_t target_ms = 0;        // Of a lasting step that serves users.
-  std::string image;            // Tasks of one image behave alike.
+  int32_t count = 1;           // Tasks, all alike.
+  Resources need;              // Of each task.
+  int64_t estimated_ms = 0;    // A client's rough guess of a task's time.
+  std::vector<int32_t> after;  // Earlier steps whose tasks must be done.
+  bool checkpoints = false;    // Its progress can be carried to a later run.
+  bool gang = false;           // The tasks work only all together.
+  bool same_rack = false;      // Slower when spread over racks.
+  bool duplicates = false;     // Copies may run side by side.
+  bool long_running = false;   // Runs until the job is cancelled.
+  bool best_effort = false;    // Takes only what others leave unused.
+  std::string label;           // Of the workers that may run it; "": all.
+  std::string rack;            // Where the data lies; "": anywhere.
+  int32_t max_per_worker = 0;  // 0: no bound.
+  int32_t max_down_tasks = 0;  // Of a lasting step, tasks that may be away.
+  int64_t target_ms = 0;       // Of a lasting step that serves users.
+  std::string image;           // Tasks of one image behave alike.
 };
 
 // What one task takes of a worker's room: of one that fills, no processors.
-inline Resources RoomNeeded(const StepSpec& step) {
+inline Resources CapacityNeeded(const StepSpec& step) {
   Resources need = step.need;
-  if (step.fills) need.cpu_milli = 0;
+  if (step.best_effort) need.cpu_milli = 0;
   return need;
 }
 
--- a/keelbridge/protocol/log_messages.cc
+++ b/keelbridge/protocol/log_messages.cc
@@ -35,11 +35,11 @@
     out["outcome"] = e.outcome;
     return out;
   }
-  Json::Value operator()(const OnceStartEntry& e) const {
-    return Once("once_start", e.epoch, e.task, e.attempt);
+  Json::Value operator()(const StartClaimEntry& e) const {
+    return StartAttemptEntry("once_start", e.epoch, e.task, e.attempt);
   }
-  Json::Value operator()(const OnceReleaseEntry& e) const {
-    return Once("once_release", e.epoch, e.task, e.attempt);
+  Json::Value operator()(const StartReleaseEntry& e) const {
+    return StartAttemptEntry("once_release", e.epoch, e.task, e.attempt);
   }
   Json::Value operator()(const SnapshotEntry& e) const {
     Json::Value out;
@@ -61,15 +61,16 @@
     return out;
   }
   Json::Value operator()(const KeyClaimEntry& e) const {
-    return Key("claim", e.key, e.gateway);
+    return KeyEntry("claim", e.key, e.gateway);
   }
   Json::Value operator()(const KeyReleaseEntry& e) const {
-    return Key("release", e.key, e.gateway);
+    return KeyEntry("release", e.key, e.gateway);
   }
 
  private:
-  static Json::Value Once(const char* kind, int64_t epoch,
-                          const std::string& task, int64_t attempt) {
+  static Json::Value StartAttemptEntry(const char* kind, int64_t epoch,
+                                       const std::string& task,
+                                       int64_t attempt) {
     Json::Value out;
     out["kind"] = kind;
     out["epoch"] = Int(epoch);
@@ -77,8 +78,8 @@
     out["attempt"] = Int(attempt);
     return out;
   }
-  static Json::Value Key(const char* kind, const std::string& key,
-                         uint64_t gateway) {
+  static Json::Value KeyEntry(const char* kind, const std::string& key,
+                              uint64_t gateway) {
     Json::Value out;
     out["kind"] = kind;
     out["key"] = key;
@@ -101,12 +102,12 @@
     return TaskEndedEntry{in["epoch"].asInt64(), in["task"].asString(),
                           in["outcome"].asString()};
   if (kind == "once_start") {
-    return OnceStartEntry{in["epoch"].asInt64(), in["task"].asString(),
-                          in["attempt"].asInt64()};
+    return StartClaimEntry{in["epoch"].asInt64(), in["task"].asString(),
+                           in["attempt"].asInt64()};
   }
   if (kind == "once_release") {
-    return OnceReleaseEntry{in["epoch"].asInt64(), in["task"].asString(),
-                            in["attempt"].asInt64()};
+    return StartReleaseEntry{in["epoch"].asInt64(), in["task"].asString(),
+                             in["attempt"].asInt64()};
   }
   if (kind == "snapshot") {
     return SnapshotEntry{in["id"].asString(),       in["covers"].asInt64(),
--- a/keelbridge/protocol/log_messages.h
+++ b/keelbridge/protocol/log_messages.h
@@ -59,7 +59,7 @@
 
 // A task that must not be repeated is about to start; only the first of these
 // for a task counts.
-struct OnceStartEntry {
+struct StartClaimEntry {
   int64_t epoch = 0;
   std::string task;
   int64_t attempt = 0;
@@ -67,7 +67,7 @@
 
 // The start of `attempt` was refused or proved never to have happened; the task
 // may start again.
-struct OnceReleaseEntry {
+struct StartReleaseEntry {
   int64_t epoch = 0;
   std::string task;
   int64_t attempt = 0;
@@ -107,8 +107,8 @@
 };
 
 using LogEntry =
-    std::variant<LeaderEntry, PlanEntry, TaskEndedEntry, OnceStartEntry,
-                 OnceReleaseEntry, SnapshotEntry, ConfigurationEntry,
+    std::variant<LeaderEntry, PlanEntry, TaskEndedEntry, StartClaimEntry,
+                 StartReleaseEntry, SnapshotEntry, ConfigurationEntry,
                  KeyClaimEntry, KeyReleaseEntry>;
 
 struct Envelope {
--- a/keelbridge/protocol/platform_clients.cc
+++ b/keelbridge/protocol/platform_clients.cc
@@ -10,9 +10,9 @@
 
 constexpr int kOk = 200;
 
-HttpClient::Options FewConnections() {
+HttpClient::Options ConnectionOptions() {
   HttpClient::Options options;
-  options.most_idle = 2;
+  options.max_idle = 2;
   // Longer than the time between two polls, so that they share a connection,
   // and shorter than a server of the platform keeps an idle one.
   options.idle_expiry = absl::Seconds(4);
@@ -20,7 +20,7 @@
 }
 
 // The JSON object of a whole, successful answer.
-std::optional<Json::Value> ObjectOf(const HttpOutcome& outcome) {
+std::optional<Json::Value> ParseObject(const HttpOutcome& outcome) {
   if (!outcome.response || outcome.response->status != kOk) return std::nullopt;
   const JsonDocument document =
       JsonDocument::Parse(outcome.response->body, "answer");
@@ -28,7 +28,7 @@
   return document.root();
 }
 
-Error NoAnswer(const HttpOutcome& outcome) {
+Error ErrorWithoutAnswer(const HttpOutcome& outcome) {
   if (outcome.failure == SendFailure::kNothingSent)
     return MakeError(ErrorCode::kUnavailable, outcome.message);
   const std::string what =
@@ -41,7 +41,7 @@
 }  // namespace
 
 LogClient::LogClient(Address address)
-    : http_(std::move(address), FewConnections()) {}
+    : http_(std::move(address), ConnectionOptions()) {}
 
 Result<int64_t> LogClient::Append(const std::string& stream,
                                   const std::string& text,
@@ -53,8 +53,9 @@
                   text,
                   "application/json"},
                  timeout);
-  const std::optional<Json::Value> answer = ObjectOf(outcome);
-  if (!answer || !(*answer)["offset"].isInt64()) return NoAnswer(outcome);
+  const std::optional<Json::Value> answer = ParseObject(outcome);
+  if (!answer || !(*answer)["offset"].isInt64())
+    return ErrorWithoutAnswer(outcome);
   return (*answer)["offset"].asInt64();
 }
 
@@ -67,8 +68,8 @@
                   "",
                   ""},
                  timeout);
-  const std::optional<Json::Value> answer = ObjectOf(outcome);
-  if (!answer) return NoAnswer(outcome);
+  const std::optional<Json::Value> answer = ParseObject(outcome);
+  if (!answer) return ErrorWithoutAnswer(outcome);
   try {
     return LogBatchFromJson(*answer);
   } catch (const Json::Exception& e) {
@@ -77,12 +78,12 @@
 }
 
 HostListClient::HostListClient(Address address)
-    : http_(std::move(address), FewConnections()) {}
+    : http_(std::move(address), ConnectionOptions()) {}
 
 Result<std::set<std::string>> HostListClient::Leaving(absl::Duration timeout) {
   const HttpOutcome outcome = http_.Send({"GET", "", {}, "", ""}, timeout);
-  const std::optional<Json::Value> answer = ObjectOf(outcome);
-  if (!answer) return NoAnswer(outcome);
+  const std::optional<Json::Value> answer = ParseObject(outcome);
+  if (!answer) return ErrorWithoutAnswer(outcome);
   std::set<std::string> names;
   for (const Json::Value& name : (*answer)["leaving"]) {
     if (name.isString()) names.insert(name.asString());
@@ -91,7 +92,7 @@
 }
 
 WorkerClient::WorkerClient(Address address)
-    : http_(std::move(address), FewConnections()) {}
+    : http_(std::move(address), ConnectionOptions()) {}
 
 std::optional<Json::Value> WorkerClient::Call(const std::string& verb,
                                               const Json::Value& body,
@@ -100,7 +101,7 @@
   HttpRequest request{"POST", verb, {}, ToJsonText(body), "application/json"};
   if (!traceparent.empty())
     request.headers.emplace_back("traceparent", traceparent);
-  return ObjectOf(http_.Send(request, timeout));
+  return ParseObject(http_.Send(request, timeout));
 }
 
 std::optional<HoldReply> WorkerClient::Hold(const HoldRequest& request,
--- a/keelbridge/protocol/record_store.cc
+++ b/keelbridge/protocol/record_store.cc
@@ -28,23 +28,23 @@
   return "unknown";
 }
 
-std::string NewestReply::NextAfter() const {
+std::string NewestReply::NextPageKey() const {
   if (!last_key.empty()) return last_key;
   return records.empty() ? "" : records.back().key;
 }
 
-size_t SizeOf(const Record& record) {
+size_t EncodedSize(const Record& record) {
   return kLengthBytes + record.key.size() +
          (record.value ? record.value->size() : 0);
 }
 
 size_t CountForAppend(const std::vector<Record>& records, size_t begin,
-                      size_t most_bytes) {
+                      size_t max_bytes) {
   size_t count = 0;
   size_t bytes = 0;
   for (size_t i = begin; i < records.size(); ++i) {
-    bytes += SizeOf(records[i]);
-    if (count > 0 && bytes > most_bytes) break;
+    bytes += EncodedSize(records[i]);
+    if (count > 0 && bytes > max_bytes) break;
     ++count;
   }
   return count;
--- a/keelbridge/protocol/record_store.h
+++ b/keelbridge/protocol/record_store.h
@@ -33,11 +33,11 @@
 };
 
 // What a record takes on its way, in bytes: key, value, and their lengths.
-size_t SizeOf(const Record& record);
+size_t EncodedSize(const Record& record);
 // How many of `records` from `begin` on go into one append of at most
-// `most_bytes`; one at least.
+// `max_bytes`; one at least.
 size_t CountForAppend(const std::vector<Record>& records, size_t begin,
-                      size_t most_bytes);
+                      size_t max_bytes);
 
 // The fenced writer of an append.
 struct WriterEpoch {
@@ -97,21 +97,21 @@
   std::string message;
 
   // After which key the next page begins; empty: no item of this one tells.
-  std::string NextAfter() const;
+  std::string NextPageKey() const;
 };
 
 // How long a reader waits for an answer. A plain duration is the whole time.
-struct Patience {
+struct ReadTimeout {
   // NOLINTNEXTLINE(google-explicit-constructor): most calls name one duration.
-  Patience(absl::Duration total,
-           absl::Duration silence = absl::InfiniteDuration())
-      : total(total), silence(silence) {}
+  ReadTimeout(absl::Duration total,
+              absl::Duration progress_timeout = absl::InfiniteDuration())
+      : total(total), progress_timeout(progress_timeout) {}
 
   absl::Duration total;
   // Without a byte for this long the read is given up; one that goes on
   // arriving may take all of `total`. Counted beside the time in which the
   // store itself waits for a record.
-  absl::Duration silence;
+  absl::Duration progress_timeout;
 };
 
 // All calls and callbacks on the loop's thread.
@@ -122,18 +122,19 @@
                       std::function<void(AppendReply)> done) = 0;
   // Records from `from` on; waits up to `wait` for the first one.
   virtual void Read(Stream stream, int64_t from, absl::Duration wait,
-                    Patience patience, std::function<void(ReadReply)> done) = 0;
+                    ReadTimeout timeout,
+                    std::function<void(ReadReply)> done) = 0;
   // The newest record of each key after `after_key`, a page at a time.
   virtual void Newest(Stream stream, const std::string& after_key,
-                      Patience patience,
+                      ReadTimeout timeout,
                       std::function<void(NewestReply)> done) = 0;
 };
 
 // Carries one request to the store; opaque, so that a peer can do it for a node
 // that has lost the store.
-class StoreCarrier {
+class StoreTransport {
  public:
-  virtual ~StoreCarrier() = default;
+  virtual ~StoreTransport() = default;
   virtual void Carry(const HttpRequest& request, absl::Duration timeout,
                      std::function<void(HttpOutcome)> done) = 0;
 };
--- a/keelbridge/protocol/record_store_test.cc
+++ b/keelbridge/protocol/record_store_test.cc
@@ -10,7 +10,7 @@
   records.reserve(10);
   for (int i = 0; i < 10; ++i)
     records.push_back({"key" + std::to_string(i), std::string(91, 'v'), -1});
-  CHECK(SizeOf(records[0]) == 100);
+  CHECK(EncodedSize(records[0]) == 100);
   CHECK(CountForAppend(records, 0, 10000) == 10);
   CHECK(CountForAppend(records, 0, 350) == 3);
   CHECK(CountForAppend(records, 9, 350) == 1);
--- a/keelbridge/protocol/resources.h
+++ b/keelbridge/protocol/resources.h
@@ -18,9 +18,10 @@
   int32_t memory_mib = 0;    // Mebibytes.
   int32_t accelerators = 0;  // Whole accelerators.
 
-  bool FitsIn(const Resources& room) const {
-    return cpu_milli <= room.cpu_milli && memory_mib <= room.memory_mib &&
-           accelerators <= room.accelerators;
+  bool FitsIn(const Resources& available) const {
+    return cpu_milli <= available.cpu_milli &&
+           memory_mib <= available.memory_mib &&
+           accelerators <= available.accelerators;
   }
   Resources& operator+=(const Resources& other) {
     cpu_milli += other.cpu_milli;
--- a/keelbridge/protocol/site_configuration.cc
+++ b/keelbridge/protocol/site_configuration.cc
@@ -7,8 +7,8 @@
 namespace {
 
 // The better match for `path` of `best`, which may be null, and `queue`.
-const Queue* Longer(const Queue* best, const Queue& queue,
-                    const std::string& path) {
+const Queue* LongerMatch(const Queue* best, const Queue& queue,
+                         const std::string& path) {
   if (!absl::StartsWith(path, queue.path_prefix)) return best;
   const bool longer =
       best == nullptr || queue.path_prefix.size() > best->path_prefix.size();
@@ -32,13 +32,14 @@
   if (by_host_.empty()) {
     for (const Queue& queue : queues) {
       if (absl::EqualsIgnoreCase(queue.host, host))
-        best = Longer(best, queue, path);
+        best = LongerMatch(best, queue, path);
     }
     return best;
   }
   const auto found = by_host_.find(absl::AsciiStrToLower(host));
   if (found == by_host_.end()) return nullptr;
-  for (const size_t i : found->second) best = Longer(best, queues[i], path);
+  for (const size_t i : found->second)
+    best = LongerMatch(best, queues[i], path);
   return best;
 }
 
--- a/keelbridge/protocol/site_configuration.h
+++ b/keelbridge/protocol/site_configuration.h
@@ -24,12 +24,12 @@
 
 struct Queue {
   std::string name;
-  std::string host;           // Of the requests that reach it.
-  std::string path_prefix;    // The longest one that fits wins.
-  std::string pool;           // Of the workers that run its tasks.
-  int32_t priority = 0;       // 0 is the most urgent.
-  int32_t most_attempts = 1;  // Failed ends until the job has failed.
-  double stretch = 1;         // Objective: stretch x longest chain of work ...
+  std::string host;          // Of the requests that reach it.
+  std::string path_prefix;   // The longest one that fits wins.
+  std::string pool;          // Of the workers that run its tasks.
+  int32_t priority = 0;      // 0 is the most urgent.
+  int32_t max_attempts = 1;  // Failed ends until the job has failed.
+  double stretch = 1;        // Objective: stretch x longest chain of work ...
   int64_t target_latency_ms = 0;  // ... and this much more.
   int64_t timeout_ms = 0;         // Of a client's request.
   AdviceTerms advice;
@@ -37,13 +37,13 @@
 
 struct Pool {
   std::string name;
-  bool workers_check_room = false;  // They refuse what does not fit.
+  bool workers_check_capacity = false;  // They refuse what does not fit.
   bool spare = false;
 };
 
 struct RequestLimits {
-  int64_t most_header_bytes = 16 << 10;
-  int64_t most_body_bytes = 256 << 10;
+  int64_t max_header_bytes = 16 << 10;
+  int64_t max_body_bytes = 256 << 10;
 };
 
 struct SiteConfiguration {
--- a/keelbridge/protocol/site_worker.cc
+++ b/keelbridge/protocol/site_worker.cc
@@ -12,11 +12,11 @@
       return "old_run";
     case OrderResult::kLate:
       return "late";
-    case OrderResult::kNoRoom:
+    case OrderResult::kNoCapacity:
       return "no_room";
     case OrderResult::kBadTicket:
       return "bad_ticket";
-    case OrderResult::kOtherLife:
+    case OrderResult::kOtherIncarnation:
       return "other_life";
     case OrderResult::kUnhealthy:
       return "unhealthy";
--- a/keelbridge/protocol/site_worker.h
+++ b/keelbridge/protocol/site_worker.h
@@ -20,7 +20,7 @@
 
 // One life of a worker, as it describes itself.
 struct WorkerRecord {
-  std::string id;  // Of this life; see WorkerLifeId.
+  std::string id;  // Of this life; see WorkerIncarnationId.
   std::string machine;
   std::string address;
   std::string zone;
@@ -61,13 +61,14 @@
   kFenced,  // The worker has seen a higher fence.
   kOldRun,  // A run as high was stopped or ended there.
   kLate,    // The lease had passed when the order arrived.
-  kNoRoom,
+  kNoCapacity,
   kBadTicket,
-  kOtherLife,  // Another life of the worker answered: the one meant is gone.
-  kUnhealthy,  // The worker refused and did nothing.
-  kInvalid,    // The worker does not understand the order.
-  kNotSent,    // No byte left: it was not carried out and will not be.
-  kUnknown,    // No answer: it may have been, or may be later.
+  kOtherIncarnation,  // Another life of the worker answered: the one meant is
+                      // gone.
+  kUnhealthy,         // The worker refused and did nothing.
+  kInvalid,           // The worker does not understand the order.
+  kNotSent,           // No byte left: it was not carried out and will not be.
+  kUnknown,           // No answer: it may have been, or may be later.
 };
 
 const char* OrderResultName(OrderResult result);
@@ -78,7 +79,7 @@
   std::string message;    // Why there was no answer, for logs.
   // The id of the life that answered, when it is not the one that was asked, or
   // when the asked id tells of no birth; empty: as asked, or not told.
-  std::string life;
+  std::string incarnation;
 };
 
 struct RunningTask {
@@ -102,9 +103,9 @@
 
 struct ObserveOrder {
   int64_t fence = 0;
-  int64_t ends_noted = 0;      // Ends up to here may be forgotten.
-  int64_t lease_until_ms = 0;  // 0: do not touch the lease.
-  int64_t wait_ms = 0;         // How long the answer may wait for an end.
+  int64_t ends_acknowledged = 0;  // Ends up to here may be forgotten.
+  int64_t lease_until_ms = 0;     // 0: do not touch the lease.
+  int64_t wait_ms = 0;            // How long the answer may wait for an end.
   // How long to wait for the answer beyond that.
   absl::Duration timeout = absl::Milliseconds(400);
 };
--- a/keelbridge/protocol/verdict.h
+++ b/keelbridge/protocol/verdict.h
@@ -42,7 +42,7 @@
 }
 
 // The verdict on a request that got no answer.
-inline Verdict VerdictOfFailure(SendFailure failure) {
+inline Verdict VerdictFromFailure(SendFailure failure) {
   return failure == SendFailure::kNothingSent ? Verdict::kDidNotRun
                                               : Verdict::kMayHaveRun;
 }
--- a/keelbridge/protocol/worker_incarnation.cc
+++ b/keelbridge/protocol/worker_incarnation.cc
@@ -6,25 +6,28 @@
 namespace keelbridge {
 namespace {
 
-constexpr char kBorn = '@';
+constexpr char kStartTimeSeparator = '@';
 
 }  // namespace
 
-std::string WorkerLifeId(const WorkerLife& life) {
+std::string WorkerIncarnationId(const WorkerIncarnation& incarnation) {
   // A name that holds the sign is told from a name with a birth by always
   // having one.
-  const bool plain =
-      life.born_ms == 0 && life.name.find(kBorn) == std::string::npos;
-  if (plain) return life.name;
-  return absl::StrCat(life.name, std::string(1, kBorn), life.born_ms);
+  const bool omits_start_time =
+      incarnation.start_time_ms == 0 &&
+      incarnation.name.find(kStartTimeSeparator) == std::string::npos;
+  if (omits_start_time) return incarnation.name;
+  return absl::StrCat(incarnation.name, std::string(1, kStartTimeSeparator),
+                      incarnation.start_time_ms);
 }
 
-WorkerLife ParseWorkerLife(const std::string& id) {
-  const size_t at = id.rfind(kBorn);
-  int64_t born_ms = 0;
-  if (at == std::string::npos || !absl::SimpleAtoi(id.substr(at + 1), &born_ms))
+WorkerIncarnation ParseWorkerIncarnation(const std::string& id) {
+  const size_t at = id.rfind(kStartTimeSeparator);
+  int64_t start_time_ms = 0;
+  if (at == std::string::npos ||
+      !absl::SimpleAtoi(id.substr(at + 1), &start_time_ms))
     return {id, 0};
-  return {id.substr(0, at), born_ms};
+  return {id.substr(0, at), start_time_ms};
 }
 
 }  // namespace keelbridge
--- a/keelbridge/protocol/worker_incarnation.h
+++ b/keelbridge/protocol/worker_incarnation.h
@@ -5,8 +5,9 @@
 // that it has seen begin anew. So what is known of a worker, is ordered of it
 // and is kept on record is so of one life: its name and when it was born.
 //
-//   std::string id = WorkerLifeId({"i-7f3a", 1791525600123});
-//   WorkerLife life = ParseWorkerLife(id);  // "i-7f3a@1791525600123"
+//   std::string id = WorkerIncarnationId({"i-7f3a", 1791525600123});
+//   WorkerIncarnation life = ParseWorkerIncarnation(id);  //
+//   "i-7f3a@1791525600123"
 
 #ifndef KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
 #define KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
@@ -16,15 +17,15 @@
 
 namespace keelbridge {
 
-struct WorkerLife {
-  std::string name;     // Later lives may have it, too.
-  int64_t born_ms = 0;  // Wall clock of the worker; 0: not told.
+struct WorkerIncarnation {
+  std::string name;           // Later lives may have it, too.
+  int64_t start_time_ms = 0;  // Wall clock of the worker; 0: not told.
 };
 
 // Text that names the life. That of a life whose birth is not told is the name
 // itself, as in records of versions that knew no births.
-std::string WorkerLifeId(const WorkerLife& life);
-WorkerLife ParseWorkerLife(const std::string& id);
+std::string WorkerIncarnationId(const WorkerIncarnation& incarnation);
+WorkerIncarnation ParseWorkerIncarnation(const std::string& id);
 
 }  // namespace keelbridge
 
--- a/keelbridge/protocol/worker_incarnation_test.cc
+++ b/keelbridge/protocol/worker_incarnation_test.cc
@@ -6,20 +6,22 @@
 namespace {
 
 TEST_CASE("worker life: an id gives back the name and the birth") {
-  for (const WorkerLife& life :
-       {WorkerLife{"i-7f3a", 1791525600123}, WorkerLife{"i-7f3a", 0},
-        WorkerLife{"a@7", 0}, WorkerLife{"a@7", 5}, WorkerLife{"a@", 0},
-        WorkerLife{"@", 3}}) {
-    CAPTURE(life.name);
-    const WorkerLife read = ParseWorkerLife(WorkerLifeId(life));
-    CHECK(read.name == life.name);
-    CHECK(read.born_ms == life.born_ms);
+  for (const WorkerIncarnation& incarnation :
+       {WorkerIncarnation{"i-7f3a", 1791525600123},
+        WorkerIncarnation{"i-7f3a", 0}, WorkerIncarnation{"a@7", 0},
+        WorkerIncarnation{"a@7", 5}, WorkerIncarnation{"a@", 0},
+        WorkerIncarnation{"@", 3}}) {
+    CAPTURE(incarnation.name);
+    const WorkerIncarnation read =
+        ParseWorkerIncarnation(WorkerIncarnationId(incarnation));
+    CHECK(read.name == incarnation.name);
+    CHECK(read.start_time_ms == incarnation.start_time_ms);
   }
 }
 
 TEST_CASE("worker life: a life whose birth is not told is its name") {
-  CHECK(WorkerLifeId({"i-7f3a", 0}) == "i-7f3a");
-  CHECK(ParseWorkerLife("i-7f3a").born_ms == 0);
+  CHECK(WorkerIncarnationId({"i-7f3a", 0}) == "i-7f3a");
+  CHECK(ParseWorkerIncarnation("i-7f3a").start_time_ms == 0);
 }
 
 }  // namespace
--- a/keelbridge/protocol/worker_messages.cc
+++ b/keelbridge/protocol/worker_messages.cc
@@ -15,10 +15,10 @@
 // An enumerator out of range becomes the named fall-back, which is always the
 // harmless one.
 template <typename E>
-E EnumFrom(const Json::Value& in, E last, E otherwise) {
+E EnumFrom(const Json::Value& in, E last, E fallback) {
   const int value = in.asInt();
   return value >= 0 && value <= static_cast<int>(last) ? static_cast<E>(value)
-                                                       : otherwise;
+                                                       : fallback;
 }
 
 LeaseRow LeaseRowFromJson(const Json::Value& in) {
@@ -35,14 +35,14 @@
 
 // The part that every command carries.
 template <typename Command>
-void PutFence(const Command& command, Json::Value& out) {
+void WriteFence(const Command& command, Json::Value& out) {
   out["holder"] = command.holder;
   out["epoch"] = static_cast<Json::Int64>(command.epoch);
   out["not_after_ms"] = static_cast<Json::Int64>(command.not_after_ms);
 }
 
 template <typename Command>
-void TakeFence(const Json::Value& in, Command& command) {
+void ReadFence(const Json::Value& in, Command& command) {
   command.holder = in["holder"].asString();
   command.epoch = in["epoch"].asInt64();
   command.not_after_ms = in["not_after_ms"].asInt64();
@@ -92,7 +92,7 @@
 
 Json::Value ToJson(const HoldRequest& request) {
   Json::Value out;
-  PutFence(request, out);
+  WriteFence(request, out);
   out["mode"] = static_cast<int>(request.mode);
   out["hold_ttl_ms"] = Millis(request.hold_ttl);
   out["lease_ttl_ms"] = Millis(request.lease_ttl);
@@ -104,7 +104,7 @@
 
 HoldRequest HoldRequestFromJson(const Json::Value& in) {
   HoldRequest request;
-  TakeFence(in, request);
+  ReadFence(in, request);
   request.mode = EnumFrom(in["mode"], HoldMode::kRelease, HoldMode::kQuery);
   request.hold_ttl = FromMillis(in["hold_ttl_ms"]);
   request.lease_ttl = FromMillis(in["lease_ttl_ms"]);
@@ -120,9 +120,9 @@
   out["refusal"] = reply.refusal;
   out["holder"] = reply.holder;
   out["epoch"] = static_cast<Json::Int64>(reply.epoch);
-  out["hold_left_ms"] = Millis(reply.hold_left);
+  out["hold_left_ms"] = Millis(reply.hold_remaining);
   out["incarnation"] = static_cast<Json::UInt64>(reply.incarnation);
-  out["up_ms"] = Millis(reply.up);
+  out["up_ms"] = Millis(reply.uptime);
   out["digest"] = static_cast<Json::UInt64>(reply.digest);
   if (reply.has_rows) {
     out["rows"] = Json::Value(Json::arrayValue);
@@ -137,9 +137,9 @@
   reply.refusal = in["refusal"].asString();
   reply.holder = in["holder"].asString();
   reply.epoch = in["epoch"].asInt64();
-  reply.hold_left = FromMillis(in["hold_left_ms"]);
+  reply.hold_remaining = FromMillis(in["hold_left_ms"]);
   reply.incarnation = in["incarnation"].asUInt64();
-  reply.up = FromMillis(in["up_ms"]);
+  reply.uptime = FromMillis(in["up_ms"]);
   reply.digest = in["digest"].asUInt64();
   reply.has_rows = in.isMember("rows");
   for (const Json::Value& row : in["rows"])
@@ -149,7 +149,7 @@
 
 Json::Value ToJson(const StartRequest& request) {
   Json::Value out;
-  PutFence(request, out);
+  WriteFence(request, out);
   out["lease_ttl_ms"] = Millis(request.lease_ttl);
   out["task"] = request.task;
   out["attempt"] = static_cast<Json::Int64>(request.attempt);
@@ -163,7 +163,7 @@
 
 StartRequest StartRequestFromJson(const Json::Value& in) {
   StartRequest request;
-  TakeFence(in, request);
+  ReadFence(in, request);
   request.lease_ttl = FromMillis(in["lease_ttl_ms"]);
   request.task = in["task"].asString();
   request.attempt = in["attempt"].asInt64();
@@ -177,7 +177,7 @@
 
 Json::Value ToJson(const StopRequest& request) {
   Json::Value out;
-  PutFence(request, out);
+  WriteFence(request, out);
   out["task"] = request.task;
   out["attempt"] = static_cast<Json::Int64>(request.attempt);
   out["mode"] = static_cast<int>(request.mode);
@@ -186,7 +186,7 @@
 
 StopRequest StopRequestFromJson(const Json::Value& in) {
   StopRequest request;
-  TakeFence(in, request);
+  ReadFence(in, request);
   request.task = in["task"].asString();
   request.attempt = in["attempt"].asInt64();
   request.mode = EnumFrom(in["mode"], StopMode::kStop, StopMode::kThrottle);
--- a/keelbridge/protocol/worker_messages.h
+++ b/keelbridge/protocol/worker_messages.h
@@ -73,9 +73,9 @@
   std::string refusal;  // "held", "stale_epoch" or "late"; empty when granted.
   std::string holder;
   int64_t epoch = 0;  // The highest that this incarnation has seen.
-  absl::Duration hold_left;
+  absl::Duration hold_remaining;
   uint64_t incarnation = 0;
-  absl::Duration up;  // Since this incarnation started.
+  absl::Duration uptime;  // Since this incarnation started.
   uint64_t digest = 0;
   bool has_rows = false;
   std::vector<LeaseRow> rows;
--- a/keelbridge/state/cell.cc
+++ b/keelbridge/state/cell.cc
@@ -52,26 +52,26 @@
   Reindex(id);
 }
 
-void Cell::Take(WorkerId id, const Resources& amount) {
+void Cell::Allocate(WorkerId id, const Resources& amount) {
   rows_[id].used += amount;
   if (rows_[id].schedulable) schedulable_used_cpu_ += amount.cpu_milli;
   Reindex(id);
 }
 
-void Cell::Give(WorkerId id, const Resources& amount) {
+void Cell::Release(WorkerId id, const Resources& amount) {
   rows_[id].used -= amount;
   if (rows_[id].schedulable) schedulable_used_cpu_ -= amount.cpu_milli;
   Reindex(id);
 }
 
-int Cell::LevelOf(int32_t cpu_milli) {
+int Cell::FreeCpuLevel(int32_t cpu_milli) {
   if (cpu_milli <= 0) return 0;
   const int level = static_cast<int>(kLevelsPerDoubling *
                                      std::log2(cpu_milli / kFinestLevel + 1));
   return std::min(level, kLevels - 1);
 }
 
-int Cell::GroupOf(const Row& row) {
+int Cell::AcceleratorGroup(const Row& row) {
   if (row.total.accelerators == 0) return 0;
   const int free = std::max(0, row.total.accelerators - row.used.accelerators);
   return 1 + std::min(free, kAcceleratorGroups - 2);
@@ -91,8 +91,8 @@
 
 void Cell::Reindex(WorkerId id) {
   Row& row = rows_[id];
-  const int group = GroupOf(row);
-  const int level = LevelOf(row.total.cpu_milli - row.used.cpu_milli);
+  const int group = AcceleratorGroup(row);
+  const int level = FreeCpuLevel(row.total.cpu_milli - row.used.cpu_milli);
   if (row.schedulable && group == row.group && level == row.level) return;
   Unindex(id);
   if (!row.schedulable) return;
--- a/keelbridge/state/cell.h
+++ b/keelbridge/state/cell.h
@@ -8,7 +8,7 @@
 //
 //   Cell cell;
 //   WorkerId w = cell.Add("w1", "rack-1", {64000, 131072, 2});
-//   cell.Visit(need, SearchOrder::kTightestFirst, salt, [&](WorkerId id) { ...;
+//   cell.Visit(need, SearchOrder::kBestFit, salt, [&](WorkerId id) { ...;
 //   return keep_going; });
 
 #ifndef KEELBRIDGE_STATE_CELL_H_
@@ -29,8 +29,8 @@
 
 // Which workers a search meets first.
 enum class SearchOrder {
-  kTightestFirst,  // Least room that may fit: keeps large rooms whole.
-  kRoomiestFirst,  // Most room: keeps work apart.
+  kBestFit,   // Least room that may fit: keeps large rooms whole.
+  kWorstFit,  // Most room: keeps work apart.
 };
 
 class Cell {
@@ -44,7 +44,7 @@
   WorkerId Find(const std::string& name) const;
   const std::string& Name(WorkerId id) const { return rows_[id].name; }
   int Rack(WorkerId id) const { return rows_[id].rack; }
-  int Racks() const { return static_cast<int>(rack_names_.size()); }
+  int RackCount() const { return static_cast<int>(rack_names_.size()); }
   const std::string& RackName(int rack) const { return rack_names_[rack]; }
   const Resources& Total(WorkerId id) const { return rows_[id].total; }
   const Resources& Used(WorkerId id) const { return rows_[id].used; }
@@ -59,8 +59,8 @@
 
   // Gives out, or takes back. Adopted leases may exceed the total after it
   // shrank; new work never does.
-  void Take(WorkerId id, const Resources& amount);
-  void Give(WorkerId id, const Resources& amount);
+  void Allocate(WorkerId id, const Resources& amount);
+  void Release(WorkerId id, const Resources& amount);
 
   // Sums over schedulable workers.
   int64_t FreeCpuMilli() const {
@@ -95,12 +95,12 @@
   };
   using Bucket = std::vector<WorkerId>;
 
-  static int LevelOf(int32_t cpu_milli);
-  static int GroupOf(const Row& row);
+  static int FreeCpuLevel(int32_t cpu_milli);
+  static int AcceleratorGroup(const Row& row);
   void Reindex(WorkerId id);
   void Unindex(WorkerId id);
   template <typename Visitor>
-  bool VisitGroup(int group, int least_level, SearchOrder order, uint32_t salt,
+  bool VisitGroup(int group, int min_level, SearchOrder order, uint32_t salt,
                   Visitor& visit) const;
 
   std::vector<Row> rows_;
@@ -117,11 +117,11 @@
 // Implementation details of the template only.
 
 template <typename Visitor>
-bool Cell::VisitGroup(int group, int least_level, SearchOrder order,
+bool Cell::VisitGroup(int group, int min_level, SearchOrder order,
                       uint32_t salt, Visitor& visit) const {
-  uint64_t levels = occupied_[group] >> least_level << least_level;
+  uint64_t levels = occupied_[group] >> min_level << min_level;
   while (levels != 0) {
-    const int level = order == SearchOrder::kTightestFirst
+    const int level = order == SearchOrder::kBestFit
                           ? __builtin_ctzll(levels)
                           : 63 - __builtin_clzll(levels);
     levels &= ~(uint64_t{1} << level);
@@ -139,18 +139,18 @@
 template <typename Visitor>
 void Cell::Visit(const Resources& need, SearchOrder order, uint32_t salt,
                  Visitor visit) const {
-  const int least_level = LevelOf(need.cpu_milli);
+  const int min_level = FreeCpuLevel(need.cpu_milli);
   if (need.accelerators == 0) {
     // Group 0 has no accelerators at all. Then those with the fewest free ones:
     // the least is stranded there.
     for (int group = 0; group < kAcceleratorGroups; ++group) {
-      if (!VisitGroup(group, least_level, order, salt, visit)) return;
+      if (!VisitGroup(group, min_level, order, salt, visit)) return;
     }
     return;
   }
   for (int group = 1 + std::min(need.accelerators, kAcceleratorGroups - 2);
        group < kAcceleratorGroups; ++group) {
-    if (!VisitGroup(group, least_level, order, salt, visit)) return;
+    if (!VisitGroup(group, min_level, order, salt, visit)) return;
   }
 }
 
--- a/keelbridge/state/configuration_state.cc
+++ b/keelbridge/state/configuration_state.cc
@@ -8,7 +8,7 @@
 void ConfigurationState::OnBatch(const LogBatch& batch) {
   first_retained_ = batch.first;
   if (batch.first > next_) {
-    whole_ = false;
+    history_complete_ = false;
     next_ = batch.first;
   }
   for (const LogRecord& record : batch.records) {
@@ -16,7 +16,7 @@
     ++next_;
     Result<Envelope> envelope = EnvelopeFromText(record.text);
     if (!envelope) continue;
-    if (!writers_.Take(envelope.value().id, record.offset)) continue;
+    if (!writers_.Accept(envelope.value().id, record.offset)) continue;
     for (const LogEntry& entry : envelope.value().entries) {
       if (const auto* configuration = std::get_if<ConfigurationEntry>(&entry))
         Apply(record.offset, *configuration);
@@ -32,27 +32,29 @@
     if (entry.version == current_.version)
       carried_at_ = std::max(carried_at_, offset);
     if (entry.version > current_.version)
-      Adopt(entry.version, entry.text, offset, Step::kMany);
+      Adopt(entry.version, entry.text, offset, Transition::kLaterVersion);
     return;
   }
   if (offset <= current_.version) return;  // Already taken from a peer.
   // With nothing known and records dropped, this may be the loser of a race
   // whose winner is gone: wait for a renewal, which its author knew to be in
   // force.
-  const bool first_ever = current_.version == -1 && entry.base == -1 && whole_;
+  const bool first_ever =
+      current_.version == -1 && entry.base == -1 && history_complete_;
   const bool follows = current_.version != -1 && entry.base == current_.version;
   if (!first_ever && !follows) {
     ++refused_;
     return;
   }
-  Adopt(offset, entry.text, offset, Step::kOne);
+  Adopt(offset, entry.text, offset, Transition::kDirectSuccessor);
 }
 
 void ConfigurationState::Adopt(int64_t version, const std::string& text,
-                               int64_t carried_at, Step step) {
+                               int64_t carried_at, Transition transition) {
   Result<Configuration> next = ParseConfiguration(text, "configuration");
   std::string why;
-  const bool checked = step == Step::kOne && current_.version != -1;
+  const bool checked =
+      transition == Transition::kDirectSuccessor && current_.version != -1;
   if (!next || (checked && !MajoritiesOverlap(current_, next.value(), &why))) {
     ++refused_;
     return;
--- a/keelbridge/state/configuration_state.h
+++ b/keelbridge/state/configuration_state.h
@@ -39,11 +39,11 @@
  private:
   // Whether the version in force is the direct predecessor. Only then can one
   // step be judged by itself.
-  enum class Step { kOne, kMany };
+  enum class Transition { kDirectSuccessor, kLaterVersion };
 
   void Apply(int64_t offset, const ConfigurationEntry& entry);
   void Adopt(int64_t version, const std::string& text, int64_t carried_at,
-             Step step);
+             Transition transition);
 
   Configuration current_;
   EnvelopeFilter writers_;
@@ -51,7 +51,8 @@
   int64_t carried_at_ = -1;
   int64_t first_retained_ = 0;
   bool caught_up_ = false;
-  bool whole_ = true;  // Nothing of the stream was dropped before it was read.
+  bool history_complete_ =
+      true;  // Nothing of the stream was dropped before it was read.
   int refused_ = 0;
 };
 
--- a/keelbridge/state/envelope_filter.h
+++ b/keelbridge/state/envelope_filter.h
@@ -26,14 +26,14 @@
   };
 
   // False when this envelope, or a later one of its writer, was taken before.
-  bool Take(const EnvelopeId& id, int64_t offset) {
-    if (Taken(id)) return false;
+  bool Accept(const EnvelopeId& id, int64_t offset) {
+    if (WasAccepted(id)) return false;
     writers_[id.incarnation] = {id.sequence, offset};
-    if (offset % kForgetEvery == 0) ForgetIdle(offset);
+    if (offset % kIdleSweepInterval == 0) RemoveIdle(offset);
     return true;
   }
 
-  bool Taken(const EnvelopeId& id) const {
+  bool WasAccepted(const EnvelopeId& id) const {
     const auto it = writers_.find(id.incarnation);
     return it != writers_.end() && it->second.sequence >= id.sequence;
   }
@@ -48,9 +48,9 @@
   // A writer that has been silent for this many records is forgotten; its last
   // answer was settled long before.
   static constexpr int64_t kIdleRecords = 100000;
-  static constexpr int64_t kForgetEvery = 1024;
+  static constexpr int64_t kIdleSweepInterval = 1024;
 
-  void ForgetIdle(int64_t offset) {
+  void RemoveIdle(int64_t offset) {
     for (auto it = writers_.begin(); it != writers_.end();) {
       const bool idle = it->second.offset + kIdleRecords < offset;
       it = idle ? writers_.erase(it) : std::next(it);
--- a/keelbridge/state/job_table.cc
+++ b/keelbridge/state/job_table.cc
@@ -16,7 +16,7 @@
 constexpr size_t kPrefixLength = 2;
 
 // One hex digit for four tasks, the first task in the lowest bit.
-std::string DoneBits(const StepState& step) {
+std::string FormatDoneBits(const StepState& step) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string bits((step.tasks.size() + 3) / 4, '0');
   for (size_t i = 0; i < step.tasks.size(); ++i) {
@@ -37,9 +37,9 @@
   if (bits.size() > digits) return false;
   for (size_t i = 0; i < bits.size() * 4; ++i) {
     const char digit = bits[i / 4];
-    const bool low = digit >= 'a' && digit <= 'f';
-    if (!low && !absl::ascii_isdigit(digit)) return false;
-    const int value = low ? digit - 'a' + 10 : digit - '0';
+    const bool is_letter = digit >= 'a' && digit <= 'f';
+    if (!is_letter && !absl::ascii_isdigit(digit)) return false;
+    const int value = is_letter ? digit - 'a' + 10 : digit - '0';
     if ((value >> (i % 4) & 1) == 0) continue;
     if (i >= step->tasks.size()) return false;
     step->tasks[i].phase = TaskPhase::kDone;
@@ -74,10 +74,10 @@
 }
 
 bool ReadCrash(const Json::Value& in, CrashedRun* crash) {
-  const bool types = in.isObject() && in["run"].isInt() &&
-                     in["ran_ms"].isInt64() && in["chance"].isNumeric() &&
-                     IsBoolOrMissing(in, "begun");
-  if (!types) return false;
+  const bool has_valid_types =
+      in.isObject() && in["run"].isInt() && in["ran_ms"].isInt64() &&
+      in["chance"].isNumeric() && IsBoolOrMissing(in, "begun");
+  if (!has_valid_types) return false;
   crash->run = in["run"].asInt();
   crash->ran_ms = in["ran_ms"].asInt64();
   crash->chance = in["chance"].asDouble();
@@ -96,11 +96,12 @@
 }
 
 bool ReadExposed(const Json::Value& in, ExposedRun* exposed) {
-  const bool types = in.isObject() && in["worker"].isString() &&
-                     in["run"].isInt() && in["since_ms"].isInt64() &&
-                     (!in.isMember("ran_ms") || in["ran_ms"].isInt64()) &&
-                     IsBoolOrMissing(in, "begun");
-  if (!types) return false;
+  const bool has_valid_types =
+      in.isObject() && in["worker"].isString() && in["run"].isInt() &&
+      in["since_ms"].isInt64() &&
+      (!in.isMember("ran_ms") || in["ran_ms"].isInt64()) &&
+      IsBoolOrMissing(in, "begun");
+  if (!has_valid_types) return false;
   exposed->worker = in["worker"].asString();
   exposed->run = in["run"].asInt();
   exposed->since_ms = in["since_ms"].asInt64();
@@ -110,9 +111,10 @@
 }
 
 bool ReadUnanswered(const Json::Value& in, UnansweredStart* start) {
-  const bool types = in.isObject() && in["worker"].isString() &&
-                     !in["worker"].asString().empty() && in["run"].isInt();
-  if (!types) return false;
+  const bool has_valid_types = in.isObject() && in["worker"].isString() &&
+                               !in["worker"].asString().empty() &&
+                               in["run"].isInt();
+  if (!has_valid_types) return false;
   start->worker = in["worker"].asString();
   start->run = in["run"].asInt();
   return true;
@@ -124,7 +126,7 @@
   out["done"] = Json::Value(Json::arrayValue);
   for (size_t s = 0; s < round.steps.size(); ++s) {
     const StepState& step = round.steps[s];
-    out["done"].append(step.done > 0 ? DoneBits(step) : std::string());
+    out["done"].append(step.done > 0 ? FormatDoneBits(step) : std::string());
     for (size_t i = 0; i < step.tasks.size(); ++i) {
       const TaskState& task = step.tasks[i];
       const std::string key = absl::StrCat(s, ".", i);
@@ -139,10 +141,10 @@
         start["worker"] = task.unanswered.worker;
         start["run"] = task.unanswered.run;
       }
-      const bool keep =
+      const bool has_checkpoint =
           !task.checkpoint.empty() && task.phase == TaskPhase::kWaiting;
-      if (keep) out["checkpoints"][key] = task.checkpoint;
-      if (task.placed_on.empty() || !job.HasPlacementsOf(s)) continue;
+      if (has_checkpoint) out["checkpoints"][key] = task.checkpoint;
+      if (task.placed_on.empty() || !job.HasPersistedPlacements(s)) continue;
       out["placed"][key].append(task.placed_on);
       out["placed"][key].append(task.run);
     }
@@ -150,7 +152,7 @@
   return out;
 }
 
-TaskState* TaskAt(Round& round, const std::string& key) {
+TaskState* FindTaskByKey(Round& round, const std::string& key) {
   const std::vector<std::string> parts = absl::StrSplit(key, '.');
   size_t step = 0;
   size_t index = 0;
@@ -166,17 +168,17 @@
 // of the job then count as not kept.
 void ReadPlacements(const Json::Value& in, Job* job, Round& round) {
   if (!in.isNull() && !in.isObject()) {
-    job->placements_on_record = false;
+    job->placements_persisted = false;
     return;
   }
   for (const std::string& key : in.getMemberNames()) {
     const Json::Value& placed = in[key];
-    TaskState* task = TaskAt(round, key);
+    TaskState* task = FindTaskByKey(round, key);
     const bool readable = task != nullptr && placed.isArray() &&
                           placed.size() == 2 && placed[0].isString() &&
                           placed[1].isInt();
     if (!readable) {
-      job->placements_on_record = false;
+      job->placements_persisted = false;
       return;
     }
     task->placed_on = placed[0].asString();
@@ -198,7 +200,7 @@
 
 bool ReadFailedRuns(const Json::Value& in, Round& round) {
   for (const std::string& key : in.getMemberNames()) {
-    TaskState* task = TaskAt(round, key);
+    TaskState* task = FindTaskByKey(round, key);
     if (task == nullptr || !in[key].isArray()) return false;
     for (const Json::Value& run : in[key]) {
       if (!run.isInt()) return false;
@@ -211,11 +213,11 @@
 
 bool ReadCrashes(const Json::Value& in, Round& round) {
   for (const std::string& key : in.getMemberNames()) {
-    TaskState* task = TaskAt(round, key);
+    TaskState* task = FindTaskByKey(round, key);
     if (task == nullptr || !in[key].isArray()) return false;
-    for (const Json::Value& one : in[key]) {
+    for (const Json::Value& item : in[key]) {
       CrashedRun crash;
-      if (!ReadCrash(one, &crash)) return false;
+      if (!ReadCrash(item, &crash)) return false;
       task->crashes.push_back(crash);
       task->run = std::max(task->run, crash.run);
     }
@@ -225,7 +227,7 @@
 
 bool ReadExposedRuns(const Json::Value& in, Round& round) {
   for (const std::string& key : in.getMemberNames()) {
-    TaskState* task = TaskAt(round, key);
+    TaskState* task = FindTaskByKey(round, key);
     if (task == nullptr || !ReadExposed(in[key], &task->exposed)) return false;
     task->run = std::max(task->run, task->exposed.run);
   }
@@ -234,7 +236,7 @@
 
 bool ReadUnansweredStarts(const Json::Value& in, Round& round) {
   for (const std::string& key : in.getMemberNames()) {
-    TaskState* task = TaskAt(round, key);
+    TaskState* task = FindTaskByKey(round, key);
     if (task == nullptr || !ReadUnanswered(in[key], &task->unanswered))
       return false;
     task->run = std::max(task->run, task->unanswered.run);
@@ -244,7 +246,7 @@
 
 bool ReadCheckpoints(const Json::Value& in, Round& round) {
   for (const std::string& key : in.getMemberNames()) {
-    TaskState* task = TaskAt(round, key);
+    TaskState* task = FindTaskByKey(round, key);
     if (task == nullptr || !in[key].isString()) return false;
     task->checkpoint = in[key].asString();
   }
@@ -254,13 +256,13 @@
 // False when it cannot be read: taken for a round of which nothing is known,
 // its tasks would run again.
 bool ReadRound(const Json::Value& in, Job* job) {
-  const bool types = in.isObject() && in["round"].isInt() &&
-                     IsObjectOrMissing(in, "failed_runs") &&
-                     IsObjectOrMissing(in, "crashes") &&
-                     IsObjectOrMissing(in, "exposed") &&
-                     IsObjectOrMissing(in, "unanswered") &&
-                     IsObjectOrMissing(in, "checkpoints");
-  if (!types) return false;
+  const bool has_valid_types = in.isObject() && in["round"].isInt() &&
+                               IsObjectOrMissing(in, "failed_runs") &&
+                               IsObjectOrMissing(in, "crashes") &&
+                               IsObjectOrMissing(in, "exposed") &&
+                               IsObjectOrMissing(in, "unanswered") &&
+                               IsObjectOrMissing(in, "checkpoints");
+  if (!has_valid_types) return false;
   const int32_t number = in["round"].asInt();
   const int32_t rounds = std::max(1, job->spec.rounds);
   if (number < 0 || number >= rounds || job->FindRound(number) != nullptr)
@@ -272,25 +274,25 @@
                     ReadExposedRuns(in["exposed"], round) &&
                     ReadUnansweredStarts(in["unanswered"], round) &&
                     ReadCheckpoints(in["checkpoints"], round);
-  if (read && job->placements_on_record)
+  if (read && job->placements_persisted)
     ReadPlacements(in["placed"], job, round);
   return read;
 }
 
 bool ReadProgress(const Json::Value& in, Job* job) {
-  const bool types =
+  const bool has_valid_types =
       IsBoolOrMissing(in, "begun") && IsBoolOrMissing(in, "placements_kept") &&
       (!in.isMember("rounds_done") || in["rounds_done"].isInt()) &&
       (!in.isMember("queue") || in["queue"].isString()) &&
       (!in.isMember("rounds") || in["rounds"].isArray()) &&
       ReadEnd(in, &job->end);
-  if (!types) return false;
+  if (!has_valid_types) return false;
   job->ended_ms = in["ended_ms"].asInt64();
   job->begun = in["begun"].asBool();
   job->rounds_done = in["rounds_done"].asInt();
   if (job->rounds_done < 0) return false;
   if (job->Ended()) return true;
-  job->placements_on_record = in["placements_kept"].asBool();
+  job->placements_persisted = in["placements_kept"].asBool();
   return std::all_of(
       in["rounds"].begin(), in["rounds"].end(),
       [job](const Json::Value& round) { return ReadRound(round, job); });
@@ -365,8 +367,8 @@
 }
 
 bool Job::StepReady(const Round& round, size_t step) const {
-  for (const int32_t before : spec.steps[step].after) {
-    const StepState& earlier = round.steps[static_cast<size_t>(before)];
+  for (const int32_t dependency : spec.steps[step].after) {
+    const StepState& earlier = round.steps[static_cast<size_t>(dependency)];
     if (earlier.done < static_cast<int32_t>(earlier.tasks.size())) return false;
   }
   return true;
@@ -379,13 +381,13 @@
       });
 }
 
-bool Job::Lasts() const {
+bool Job::HasLongRunningStep() const {
   return std::any_of(spec.steps.begin(), spec.steps.end(),
-                     [](const StepSpec& step) { return step.lasting; });
+                     [](const StepSpec& step) { return step.long_running; });
 }
 
-bool Job::HasPlacementsOf(size_t step) const {
-  return placements_on_record && spec.steps[step].lasting;
+bool Job::HasPersistedPlacements(size_t step) const {
+  return placements_persisted && spec.steps[step].long_running;
 }
 
 std::string DescriptionKey(JobId id) {
@@ -412,7 +414,7 @@
     value["ended_ms"] = Json::Int64(job.ended_ms);
     value["queue"] = job.queue;
   } else {
-    if (job.placements_on_record) value["placements_kept"] = true;
+    if (job.placements_persisted) value["placements_kept"] = true;
     for (const Round& round : job.rounds)
       value["rounds"].append(RoundToJson(job, round));
   }
@@ -438,11 +440,11 @@
     return;
   }
   const JsonDocument document = JsonDocument::Parse(*record.value, record.key);
-  if (!document.faults().empty()) return NoteUnreadable(id);
+  if (!document.faults().empty()) return RecordUnreadable(id);
   map[id] = document.root();
 }
 
-void JobRecords::NoteUnreadable(JobId id) {
+void JobRecords::RecordUnreadable(JobId id) {
   ++unreadable_;
   unreadable_jobs_.insert(id);
 }
@@ -457,7 +459,7 @@
         job != nullptr && (progress == progress_.end() ||
                            ReadProgress(progress->second, job.get()));
     if (!read) {
-      NoteUnreadable(id);
+      RecordUnreadable(id);
       continue;
     }
     if (!job->Ended() && job->spec.rounds == 0 && job->rounds.empty())
@@ -472,7 +474,7 @@
     if (ReadEnd(value, &end) && end == JobState::kQueued) continue;
     auto job = std::make_unique<Job>(id, "", JobSpec(), 0);
     if (!ReadProgress(value, job.get())) {
-      NoteUnreadable(id);
+      RecordUnreadable(id);
       continue;
     }
     job->queue = value["queue"].asString();
--- a/keelbridge/state/job_table.h
+++ b/keelbridge/state/job_table.h
@@ -69,7 +69,7 @@
   int32_t run = 0;
   // Of the leader that sent it: until when. A later leader reckons it by when
   // that one had to stop.
-  absl::Time until = absl::InfinitePast();
+  absl::Time may_arrive_until = absl::InfinitePast();
 };
 
 struct TaskState {
@@ -84,7 +84,7 @@
   std::vector<CrashedRun> crashes;
   ExposedRun exposed;
   UnansweredStart unanswered;
-  bool seen = false;      // This leader started it or found it running.
+  bool observed = false;  // This leader started it or found it running.
   std::string worker;     // While it is on one.
   std::string failed_on;  // The worker of the last failure.
   // Of a task whose job keeps placements: the only worker that may run it. Kept
@@ -92,14 +92,14 @@
   std::string placed_on;
   std::string checkpoint;
   absl::Time retry_at = absl::InfinitePast();
-  int32_t yields = 0;  // How often it made room for others.
+  int32_t preemptions = 0;  // How often it made room for others.
 };
 
 // Which workers may run a step, as far as the advice service has told.
 struct StepAdvice {
-  int32_t open = 0;  // Calls under way.
-  absl::Time next_ask = absl::InfinitePast();
-  int32_t asks = 0;  // Times asked, in one or more calls.
+  int32_t calls_in_flight = 0;  // Calls under way.
+  absl::Time next_ask_at = absl::InfinitePast();
+  int32_t ask_count = 0;  // Times asked, in one or more calls.
   absl::flat_hash_map<std::string, bool> known;  // Worker -> may run it.
   struct Ticket {
     std::string ticket;
@@ -116,21 +116,21 @@
   absl::Time gang_started = absl::InfinitePast();
   // Workers where room is kept for so many tasks of it, and when that is looked
   // into again.
-  std::vector<std::pair<std::string, int32_t>> held;
-  absl::Time next_hold = absl::InfinitePast();
+  std::vector<std::pair<std::string, int32_t>> reserved;
+  absl::Time next_reservation_at = absl::InfinitePast();
   // A task of it was seen by this leader before it was done: no earlier leader
   // can have started what depends on it.
-  bool ended_here = false;
+  bool observed_before_end = false;
   // A worker crashed soon after it was given a task of this step: its tasks
   // start one at a time until one has been at work for a while.
   bool suspected = false;
-  bool crashed = false;  // A task of it has crashes on record.
-  int32_t probed = -1;   // The task that was started to learn of that.
-  absl::Time probed_until = absl::InfinitePast();
+  bool crashed = false;     // A task of it has crashes on record.
+  int32_t probe_task = -1;  // The task that was started to learn of that.
+  absl::Time probe_ends_at = absl::InfinitePast();
   // A task of it was at work for a while, or done: its tasks are no danger to
   // all workers that they are given to.
   bool proven = false;
-  std::string blocked;  // Why nothing of it started at the last attempt.
+  std::string blocked_reason;  // Why nothing of it started at the last attempt.
 };
 
 struct Round {
@@ -152,12 +152,12 @@
   bool recovered = false;    // Was accepted under an earlier leader.
   // Its record tells which worker each task that lasts was given to. Not so for
   // a job whose last leader did not keep that.
-  bool placements_on_record = false;
+  bool placements_persisted = false;
   JobState end = JobState::kQueued;  // kQueued: has not ended.
   int64_t ended_ms = 0;              // Wall clock.
   absl::Time ended_at;               // Of this process's steady clock.
   std::string failure;               // Why it failed, for explanations.
-  int64_t durable_at_batch = 0;      // The batch that holds the description.
+  int64_t description_batch = 0;     // The batch that holds the description.
   int64_t end_batch = 0;             // The batch that holds the end.
 
   bool Ended() const { return end != JobState::kQueued; }
@@ -170,9 +170,9 @@
   bool StepReady(const Round& round, size_t step) const;
   bool RoundDone(const Round& round) const;
   // Whether a task of it lasts.
-  bool Lasts() const;
+  bool HasLongRunningStep() const;
   // Whether the record tells where tasks of `step` were started.
-  bool HasPlacementsOf(size_t step) const;
+  bool HasPersistedPlacements(size_t step) const;
 };
 
 // The jobs by id. Stable addresses.
@@ -198,7 +198,7 @@
   const std::set<JobId>& unreadable_jobs() const { return unreadable_jobs_; }
 
  private:
-  void NoteUnreadable(JobId id);
+  void RecordUnreadable(JobId id);
 
   std::map<JobId, Json::Value> descriptions_;
   std::map<JobId, Json::Value> progress_;
--- a/keelbridge/state/job_table_test.cc
+++ b/keelbridge/state/job_table_test.cc
@@ -11,11 +11,11 @@
 
 constexpr JobId kId = 7;
 
-Job LastingJob() {
+Job LongRunningJob() {
   JobSpec spec;
   StepSpec step;
   step.count = 2;
-  step.lasting = true;
+  step.long_running = true;
   spec.steps = {step};
   Job job(kId, "serve", spec, 1000);
   job.AddRound(0);
@@ -23,7 +23,7 @@
 }
 
 // The job as a later leader builds it.
-std::unique_ptr<Job> Recovered(const Job& job, const Record& progress) {
+std::unique_ptr<Job> RecoverJob(const Job& job, const Record& progress) {
   JobRecords records;
   records.Add(DescriptionRecord(job));
   records.Add(progress);
@@ -32,13 +32,13 @@
 }
 
 TEST_CASE("job table: placements of tasks that last are kept with their runs") {
-  Job job = LastingJob();
-  job.placements_on_record = true;
+  Job job = LongRunningJob();
+  job.placements_persisted = true;
   TaskState& placed = job.rounds[0].steps[0].tasks[1];
   placed.placed_on = "i-1";
   placed.run = 1003;
-  const auto recovered = Recovered(job, ProgressRecord(job));
-  CHECK(recovered->placements_on_record);
+  const auto recovered = RecoverJob(job, ProgressRecord(job));
+  CHECK(recovered->placements_persisted);
   const auto& tasks = recovered->rounds[0].steps[0].tasks;
   CHECK(tasks[0].placed_on.empty());
   CHECK(tasks[1].placed_on == "i-1");
@@ -47,14 +47,14 @@
 
 // Nothing may be concluded from placements that are not there.
 TEST_CASE("job table: a job whose leader kept no placements says so") {
-  const Job job = LastingJob();
-  const auto recovered = Recovered(job, ProgressRecord(job));
-  CHECK_FALSE(recovered->placements_on_record);
+  const Job job = LongRunningJob();
+  const auto recovered = RecoverJob(job, ProgressRecord(job));
+  CHECK_FALSE(recovered->placements_persisted);
 }
 
 TEST_CASE("job table: a placement that cannot be read is not taken for none") {
-  Job job = LastingJob();
-  job.placements_on_record = true;
+  Job job = LongRunningJob();
+  job.placements_persisted = true;
   job.rounds[0].steps[0].tasks[1].placed_on = "i-1";
   for (const char* placed :
        {R"({"0.1":"i-1"})", R"({"0.1":["i-1"]})", R"({"0.1":[7,1]})",
@@ -64,7 +64,7 @@
     progress.value =
         R"({"placements_kept":true,"rounds":[{"round":0,"placed":)" +
         std::string(placed) + "}]}";
-    CHECK_FALSE(Recovered(job, progress)->placements_on_record);
+    CHECK_FALSE(RecoverJob(job, progress)->placements_persisted);
   }
 }
 
@@ -73,7 +73,7 @@
 void CheckUnreadable(const std::string& key, const std::string& value) {
   CAPTURE(key);
   CAPTURE(value);
-  Job job = LastingJob();
+  Job job = LongRunningJob();
   Job other(kId + 1, "serve", job.spec, 1000);
   JobRecords records;
   records.Add(DescriptionRecord(job));
--- a/keelbridge/state/known_workers.cc
+++ b/keelbridge/state/known_workers.cc
@@ -13,7 +13,7 @@
 constexpr char kPrefix[] = "w/";
 
 // A member that is there has the type that it is written with.
-bool TypesHold(const Json::Value& value) {
+bool HasValidTypes(const Json::Value& value) {
   const auto all = [&value](std::initializer_list<const char*> keys,
                             bool (Json::Value::*is)() const) {
     return std::all_of(keys.begin(), keys.end(), [&](const char* key) {
@@ -48,8 +48,8 @@
 // Of a record whose types hold.
 bool ReadKnown(const Json::Value& value, KnownWorker* known) {
   if (value.isMember("epoch")) known->epoch = value["epoch"].asInt64();
-  known->closed = value["closed"].asBool();
-  known->keeps_placements = value["keeps_placements"].asBool();
+  known->retired = value["closed"].asBool();
+  known->persists_placements = value["keeps_placements"].asBool();
   known->restarted = value["restarted"].asBool();
   WorkerRecord& worker = known->worker;
   worker.machine = value["machine"].asString();
@@ -77,8 +77,8 @@
   const WorkerRecord& worker = known.worker;
   Json::Value value = ToJson(worker.capacity);
   value["epoch"] = Json::Int64(known.epoch);
-  if (known.closed) value["closed"] = true;
-  if (known.keeps_placements) value["keeps_placements"] = true;
+  if (known.retired) value["closed"] = true;
+  if (known.persists_placements) value["keeps_placements"] = true;
   if (known.restarted) value["restarted"] = true;
   for (const TaskId& task : known.last_tasks)
     value["last_tasks"].append(TaskIdText(task));
@@ -91,13 +91,14 @@
   return Record{KnownWorkerKey(worker.id), ToJsonText(value)};
 }
 
-std::optional<KnownWorker> KnownWorkerFrom(const Record& record) {
+std::optional<KnownWorker> ParseKnownWorker(const Record& record) {
   if (!IsKnownWorkerKey(record.key) || !record.value) return std::nullopt;
   KnownWorker known;
   known.worker.id = record.key.substr(sizeof(kPrefix) - 1);
   if (known.worker.id.empty()) return std::nullopt;
   const JsonDocument document = JsonDocument::Parse(*record.value, record.key);
-  const bool read = document.faults().empty() && TypesHold(document.root()) &&
+  const bool read = document.faults().empty() &&
+                    HasValidTypes(document.root()) &&
                     ReadKnown(document.root(), &known);
   if (read) return known;
   // What was read of it before its fault is not to be trusted either.
--- a/keelbridge/state/known_workers.h
+++ b/keelbridge/state/known_workers.h
@@ -6,7 +6,7 @@
 // again.
 //
 //   Record record = KnownWorkerRecord({worker, epoch});
-//   std::optional<KnownWorker> known = KnownWorkerFrom(record);
+//   std::optional<KnownWorker> known = ParseKnownWorker(record);
 
 #ifndef KEELBRIDGE_STATE_KNOWN_WORKERS_H_
 #define KEELBRIDGE_STATE_KNOWN_WORKERS_H_
@@ -30,11 +30,11 @@
   int64_t epoch = std::numeric_limits<int64_t>::max();
   // It says that it leaves and runs nothing, and that leader gives it nothing
   // any more.
-  bool closed = false;
+  bool retired = false;
   // Whatever may run there unseen and lasts has its placement on record. Not so
   // after a leader of a version that kept none: it writes this record anew when
   // it gives the worker work, and no job's.
-  bool keeps_placements = false;
+  bool persists_placements = false;
   // It says that it leaves, and that leader gives it nothing any more: of that
   // leader's and earlier ones' tasks only these may run there. Empty: any may,
   // if it is not closed.
@@ -51,7 +51,7 @@
 // None when `record` is another kind of record, or drops one. Of one that
 // cannot be read the id is known, from its key: any leader may have used that
 // worker.
-std::optional<KnownWorker> KnownWorkerFrom(const Record& record);
+std::optional<KnownWorker> ParseKnownWorker(const Record& record);
 
 }  // namespace keelbridge
 
