--- a/keelbridge/state/known_workers_test.cc
+++ b/keelbridge/state/known_workers_test.cc
@@ -8,7 +8,7 @@
 namespace keelbridge {
 namespace {
 
-constexpr int64_t kAnybodys = std::numeric_limits<int64_t>::max();
+constexpr int64_t kUnknownEpoch = std::numeric_limits<int64_t>::max();
 
 TEST_CASE("known workers: a record is read as it was written") {
   WorkerRecord worker;
@@ -18,20 +18,20 @@
   worker.pool = "desk";
   worker.labels = {"a", "r1"};
   worker.capacity = {8000, 1024, 1};
-  const TaskId left{7, 0, 1, 2};
-  const auto known =
-      KnownWorkerFrom(KnownWorkerRecord({worker, 4, false, true, {left}}));
+  const TaskId last_task{7, 0, 1, 2};
+  const auto known = ParseKnownWorker(
+      KnownWorkerRecord({worker, 4, false, true, {last_task}}));
   REQUIRE(known.has_value());
   CHECK(known->worker.id == "i-1");
   CHECK(known->worker.address == "127.0.0.1:9");
   CHECK(known->worker.labels == worker.labels);
   CHECK(known->worker.capacity == worker.capacity);
   CHECK(known->epoch == 4);
-  CHECK_FALSE(known->closed);
-  CHECK(known->keeps_placements);
-  CHECK(known->last_tasks == std::vector<TaskId>{left});
+  CHECK_FALSE(known->retired);
+  CHECK(known->persists_placements);
+  CHECK(known->last_tasks == std::vector<TaskId>{last_task});
   CHECK_FALSE(known->unreadable);
-  CHECK(KnownWorkerFrom(KnownWorkerRecord({worker, 4, true}))->closed);
+  CHECK(ParseKnownWorker(KnownWorkerRecord({worker, 4, true}))->retired);
 }
 
 // Its id is in the key: taken for none, what it runs would be started again.
@@ -47,21 +47,21 @@
         R"({"epoch":1,"keeps_placements":7})"}) {
     CAPTURE(value);
     const auto known =
-        KnownWorkerFrom(Record{KnownWorkerKey("i-1"), value, -1});
+        ParseKnownWorker(Record{KnownWorkerKey("i-1"), value, -1});
     REQUIRE(known.has_value());
     CHECK(known->worker.id == "i-1");
     // Nothing is concluded from the rest: any leader may have used it.
-    CHECK(known->epoch == kAnybodys);
-    CHECK_FALSE(known->closed);
+    CHECK(known->epoch == kUnknownEpoch);
+    CHECK_FALSE(known->retired);
     CHECK(known->unreadable);
   }
 }
 
 TEST_CASE("known workers: other records and dropped ones name none") {
-  CHECK_FALSE(KnownWorkerFrom(Record{"d/1", "{}", -1}).has_value());
+  CHECK_FALSE(ParseKnownWorker(Record{"d/1", "{}", -1}).has_value());
   CHECK_FALSE(
-      KnownWorkerFrom(Record{KnownWorkerKey(""), "{}", -1}).has_value());
-  CHECK_FALSE(KnownWorkerFrom(Record{KnownWorkerKey("i-1"), std::nullopt, -1})
+      ParseKnownWorker(Record{KnownWorkerKey(""), "{}", -1}).has_value());
+  CHECK_FALSE(ParseKnownWorker(Record{KnownWorkerKey("i-1"), std::nullopt, -1})
                   .has_value());
 }
 
--- a/keelbridge/state/zone_replica.cc
+++ b/keelbridge/state/zone_replica.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Incomplete snapshots that are kept at a time; the oldest goes first.
-constexpr size_t kMostOpenSnapshots = 4;
+constexpr size_t kMaxIncompleteSnapshots = 4;
 
 uint64_t Checksum(const std::string& text) {
   return XXH64(text.data(), text.size(), 0);
@@ -17,17 +17,16 @@
 
 }  // namespace
 
-std::vector<SnapshotEntry> CutSnapshot(const ZoneState& state,
-                                       const std::string& id,
-                                       size_t most_bytes) {
+std::vector<SnapshotEntry> SplitSnapshot(const ZoneState& state,
+                                         const std::string& id,
+                                         size_t max_bytes) {
   const std::string text = state.Snapshot();
   const auto count =
-      static_cast<int64_t>((text.size() + most_bytes - 1) / most_bytes);
+      static_cast<int64_t>((text.size() + max_bytes - 1) / max_bytes);
   std::vector<SnapshotEntry> out;
   for (int64_t i = 0; i < count; ++i) {
-    out.push_back(
-        {id, state.next_offset() - 1, i, count, Checksum(text),
-         text.substr(static_cast<size_t>(i) * most_bytes, most_bytes)});
+    out.push_back({id, state.next_offset() - 1, i, count, Checksum(text),
+                   text.substr(static_cast<size_t>(i) * max_bytes, max_bytes)});
   }
   return out;
 }
@@ -35,8 +34,8 @@
 void ZoneReplica::OnBatch(const LogBatch& batch) {
   first_retained_ = batch.first;
   if (batch.first > next_) {
-    if (!seeking_) ++gaps_;
-    seeking_ = true;
+    if (!awaiting_snapshot_) ++gaps_;
+    awaiting_snapshot_ = true;
     next_ = batch.first;
   }
   for (const LogRecord& record : batch.records) {
@@ -55,7 +54,7 @@
     ++malformed_;
     return;
   }
-  if (!seeking_) state_.Apply(record.offset, envelope.value());
+  if (!awaiting_snapshot_) state_.Apply(record.offset, envelope.value());
   for (const LogEntry& entry : envelope.value().entries) {
     if (const auto* piece = std::get_if<SnapshotEntry>(&entry))
       OnSnapshotPiece(*piece);
@@ -64,26 +63,28 @@
 
 void ZoneReplica::OnSnapshotPiece(const SnapshotEntry& piece) {
   if (piece.covers <= last_snapshot_covers_ || piece.count <= 0) return;
-  Pieces& pieces = pieces_[piece.id];
+  PartialSnapshot& pieces = pieces_[piece.id];
   pieces.by_index[piece.index] = piece;
   if (static_cast<int64_t>(pieces.by_index.size()) < piece.count) {
-    if (pieces_.size() > kMostOpenSnapshots) pieces_.erase(pieces_.begin());
+    if (pieces_.size() > kMaxIncompleteSnapshots)
+      pieces_.erase(pieces_.begin());
     return;
   }
-  const Pieces complete = std::move(pieces);
+  const PartialSnapshot complete = std::move(pieces);
   pieces_.erase(piece.id);
-  if (seeking_) {
+  if (awaiting_snapshot_) {
     Load(complete);
   } else {
     last_snapshot_covers_ = piece.covers;
   }
 }
 
-void ZoneReplica::Load(const Pieces& pieces) {
+void ZoneReplica::Load(const PartialSnapshot& pieces) {
   std::string text;
   for (const auto& [index, piece] : pieces.by_index) text += piece.text;
-  const SnapshotEntry& any = pieces.by_index.begin()->second;
-  if (Checksum(text) != any.checksum || any.covers + 1 < first_retained_)
+  const SnapshotEntry& first_piece = pieces.by_index.begin()->second;
+  if (Checksum(text) != first_piece.checksum ||
+      first_piece.covers + 1 < first_retained_)
     return;
   Result<ZoneState> state = ZoneState::Restore(text);
   if (!state) {
@@ -91,9 +92,9 @@
     return;
   }
   state_ = std::move(state.value());
-  last_snapshot_covers_ = any.covers;
-  next_ = any.covers + 1;
-  seeking_ = false;
+  last_snapshot_covers_ = first_piece.covers;
+  next_ = first_piece.covers + 1;
+  awaiting_snapshot_ = false;
 }
 
 }  // namespace keelbridge
--- a/keelbridge/state/zone_replica.h
+++ b/keelbridge/state/zone_replica.h
@@ -20,10 +20,10 @@
 
 namespace keelbridge {
 
-// Cuts a snapshot of `state` into entries of at most `most_bytes` of text each.
-std::vector<SnapshotEntry> CutSnapshot(const ZoneState& state,
-                                       const std::string& id,
-                                       size_t most_bytes);
+// Cuts a snapshot of `state` into entries of at most `max_bytes` of text each.
+std::vector<SnapshotEntry> SplitSnapshot(const ZoneState& state,
+                                         const std::string& id,
+                                         size_t max_bytes);
 
 class ZoneReplica {
  public:
@@ -36,28 +36,29 @@
   std::vector<std::string> TakeEnded() { return state_.TakeEnded(); }
   // True when everything up to the end of the log, as of the last batch, is
   // applied and nothing is missing.
-  bool Current() const { return current_ && !seeking_; }
+  bool Current() const { return current_ && !awaiting_snapshot_; }
   // Offsets since the last complete snapshot that this replica has seen.
-  int64_t SinceSnapshot() const { return next_ - last_snapshot_covers_; }
+  int64_t OffsetsSinceSnapshot() const { return next_ - last_snapshot_covers_; }
   int64_t first_retained() const { return first_retained_; }
   int64_t last_snapshot_covers() const { return last_snapshot_covers_; }
   int gaps() const { return gaps_; }
   int malformed() const { return malformed_; }
 
  private:
-  struct Pieces {
+  struct PartialSnapshot {
     std::map<int64_t, SnapshotEntry> by_index;
   };
 
   void ApplyRecord(const LogRecord& record);
   void OnSnapshotPiece(const SnapshotEntry& piece);
-  void Load(const Pieces& pieces);
+  void Load(const PartialSnapshot& pieces);
 
   ZoneState state_;
   int64_t next_ = 0;
   bool current_ = false;
-  bool seeking_ = false;  // State is incomplete; only snapshots are of use.
-  std::map<std::string, Pieces> pieces_;
+  bool awaiting_snapshot_ =
+      false;  // State is incomplete; only snapshots are of use.
+  std::map<std::string, PartialSnapshot> pieces_;
   int64_t last_snapshot_covers_ = -1;
   int64_t first_retained_ = 0;
   int gaps_ = 0;
--- a/keelbridge/state/zone_state.cc
+++ b/keelbridge/state/zone_state.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // Confirming a plan twice is recognised for this many later plans.
-constexpr size_t kPlanFatesKept = 256;
+constexpr size_t kMaxPlanOutcomes = 256;
 
 Json::Int64 Int(int64_t v) { return static_cast<Json::Int64>(v); }
 
@@ -24,35 +24,35 @@
 
 }  // namespace
 
-void IndexRuns::Insert(int64_t index) {
+void IndexRanges::Insert(int64_t index) {
   if (Contains(index)) return;
   int64_t first = index;
   int64_t last = index;
-  auto next = runs_.upper_bound(index);
-  if (next != runs_.end() && next->first == index + 1) {
+  auto next = ranges_.upper_bound(index);
+  if (next != ranges_.end() && next->first == index + 1) {
     last = next->second;
-    next = runs_.erase(next);
+    next = ranges_.erase(next);
   }
-  if (next != runs_.begin() && std::prev(next)->second == index - 1) {
+  if (next != ranges_.begin() && std::prev(next)->second == index - 1) {
     first = std::prev(next)->first;
   }
-  runs_[first] = last;
+  ranges_[first] = last;
 }
 
-bool IndexRuns::Contains(int64_t index) const {
-  const auto next = runs_.upper_bound(index);
-  return next != runs_.begin() && std::prev(next)->second >= index;
+bool IndexRanges::Contains(int64_t index) const {
+  const auto next = ranges_.upper_bound(index);
+  return next != ranges_.begin() && std::prev(next)->second >= index;
 }
 
-int64_t IndexRuns::Count() const {
+int64_t IndexRanges::Count() const {
   int64_t count = 0;
-  for (const auto& [first, last] : runs_) count += last - first + 1;
+  for (const auto& [first, last] : ranges_) count += last - first + 1;
   return count;
 }
 
-std::string IndexRuns::ToText() const {
+std::string IndexRanges::ToText() const {
   std::string out;
-  for (const auto& [first, last] : runs_) {
+  for (const auto& [first, last] : ranges_) {
     if (!out.empty()) out += ',';
     absl::StrAppend(&out, first);
     if (last != first) absl::StrAppend(&out, "-", last);
@@ -60,8 +60,8 @@
   return out;
 }
 
-IndexRuns IndexRuns::FromText(const std::string& text) {
-  IndexRuns out;
+IndexRanges IndexRanges::FromText(const std::string& text) {
+  IndexRanges out;
   for (const auto part : absl::StrSplit(text, ',', absl::SkipEmpty())) {
     const std::vector<std::string> ends = absl::StrSplit(part, '-');
     int64_t first = 0;
@@ -69,7 +69,7 @@
     if (!absl::SimpleAtoi(ends.front(), &first) ||
         !absl::SimpleAtoi(ends.back(), &last))
       continue;
-    out.runs_[first] = last;
+    out.ranges_[first] = last;
   }
   return out;
 }
@@ -88,7 +88,7 @@
 
 bool ZoneState::Apply(int64_t offset, const Envelope& envelope) {
   next_offset_ = offset + 1;
-  if (!writers_.Take(envelope.id, offset)) return false;
+  if (!writers_.Accept(envelope.id, offset)) return false;
   for (const LogEntry& entry : envelope.entries) ApplyEntry(offset, entry);
   return true;
 }
@@ -103,20 +103,22 @@
   } else if (const auto* ended = std::get_if<TaskEndedEntry>(&entry)) {
     // An ending is a fact whoever reports it, so an earlier epoch's counts too.
     ApplyEnded(*ended);
-  } else if (const auto* start = std::get_if<OnceStartEntry>(&entry)) {
-    if (start->epoch >= epoch_) once_.emplace(start->task, start->attempt);
-  } else if (const auto* release = std::get_if<OnceReleaseEntry>(&entry)) {
-    const auto it = once_.find(release->task);
-    if (it != once_.end() && it->second == release->attempt) once_.erase(it);
+  } else if (const auto* start = std::get_if<StartClaimEntry>(&entry)) {
+    if (start->epoch >= epoch_)
+      claimed_attempts_.emplace(start->task, start->attempt);
+  } else if (const auto* release = std::get_if<StartReleaseEntry>(&entry)) {
+    const auto it = claimed_attempts_.find(release->task);
+    if (it != claimed_attempts_.end() && it->second == release->attempt)
+      claimed_attempts_.erase(it);
   }
 }
 
 void ZoneState::ApplyPlan(int64_t offset, const PlanEntry& entry) {
-  if (FateOf(entry.plan) == PlanFate::kConfirmed) return;
+  if (GetPlanOutcome(entry.plan) == PlanOutcome::kConfirmed) return;
   if (entry.base != last_plan_)
-    return RememberPlan(entry.plan, PlanFate::kStale);
+    return RecordPlanOutcome(entry.plan, PlanOutcome::kStale);
   last_plan_ = offset;
-  RememberPlan(entry.plan, PlanFate::kConfirmed);
+  RecordPlanOutcome(entry.plan, PlanOutcome::kConfirmed);
   for (const Intent& intent : entry.intents) ApplyIntent(offset, intent);
 }
 
@@ -154,7 +156,7 @@
   std::string intent;
   int64_t index = 0;
   if (!SplitTaskName(entry.task, &intent, &index)) return;
-  once_.erase(entry.task);
+  claimed_attempts_.erase(entry.task);
   ended_.push_back(entry.task);
   const auto it = work_.find(intent);
   if (it == work_.end() || it->second.intent.kind == IntentKind::kService)
@@ -168,21 +170,23 @@
     work_.erase(it);
 }
 
-int64_t ZoneState::OnceAttempt(const std::string& task) const {
-  const auto it = once_.find(task);
-  return it == once_.end() ? 0 : it->second;
+int64_t ZoneState::ClaimedAttempt(const std::string& task) const {
+  const auto it = claimed_attempts_.find(task);
+  return it == claimed_attempts_.end() ? 0 : it->second;
 }
 
-ZoneState::PlanFate ZoneState::FateOf(const std::string& plan) const {
-  for (const auto& [id, fate] : plan_fates_) {
-    if (id == plan) return fate;
+ZoneState::PlanOutcome ZoneState::GetPlanOutcome(
+    const std::string& plan) const {
+  for (const auto& [id, plan_outcome] : plan_outcomes_) {
+    if (id == plan) return plan_outcome;
   }
-  return PlanFate::kUnknown;
+  return PlanOutcome::kUnknown;
 }
 
-void ZoneState::RememberPlan(const std::string& plan, PlanFate fate) {
-  plan_fates_.emplace_back(plan, fate);
-  if (plan_fates_.size() > kPlanFatesKept) plan_fates_.pop_front();
+void ZoneState::RecordPlanOutcome(const std::string& plan,
+                                  PlanOutcome plan_outcome) {
+  plan_outcomes_.emplace_back(plan, plan_outcome);
+  if (plan_outcomes_.size() > kMaxPlanOutcomes) plan_outcomes_.pop_front();
 }
 
 std::string ZoneState::Snapshot() const {
@@ -201,11 +205,12 @@
     row["unknown"] = record.unknown.ToText();
     out["work"].append(row);
   }
-  for (const auto& [task, attempt] : once_) out["once"][task] = Int(attempt);
-  for (const auto& [plan, fate] : plan_fates_) {
+  for (const auto& [task, attempt] : claimed_attempts_)
+    out["once"][task] = Int(attempt);
+  for (const auto& [plan, plan_outcome] : plan_outcomes_) {
     Json::Value row;
     row["plan"] = plan;
-    row["fate"] = static_cast<int>(fate);
+    row["fate"] = static_cast<int>(plan_outcome);
     out["plan_fates"].append(row);
   }
   for (const auto& [incarnation, writer] : writers_.writers()) {
@@ -237,15 +242,15 @@
       const std::string id = intent.id;
       out.work_.emplace(
           id, WorkRecord{std::move(intent), row["confirmed_at"].asInt64(),
-                         IndexRuns::FromText(row["ended"].asString()),
-                         IndexRuns::FromText(row["unknown"].asString())});
+                         IndexRanges::FromText(row["ended"].asString()),
+                         IndexRanges::FromText(row["unknown"].asString())});
     }
     for (const std::string& task : in["once"].getMemberNames())
-      out.once_[task] = in["once"][task].asInt64();
+      out.claimed_attempts_[task] = in["once"][task].asInt64();
     for (const Json::Value& row : in["plan_fates"]) {
-      const auto fate =
-          static_cast<PlanFate>(std::clamp(row["fate"].asInt(), 0, 2));
-      out.plan_fates_.emplace_back(row["plan"].asString(), fate);
+      const auto plan_outcome =
+          static_cast<PlanOutcome>(std::clamp(row["fate"].asInt(), 0, 2));
+      out.plan_outcomes_.emplace_back(row["plan"].asString(), plan_outcome);
     }
     for (const Json::Value& row : in["writers"]) {
       out.writers_.Restore(
--- a/keelbridge/state/zone_state.h
+++ b/keelbridge/state/zone_state.h
@@ -29,24 +29,24 @@
 
 // A set of task numbers, kept as runs: a batch that ends in any order stays
 // small.
-class IndexRuns {
+class IndexRanges {
  public:
   void Insert(int64_t index);
   bool Contains(int64_t index) const;
   int64_t Count() const;
   std::string ToText() const;  // "0-9,12,20-31"
-  static IndexRuns FromText(const std::string& text);
+  static IndexRanges FromText(const std::string& text);
 
  private:
-  std::map<int64_t, int64_t> runs_;  // First to last, both inside.
+  std::map<int64_t, int64_t> ranges_;  // First to last, both inside.
 };
 
 // A service or batch that operators asked for.
 struct WorkRecord {
   Intent intent;  // With later resizes and priorities applied.
   int64_t confirmed_at = -1;
-  IndexRuns ended;
-  IndexRuns unknown;  // Part of `ended`: may have run, must not be repeated.
+  IndexRanges ended;
+  IndexRanges unknown;  // Part of `ended`: may have run, must not be repeated.
 };
 
 class ZoneState {
@@ -66,15 +66,15 @@
 
   // The attempt that may run a task which must not be repeated; 0 when none has
   // been claimed.
-  int64_t OnceAttempt(const std::string& task) const;
+  int64_t ClaimedAttempt(const std::string& task) const;
 
-  enum class PlanFate { kUnknown, kConfirmed, kStale };
+  enum class PlanOutcome { kUnknown, kConfirmed, kStale };
   // What became of a confirmation, for as long as recent fates are kept.
-  PlanFate FateOf(const std::string& plan) const;
+  PlanOutcome GetPlanOutcome(const std::string& plan) const;
 
   // True when the last entry of this writer that was applied is `sequence` or
   // later.
-  bool Applied(const EnvelopeId& id) const { return writers_.Taken(id); }
+  bool Applied(const EnvelopeId& id) const { return writers_.WasAccepted(id); }
 
   // Tasks whose end was applied since the last call; not part of the state.
   std::vector<std::string> TakeEnded() { return std::exchange(ended_, {}); }
@@ -87,7 +87,7 @@
   void ApplyPlan(int64_t offset, const PlanEntry& entry);
   void ApplyIntent(int64_t offset, const Intent& intent);
   void ApplyEnded(const TaskEndedEntry& entry);
-  void RememberPlan(const std::string& plan, PlanFate fate);
+  void RecordPlanOutcome(const std::string& plan, PlanOutcome plan_outcome);
 
   int64_t next_offset_ = 0;
   int64_t last_plan_ = -1;
@@ -96,8 +96,8 @@
   std::map<std::string, WorkRecord> work_;
   std::set<std::string> drained_hosts_;
   std::set<std::string> drained_targets_;
-  std::map<std::string, int64_t> once_;
-  std::deque<std::pair<std::string, PlanFate>> plan_fates_;
+  std::map<std::string, int64_t> claimed_attempts_;
+  std::deque<std::pair<std::string, PlanOutcome>> plan_outcomes_;
   EnvelopeFilter writers_;
   std::vector<std::string> ended_;
 };
--- a/keelbridge/state/zone_state_test.cc
+++ b/keelbridge/state/zone_state_test.cc
@@ -18,18 +18,18 @@
 
 TEST_CASE("index runs hold what a set holds, and survive their text") {
   const bool ok = rc::check([](const std::vector<uint8_t>& indices) {
-    IndexRuns runs;
+    IndexRanges runs;
     std::set<int64_t> set;
     for (const uint8_t index : indices) {
       runs.Insert(index % 40);
       set.insert(index % 40);
     }
-    const IndexRuns again = IndexRuns::FromText(runs.ToText());
-    RC_ASSERT(again.ToText() == runs.ToText());
+    const IndexRanges restored = IndexRanges::FromText(runs.ToText());
+    RC_ASSERT(restored.ToText() == runs.ToText());
     RC_ASSERT(runs.Count() == static_cast<int64_t>(set.size()));
     for (int64_t i = -1; i <= 41; ++i) {
       RC_ASSERT(runs.Contains(i) == (set.count(i) > 0));
-      RC_ASSERT(again.Contains(i) == (set.count(i) > 0));
+      RC_ASSERT(restored.Contains(i) == (set.count(i) > 0));
     }
   });
   CHECK(ok);
@@ -55,19 +55,20 @@
               TaskEndedEntry{0, task, step % 2 == 0 ? "unknown" : "finished"});
           break;
         case 2:
-          envelope.entries.push_back(OnceStartEntry{state.epoch(), task, step});
+          envelope.entries.push_back(
+              StartClaimEntry{state.epoch(), task, step});
           break;
         case 3:
           envelope.entries.push_back(LeaderEntry{step, "s"});
           break;
         default:
-          envelope.entries.push_back(OnceReleaseEntry{0, task, step - 1});
+          envelope.entries.push_back(StartReleaseEntry{0, task, step - 1});
       }
       state.Apply(offset++, envelope);
     }
-    Result<ZoneState> again = ZoneState::Restore(state.Snapshot());
-    RC_ASSERT(again.has_value());
-    RC_ASSERT(again.value().Snapshot() == state.Snapshot());
+    Result<ZoneState> restored = ZoneState::Restore(state.Snapshot());
+    RC_ASSERT(restored.has_value());
+    RC_ASSERT(restored.value().Snapshot() == state.Snapshot());
   });
   CHECK(ok);
 }
@@ -84,11 +85,11 @@
   ZoneState state;
   state.Apply(0, {{1, 1}, {LeaderEntry{5, "a"}}});
   state.Apply(1, {{2, 1}, {LeaderEntry{6, "b"}}});
-  state.Apply(2, {{1, 2}, {OnceStartEntry{5, "b/0", 1}}});
-  CHECK(state.OnceAttempt("b/0") == 0);
-  state.Apply(3, {{2, 2}, {OnceStartEntry{6, "b/0", 2}}});
-  state.Apply(4, {{2, 3}, {OnceStartEntry{6, "b/0", 3}}});
-  CHECK(state.OnceAttempt("b/0") == 2);
+  state.Apply(2, {{1, 2}, {StartClaimEntry{5, "b/0", 1}}});
+  CHECK(state.ClaimedAttempt("b/0") == 0);
+  state.Apply(3, {{2, 2}, {StartClaimEntry{6, "b/0", 2}}});
+  state.Apply(4, {{2, 3}, {StartClaimEntry{6, "b/0", 3}}});
+  CHECK(state.ClaimedAttempt("b/0") == 2);
 }
 
 TEST_CASE("the state grows with live work, not with what has ended") {
--- a/keelbridge/transport/address.cc
+++ b/keelbridge/transport/address.cc
@@ -8,9 +8,9 @@
 namespace keelbridge {
 namespace {
 
-constexpr int kHighestPort = 65535;
+constexpr int kMaxPort = 65535;
 
-bool IsIpNumber(const std::string& text) {
+bool IsIpAddress(const std::string& text) {
   unsigned char buffer[sizeof(in6_addr)];
   return inet_pton(AF_INET, text.c_str(), buffer) == 1 ||
          inet_pton(AF_INET6, text.c_str(), buffer) == 1;
@@ -39,10 +39,10 @@
   if (colon == std::string::npos) return fail("has no port");
   address.ip = host_port.substr(0, colon);
   if (!absl::SimpleAtoi(host_port.substr(colon + 1), &address.port) ||
-      address.port < 0 || address.port > kHighestPort) {
+      address.port < 0 || address.port > kMaxPort) {
     return fail("has no port from 0 to 65535");
   }
-  if (!IsIpNumber(address.ip)) return fail("does not start with an IP number");
+  if (!IsIpAddress(address.ip)) return fail("does not start with an IP number");
   return address;
 }
 
--- a/keelbridge/transport/event_http_client.cc
+++ b/keelbridge/transport/event_http_client.cc
@@ -36,44 +36,44 @@
 
 // At most so many lines about silent connections in a period: all connections
 // of a process may go silent at one moment.
-constexpr int kMostSilenceLines = 5;
-constexpr absl::Duration kSilenceLinesPeriod = absl::Seconds(10);
+constexpr int kMaxLogLines = 5;
+constexpr absl::Duration kLogLinePeriod = absl::Seconds(10);
 
 // Reads of some 4 KB that one turn of the loop makes of an answer. With one
 // a turn, an answer of 1 MB took 541 turns, of 70 to 100 ms in a loaded loop,
 // and was given up after 1.5 s: a leader learnt 10 s late which workers leave.
-constexpr int kMostReadsAtOnce = 256;
+constexpr int kMaxReadsPerIteration = 256;
 
 // Lines of a period, and those that were left out since the last one.
-struct SilenceLines {
+struct LogLineCounter {
   absl::Mutex mutex;
-  absl::Time begun = absl::InfinitePast();
+  absl::Time period_start = absl::InfinitePast();
   int written = 0;
-  int64_t left_out = 0;
+  int64_t suppressed = 0;
 };
 
 // The lines that were left out since the last one; none: this one is, too.
-std::optional<int64_t> TakeSilenceLine(absl::Time now) {
-  static SilenceLines& lines = *new SilenceLines();
+std::optional<int64_t> AcquireLogLine(absl::Time now) {
+  static LogLineCounter& lines = *new LogLineCounter();
   const absl::MutexLock lock(&lines.mutex);
-  if (now - lines.begun >= kSilenceLinesPeriod) {
-    lines.begun = now;
+  if (now - lines.period_start >= kLogLinePeriod) {
+    lines.period_start = now;
     lines.written = 0;
   }
-  if (lines.written >= kMostSilenceLines) {
-    ++lines.left_out;
+  if (lines.written >= kMaxLogLines) {
+    ++lines.suppressed;
     return std::nullopt;
   }
   ++lines.written;
-  return std::exchange(lines.left_out, 0);
+  return std::exchange(lines.suppressed, 0);
 }
 
-void LogSilence(const Address& address, absl::Duration waited,
-                std::optional<absl::Duration> idle, size_t dropped) {
+void LogUnresponsive(const Address& address, absl::Duration waited,
+                     std::optional<absl::Duration> idle, size_t dropped) {
   // An answer that is late on a new connection is its caller's to tell.
   if (!idle && dropped == 0) return;
-  const auto left_out = TakeSilenceLine(SystemNow().mono);
-  if (!left_out) return;
+  const auto suppressed = AcquireLogLine(SystemNow().mono);
+  if (!suppressed) return;
   const auto milliseconds = [](absl::Duration time) {
     return absl::StrCat(absl::ToInt64Milliseconds(time));
   };
@@ -82,7 +82,7 @@
             {"waited_ms", milliseconds(waited)},
             {"idle_before_ms", idle ? milliseconds(*idle) : "new"},
             {"others_dropped", absl::StrCat(dropped)},
-            {"lines_left_out", absl::StrCat(*left_out)}});
+            {"lines_left_out", absl::StrCat(*suppressed)}});
 }
 
 // One request on its way. Its callback is called exactly once.
@@ -107,9 +107,9 @@
   // A connection gave no byte since `since`, after it had been idle for `idle`
   // (none: it was new). What has not carried an answer since then may have gone
   // silent with it, and is not used again.
-  void OnSilent(absl::Time since, std::optional<absl::Duration> idle);
-  bool Doubted(absl::Time last_answer) const {
-    return last_answer < doubted_before_;
+  void OnUnresponsive(absl::Time since, std::optional<absl::Duration> idle);
+  bool IsPresumedDead(absl::Time last_answer) const {
+    return last_answer < presumed_dead_before_;
   }
   void Close();
 
@@ -125,7 +125,7 @@
   std::deque<std::shared_ptr<PendingRequest>> waiting_;
   std::set<std::shared_ptr<EventHttpClientConnection>> busy_;
   std::deque<std::shared_ptr<EventHttpClientConnection>> idle_;
-  absl::Time doubted_before_ = absl::InfinitePast();
+  absl::Time presumed_dead_before_ = absl::InfinitePast();
 };
 
 // One kept connection.
@@ -135,13 +135,13 @@
   explicit EventHttpClientConnection(
       std::shared_ptr<EventHttpClient::Impl> pool)
       : pool_(std::move(pool)), stream_(pool_->loop_) {
-    buffer_.reserve(pool_->options_.read_at_once);
+    buffer_.reserve(pool_->options_.read_buffer_bytes);
   }
 
   // Whether it can carry another request: open, quiet, and not idle for long.
-  bool Usable() {
+  bool IsUsable() {
     if (!stream_.socket().is_open()) return false;
-    if (pool_->Doubted(last_answer_)) return false;
+    if (pool_->IsPresumedDead(last_answer_)) return false;
     if (SystemNow().mono - last_used_ > pool_->options_.idle_expiry)
       return false;
     char byte = 0;
@@ -150,11 +150,12 @@
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
 
-  void Carry(std::shared_ptr<PendingRequest> pending) {
+  void Start(std::shared_ptr<PendingRequest> pending) {
     pending_ = std::move(pending);
     pending_->timer.reset();
     // Doubt may have come up since it was chosen.
-    if (stream_.socket().is_open() && pool_->Doubted(last_answer_)) Drop();
+    if (stream_.socket().is_open() && pool_->IsPresumedDead(last_answer_))
+      CloseStream();
     idle_.reset();
     if (stream_.socket().is_open()) {
       idle_ = SystemNow().mono - last_used_;
@@ -179,7 +180,7 @@
         });
   }
 
-  void Drop() {
+  void CloseStream() {
     stream_.close();
     buffer_.clear();
   }
@@ -211,21 +212,23 @@
   }
 
   void Write() {
-    const HttpRequest& from = pending_->request;
-    const std::string& body =
-        from.first_body && !answered_ ? *from.first_body : from.body;
+    const HttpRequest& http_request = pending_->request;
+    const std::string& body = http_request.first_body && !answered_
+                                  ? *http_request.first_body
+                                  : http_request.body;
     request_ = {};
     request_.version(11);
-    request_.method_string(from.method);
-    request_.target(pool_->address_.prefix + from.path);
+    request_.method_string(http_request.method);
+    request_.target(pool_->address_.prefix + http_request.path);
     request_.set(http::field::host, pool_->address_.ip + ":" +
                                         std::to_string(pool_->address_.port));
     if (!body.empty())
-      request_.set(http::field::content_type, from.content_type);
-    for (const auto& [name, value] : from.headers) request_.set(name, value);
+      request_.set(http::field::content_type, http_request.content_type);
+    for (const auto& [name, value] : http_request.headers)
+      request_.set(name, value);
     request_.body() = body;
     request_.prepare_payload();
-    heard_ = SystemNow().mono;
+    last_progress_ = SystemNow().mono;
     stream_.expires_after(absl::ToChronoNanoseconds(Remaining()));
     http::async_write(stream_, request_,
                       [self = shared_from_this()](beast::error_code e, size_t) {
@@ -236,7 +239,7 @@
 
   void Read() {
     parser_.emplace();
-    parser_->body_limit(pool_->options_.most_body_bytes);
+    parser_->body_limit(pool_->options_.max_body_bytes);
     parser_->eager(true);  // Header and body as they come.
     ReadSome();
   }
@@ -248,24 +251,24 @@
     if (SystemNow().mono >= pending_->deadline)
       return Fail("read: ", beast::error::timeout);
     stream_.expires_after(absl::ToChronoNanoseconds(
-        std::min(Remaining(), pending_->request.silence)));
+        std::min(Remaining(), pending_->request.progress_timeout)));
     http::async_read_some(
         stream_, buffer_, *parser_,
         [self = shared_from_this()](beast::error_code e, size_t) {
           if (!e)
-            e = internal::ReadAtOnce(self->stream_.socket(), self->buffer_,
-                                     *self->parser_, kMostReadsAtOnce);
+            e = internal::ReadAvailable(self->stream_.socket(), self->buffer_,
+                                        *self->parser_, kMaxReadsPerIteration);
           if (e) return self->Fail("read: ", e);
-          self->heard_ = SystemNow().mono;
+          self->last_progress_ = SystemNow().mono;
           if (!self->parser_->is_done()) return self->ReadSome();
           self->OnResponse();
         });
   }
 
   void Fail(const char* step, beast::error_code error) {
-    const bool silent = error == beast::error::timeout ||
-                        error == boost::asio::error::timed_out;
-    if (silent) pool_->OnSilent(heard_, idle_);
+    const bool is_timeout = error == beast::error::timeout ||
+                            error == boost::asio::error::timed_out;
+    if (is_timeout) pool_->OnUnresponsive(last_progress_, idle_);
     Finish(Failure(SendFailure::kMayHaveSent, step + error.message()));
   }
 
@@ -279,9 +282,10 @@
                                              std::string(field.value()));
     outcome.response->body = std::move(message.body());
     // What came behind the answer belongs to no request.
-    const bool may_be_another =
+    const bool may_be_another_process =
         pending_->request.first_body && outcome.response->status != 200;
-    reusable_ = message.keep_alive() && buffer_.size() == 0 && !may_be_another;
+    reusable_ =
+        message.keep_alive() && buffer_.size() == 0 && !may_be_another_process;
     answered_ = true;
     Finish(std::move(outcome));
   }
@@ -296,7 +300,7 @@
       stream_.expires_never();
       last_answer_ = last_used_;
     } else {
-      Drop();
+      CloseStream();
     }
     pool_->Release(shared_from_this(), reusable);
     pending->callback(std::move(outcome));
@@ -311,7 +315,7 @@
   absl::Time last_used_;
   absl::Time last_answer_ = absl::InfinitePast();
   // When the last byte came, or the request's write began.
-  absl::Time heard_;
+  absl::Time last_progress_;
   std::optional<absl::Duration> idle_;  // Before the request; none: it is new.
   bool reusable_ = true;
   bool answered_ = false;  // Since it was connected.
@@ -323,7 +327,7 @@
   pending->request = std::move(request);
   pending->callback = std::move(callback);
   pending->deadline = SystemNow().mono + timeout;
-  if (closed_ || waiting_.size() >= options_.most_waiting) {
+  if (closed_ || waiting_.size() >= options_.max_waiting) {
     asio::post(loop_, [pending] {
       pending->callback(Failure(SendFailure::kNothingSent, "too many waiting"));
     });
@@ -355,17 +359,17 @@
     while (!connection && !idle_.empty()) {
       connection = idle_.back();
       idle_.pop_back();
-      if (!connection->Usable()) connection = nullptr;
+      if (!connection->IsUsable()) connection = nullptr;
     }
     if (!connection) {
-      if (busy_.size() >= options_.most_connections) return;
+      if (busy_.size() >= options_.max_connections) return;
       connection =
           std::make_shared<EventHttpClientConnection>(shared_from_this());
     }
     busy_.insert(connection);
     const auto pending = waiting_.front();
     waiting_.pop_front();
-    asio::post(loop_, [connection, pending] { connection->Carry(pending); });
+    asio::post(loop_, [connection, pending] { connection->Start(pending); });
   }
 }
 
@@ -378,15 +382,16 @@
   Dispatch();
 }
 
-void EventHttpClient::Impl::OnSilent(absl::Time since,
-                                     std::optional<absl::Duration> idle) {
-  doubted_before_ = std::max(doubted_before_, since);
+void EventHttpClient::Impl::OnUnresponsive(absl::Time since,
+                                           std::optional<absl::Duration> idle) {
+  presumed_dead_before_ = std::max(presumed_dead_before_, since);
   const size_t before = idle_.size();
-  const auto doubted = std::remove_if(
+  const auto presumed_dead = std::remove_if(
       idle_.begin(), idle_.end(),
-      [this](const auto& kept) { return Doubted(kept->last_answer()); });
-  idle_.erase(doubted, idle_.end());
-  LogSilence(address_, SystemNow().mono - since, idle, before - idle_.size());
+      [this](const auto& kept) { return IsPresumedDead(kept->last_answer()); });
+  idle_.erase(presumed_dead, idle_.end());
+  LogUnresponsive(address_, SystemNow().mono - since, idle,
+                  before - idle_.size());
 }
 
 void EventHttpClient::Impl::Close() {
--- a/keelbridge/transport/event_http_client.h
+++ b/keelbridge/transport/event_http_client.h
@@ -32,11 +32,11 @@
 class EventHttpClient {
  public:
   struct Options {
-    size_t most_connections = 4;
-    size_t most_waiting = 1000;
-    size_t most_body_bytes = 16 << 20;
+    size_t max_connections = 4;
+    size_t max_waiting = 1000;
+    size_t max_body_bytes = 16 << 20;
     // What is read at once; a larger answer takes several turns of the loop.
-    size_t read_at_once = 4 << 10;
+    size_t read_buffer_bytes = 4 << 10;
     absl::Duration connect_timeout = absl::Milliseconds(500);
     // A connection idle for longer is not used again.
     absl::Duration idle_expiry = absl::Seconds(10);
--- a/keelbridge/transport/event_http_client_test.cc
+++ b/keelbridge/transport/event_http_client_test.cc
@@ -22,7 +22,7 @@
 
 constexpr absl::Duration kTimeout = absl::Milliseconds(400);
 // Calls of these tests are answered within a few milliseconds.
-constexpr absl::Duration kAtOnce = absl::Milliseconds(200);
+constexpr absl::Duration kPromptTimeout = absl::Milliseconds(200);
 
 HttpRequest Get(const std::string& path) {
   HttpRequest request;
@@ -32,7 +32,7 @@
 
 // A server that answers at once, but for /held, which waits to be told; a proxy
 // before it; a client with kept connections.
-struct Site {
+struct ProxyFixture {
   // Sends `request`; the outcome comes later.
   std::shared_ptr<std::optional<HttpOutcome>> Send(
       const HttpRequest& request, absl::Duration timeout = kTimeout) {
@@ -44,9 +44,9 @@
   }
   // Runs until there is an outcome, or `most` is over.
   bool Await(const std::shared_ptr<std::optional<HttpOutcome>>& result,
-             absl::Duration most) {
-    const absl::Time until = SystemNow().mono + most;
-    while (!*result && SystemNow().mono < until) Run(absl::Milliseconds(2));
+             absl::Duration max_wait) {
+    const absl::Time deadline = SystemNow().mono + max_wait;
+    while (!*result && SystemNow().mono < deadline) Run(absl::Milliseconds(2));
     return result->has_value();
   }
   void Run(absl::Duration time) {
@@ -54,96 +54,97 @@
     loop.run_for(absl::ToChronoNanoseconds(time));
   }
   // Leaves `count` connections idle, all opened.
-  void KeepIdle(int count) {
+  void OpenIdleConnections(int count) {
     std::vector<std::shared_ptr<std::optional<HttpOutcome>>> calls;
     calls.reserve(static_cast<size_t>(count));
     for (int i = 0; i < count; ++i) calls.push_back(Send(Get("/held")));
-    while (held.size() < static_cast<size_t>(count)) Run(absl::Milliseconds(1));
+    while (pending_replies.size() < static_cast<size_t>(count))
+      Run(absl::Milliseconds(1));
     ReplyToAll();
     for (const auto& call : calls) REQUIRE(Await(call, kTimeout));
     REQUIRE(server.Connections() == static_cast<size_t>(count));
   }
   void ReplyToAll() {
-    const auto replies = std::move(held);
-    held.clear();
+    const auto replies = std::move(pending_replies);
+    pending_replies.clear();
     for (const auto& reply : replies) reply({});
   }
 
-  static EventHttpServer::Options Listen() {
+  static EventHttpServer::Options ServerOptions() {
     EventHttpServer::Options options;
     options.listen = {"127.0.0.1", 0, ""};
     return options;
   }
-  static EventHttpClient::Options Keep() {
+  static EventHttpClient::Options ClientOptions() {
     EventHttpClient::Options options;
-    options.most_connections = 8;
+    options.max_connections = 8;
     return options;
   }
 
   boost::asio::io_context loop;
-  std::vector<EventHttpServer::Reply> held;
+  std::vector<EventHttpServer::Reply> pending_replies;
   EventHttpServer server{
-      loop, Listen(),
+      loop, ServerOptions(),
       [this](const ServerRequest& request, EventHttpServer::Reply reply) {
         if (request.path == "/held")
-          held.push_back(std::move(reply));
+          pending_replies.push_back(std::move(reply));
         else
           reply({});
       }};
   testing::FaultProxy proxy{loop, {"127.0.0.1", server.Start().value(), ""}};
-  EventHttpClient client{loop, proxy.address(), Keep()};
+  EventHttpClient client{loop, proxy.address(), ClientOptions()};
 };
 
 TEST_CASE("event http client: one time-out clears the pool of silent ones") {
-  Site site;
-  site.KeepIdle(8);
-  site.proxy.SilenceOpen();
-  const auto first = site.Send(Get("/"));
-  REQUIRE(site.Await(first, 2 * kTimeout));
+  ProxyFixture fixture;
+  fixture.OpenIdleConnections(8);
+  fixture.proxy.SilenceOpenConnections();
+  const auto first = fixture.Send(Get("/"));
+  REQUIRE(fixture.Await(first, 2 * kTimeout));
   CHECK_FALSE((*first)->response);
   CHECK((*first)->failure == SendFailure::kMayHaveSent);
   for (int i = 0; i < 8; ++i) {
-    const auto next = site.Send(Get("/"));
-    REQUIRE(site.Await(next, kAtOnce));
+    const auto next = fixture.Send(Get("/"));
+    REQUIRE(fixture.Await(next, kPromptTimeout));
     CHECK((*next)->response);
   }
 }
 
 TEST_CASE("event http client: one slow answer ends no call of others") {
-  Site site;
-  site.KeepIdle(4);
-  const auto slow = site.Send(Get("/held"));
-  const auto waits = site.Send(Get("/held"), 4 * kTimeout);
-  site.Run(kTimeout / 2);
-  const auto quick = site.Send(Get("/"));
-  REQUIRE(site.Await(quick, kAtOnce));
-  REQUIRE(site.Await(slow, kTimeout));
+  ProxyFixture fixture;
+  fixture.OpenIdleConnections(4);
+  const auto slow = fixture.Send(Get("/held"));
+  const auto patient = fixture.Send(Get("/held"), 4 * kTimeout);
+  fixture.Run(kTimeout / 2);
+  const auto quick = fixture.Send(Get("/"));
+  REQUIRE(fixture.Await(quick, kPromptTimeout));
+  REQUIRE(fixture.Await(slow, kTimeout));
   CHECK_FALSE((*slow)->response);
-  CHECK_FALSE(waits->has_value());
-  site.ReplyToAll();
-  REQUIRE(site.Await(waits, kAtOnce));
-  CHECK((*waits)->response);
+  CHECK_FALSE(patient->has_value());
+  fixture.ReplyToAll();
+  REQUIRE(fixture.Await(patient, kPromptTimeout));
+  CHECK((*patient)->response);
 }
 
 TEST_CASE("event http client: a connection that answered since is kept") {
-  Site site;
-  site.KeepIdle(2);
-  const auto slow = site.Send(Get("/held"));
-  site.Run(kTimeout / 2);
-  const auto quick = site.Send(Get("/"));
-  REQUIRE(site.Await(quick, kAtOnce));
-  REQUIRE(site.Await(slow, kTimeout));
-  site.held.clear();  // It holds the connection.
-  site.Run(kAtOnce);
-  CHECK(site.server.Connections() == 1);
+  ProxyFixture fixture;
+  fixture.OpenIdleConnections(2);
+  const auto slow = fixture.Send(Get("/held"));
+  fixture.Run(kTimeout / 2);
+  const auto quick = fixture.Send(Get("/"));
+  REQUIRE(fixture.Await(quick, kPromptTimeout));
+  REQUIRE(fixture.Await(slow, kTimeout));
+  fixture.pending_replies.clear();  // It holds the connection.
+  fixture.Run(kPromptTimeout);
+  CHECK(fixture.server.Connections() == 1);
 }
 
 // A server that sends an answer piece by piece, by hand.
-class Pieces {
+class PiecewiseServer {
  public:
   using Tcp = boost::asio::ip::tcp;
 
-  Pieces(std::vector<absl::Duration> pauses, std::string piece)
+  PiecewiseServer(std::vector<absl::Duration> pauses, std::string piece)
       : pauses_(std::move(pauses)),
         piece_(std::move(piece)),
         acceptor_(loop_,
@@ -157,32 +158,32 @@
       boost::asio::async_read_until(
           socket_, request_, "\r\n\r\n",
           [this](boost::system::error_code e, size_t) {
-            if (!e) Next(0);
+            if (!e) SendPiece(0);
           });
     });
   }
 
-  HttpOutcome Ask(absl::Duration timeout, absl::Duration silence) {
+  HttpOutcome Fetch(absl::Duration timeout, absl::Duration progress_timeout) {
     HttpRequest request = Get("/");
-    request.silence = silence;
+    request.progress_timeout = progress_timeout;
     std::optional<HttpOutcome> result;
-    const absl::Time begun = SystemNow().mono;
+    const absl::Time start = SystemNow().mono;
     client_.Send(request, timeout,
                  [&](HttpOutcome outcome) { result = std::move(outcome); });
-    while (!result && SystemNow().mono < begun + absl::Seconds(10)) {
+    while (!result && SystemNow().mono < start + absl::Seconds(10)) {
       loop_.restart();
       loop_.run_for(std::chrono::milliseconds(2));
     }
-    took = SystemNow().mono - begun;
+    elapsed = SystemNow().mono - start;
     REQUIRE(result);
     return *result;
   }
 
-  absl::Duration took;
+  absl::Duration elapsed;
 
  private:
   // Sends piece `number` after its pause.
-  void Next(size_t number) {
+  void SendPiece(size_t number) {
     if (number == pauses_.size()) return;
     timer_.expires_after(absl::ToChronoNanoseconds(pauses_[number]));
     timer_.async_wait([this, number](boost::system::error_code error) {
@@ -194,7 +195,7 @@
       boost::asio::async_write(
           socket_, boost::asio::buffer(out_),
           [this, number](boost::system::error_code e, size_t) {
-            if (!e) Next(number + 1);
+            if (!e) SendPiece(number + 1);
           });
     });
   }
@@ -210,48 +211,52 @@
   EventHttpClient client_;
 };
 
-constexpr absl::Duration kSilence = absl::Milliseconds(150);
-constexpr absl::Duration kLong = absl::Seconds(3);
+constexpr absl::Duration kProgressTimeout = absl::Milliseconds(150);
+constexpr absl::Duration kLongTimeout = absl::Seconds(3);
 
 TEST_CASE("event http client: an answer without a byte is given up early") {
-  Pieces server({absl::Seconds(8), absl::Milliseconds(1)}, "body");
-  const HttpOutcome outcome = server.Ask(kLong, kSilence);
+  PiecewiseServer server({absl::Seconds(8), absl::Milliseconds(1)}, "body");
+  const HttpOutcome outcome = server.Fetch(kLongTimeout, kProgressTimeout);
   CHECK_FALSE(outcome.response);
   CHECK(outcome.failure == SendFailure::kMayHaveSent);
-  CHECK(server.took >= kSilence);
-  CHECK(server.took < 3 * kSilence);
+  CHECK(server.elapsed >= kProgressTimeout);
+  CHECK(server.elapsed < 3 * kProgressTimeout);
 }
 
 TEST_CASE("event http client: an answer that stops midway is given up early") {
-  const absl::Duration soon = absl::Milliseconds(20);
-  Pieces server({soon, soon, soon, absl::Seconds(8), soon},
-                std::string(2000, 'x'));
-  const HttpOutcome outcome = server.Ask(kLong, kSilence);
+  const absl::Duration short_pause = absl::Milliseconds(20);
+  PiecewiseServer server(
+      {short_pause, short_pause, short_pause, absl::Seconds(8), short_pause},
+      std::string(2000, 'x'));
+  const HttpOutcome outcome = server.Fetch(kLongTimeout, kProgressTimeout);
   CHECK_FALSE(outcome.response);
-  CHECK(server.took >= kSilence);
-  CHECK(server.took < 4 * kSilence);
+  CHECK(server.elapsed >= kProgressTimeout);
+  CHECK(server.elapsed < 4 * kProgressTimeout);
 }
 
 TEST_CASE("event http client: an answer that goes on may take its whole time") {
-  const std::vector<absl::Duration> pauses(20, kSilence / 3);
-  Pieces server(pauses, std::string(2000, 'x'));
-  const HttpOutcome outcome = server.Ask(kLong, kSilence);
+  const std::vector<absl::Duration> pauses(20, kProgressTimeout / 3);
+  PiecewiseServer server(pauses, std::string(2000, 'x'));
+  const HttpOutcome outcome = server.Fetch(kLongTimeout, kProgressTimeout);
   REQUIRE(outcome.response);
   CHECK(outcome.response->body == std::string(size_t{19} * 2000, 'x'));
-  CHECK(server.took > 5 * kSilence);
+  CHECK(server.elapsed > 5 * kProgressTimeout);
 }
 
 TEST_CASE("event http client: a slow answer ends with its time") {
-  const std::vector<absl::Duration> pauses(200, kSilence / 10);
-  Pieces server(pauses, std::string(20, 'x'));
-  const HttpOutcome outcome = server.Ask(2 * kSilence, kSilence);
+  const std::vector<absl::Duration> pauses(200, kProgressTimeout / 10);
+  PiecewiseServer server(pauses, std::string(20, 'x'));
+  const HttpOutcome outcome =
+      server.Fetch(2 * kProgressTimeout, kProgressTimeout);
   CHECK_FALSE(outcome.response);
-  CHECK(server.took < 4 * kSilence);
+  CHECK(server.elapsed < 4 * kProgressTimeout);
 }
 
 TEST_CASE("event http client: without a silence an answer may take its time") {
-  Pieces server({3 * kSilence, kSilence, kSilence}, "body");
-  const HttpOutcome outcome = server.Ask(kLong, absl::InfiniteDuration());
+  PiecewiseServer server(
+      {3 * kProgressTimeout, kProgressTimeout, kProgressTimeout}, "body");
+  const HttpOutcome outcome =
+      server.Fetch(kLongTimeout, absl::InfiniteDuration());
   REQUIRE(outcome.response);
   CHECK(outcome.response->body == "bodybody");
 }
@@ -270,16 +275,18 @@
   REQUIRE(port);
   auto client = std::make_unique<EventHttpClient>(
       loop, Address{"127.0.0.1", port.value(), ""}, EventHttpClient::Options());
-  int ends = 0;
-  const auto count = [&ends](const HttpOutcome&) { ++ends; };
+  int callback_count = 0;
+  const auto count = [&callback_count](const HttpOutcome&) {
+    ++callback_count;
+  };
   client->Send(Get("/"), kTimeout, count);
-  loop.run_for(absl::ToChronoNanoseconds(kAtOnce));
-  REQUIRE(ends == 1);
+  loop.run_for(absl::ToChronoNanoseconds(kPromptTimeout));
+  REQUIRE(callback_count == 1);
   client->Send(Get("/"), kTimeout, count);  // On the kept connection.
   client.reset();
   loop.restart();
-  loop.run_for(absl::ToChronoNanoseconds(kAtOnce));
-  CHECK(ends == 2);
+  loop.run_for(absl::ToChronoNanoseconds(kPromptTimeout));
+  CHECK(callback_count == 2);
 }
 
 // A turn of a busy loop is long: an answer must not take one for each piece.
@@ -308,17 +315,17 @@
     if (outcome.response) bytes = outcome.response->body.size();
   });
   // The server is far ahead whenever the client's loop takes a turn.
-  int turns = 0;
-  while (bytes == 0 && turns < 1000) {
+  int iterations = 0;
+  while (bytes == 0 && iterations < 1000) {
     server_loop.run_for(std::chrono::milliseconds(2));
     server_loop.restart();
     loop.poll_one();
     loop.restart();
-    ++turns;
+    ++iterations;
   }
   CHECK(bytes == kBytes);
-  MESSAGE("turns for 1 MB: 541 before, ", turns, " after");
-  CHECK(turns <= 16);
+  MESSAGE("turns for 1 MB: 541 before, ", iterations, " after");
+  CHECK(iterations <= 16);
 }
 
 }  // namespace
--- a/keelbridge/transport/event_http_server.cc
+++ b/keelbridge/transport/event_http_server.cc
@@ -30,13 +30,13 @@
 // One turn of a loaded loop takes 70 to 100 ms. With one connection accepted a
 // turn, callers whose connections broke waited for over a second, gave up, and
 // came with new ones: a leader that was busy stayed out of reach.
-constexpr int kMostAcceptedAtOnce = 64;
+constexpr int kMaxAcceptsPerIteration = 64;
 // What is read at once: a message of 20 KB then takes two turns of the loop
 // instead of the seven in which a small buffer grows.
-constexpr size_t kReadAtOnce = 16 << 10;
+constexpr size_t kReadBufferBytes = 16 << 10;
 // Reads of a body in one turn at most, so that one caller does not hold up the
 // others: 1 MB.
-constexpr int kMostReadsAtOnce = 64;
+constexpr int kMaxReadsPerIteration = 64;
 
 void SetSocketOptions(Tcp::socket& socket, absl::Duration peer_timeout) {
   boost::system::error_code ignored;
@@ -48,11 +48,11 @@
 }
 
 void SplitTarget(const std::string& target, ServerRequest* request) {
-  const size_t mark = target.find('?');
-  request->path = target.substr(0, mark);
-  if (mark == std::string::npos) return;
+  const size_t question_mark = target.find('?');
+  request->path = target.substr(0, question_mark);
+  if (question_mark == std::string::npos) return;
   for (absl::string_view pair :
-       absl::StrSplit(absl::string_view(target).substr(mark + 1), '&',
+       absl::StrSplit(absl::string_view(target).substr(question_mark + 1), '&',
                       absl::SkipEmpty())) {
     const std::pair<absl::string_view, absl::string_view> parts =
         absl::StrSplit(pair, absl::MaxSplits('=', 1));
@@ -111,9 +111,9 @@
  private:
   void Accept();
   // Takes what waits to be accepted beside the one that woke the loop.
-  void AcceptWaiting();
+  void AcceptPending();
   void Serve(Tcp::socket socket);
-  bool MakeRoom();
+  bool EvictIdleConnection();
 
   Tcp::acceptor acceptor_;
   EventTimer accept_timer_;
@@ -127,12 +127,12 @@
   EventHttpConnection(std::shared_ptr<EventHttpServer::Impl> server,
                       Tcp::socket socket)
       : server_(std::move(server)), stream_(std::move(socket)) {
-    buffer_.reserve(kReadAtOnce);
+    buffer_.reserve(kReadBufferBytes);
     ++server_->connections_;
     SetSocketOptions(stream_.socket(), server_->options_.write_timeout);
   }
   ~EventHttpConnection() {
-    EndIdle();
+    RemoveFromIdle();
     --server_->connections_;
   }
   EventHttpConnection(const EventHttpConnection&) = delete;
@@ -141,38 +141,38 @@
   void Read() {
     parser_.emplace();
     parser_->header_limit(
-        static_cast<uint32_t>(server_->options_.most_header_bytes));
-    parser_->body_limit(server_->options_.most_body_bytes);
+        static_cast<uint32_t>(server_->options_.max_header_bytes));
+    parser_->body_limit(server_->options_.max_body_bytes);
     stream_.expires_after(
         absl::ToChronoNanoseconds(server_->options_.idle_timeout));
     idle_since_ = SystemNow().mono;
-    idle_at_ = server_->idle_.insert(server_->idle_.end(), this);
+    idle_position_ = server_->idle_.insert(server_->idle_.end(), this);
     http::async_read_header(
         stream_, buffer_, *parser_,
         [self = shared_from_this()](beast::error_code error, size_t) {
-          self->EndIdle();
+          self->RemoveFromIdle();
           self->OnHeader(error);
         });
   }
 
-  // Idle for `spare_after`, and no byte of a request has arrived.
-  bool Spare(absl::Time now) {
+  // Idle for `evict_idle_after`, and no byte of a request has arrived.
+  bool IsEvictable(absl::Time now) {
     boost::system::error_code ignored;
-    return now - idle_since_ >= server_->options_.spare_after &&
+    return now - idle_since_ >= server_->options_.evict_idle_after &&
            buffer_.size() == 0 && stream_.socket().available(ignored) == 0;
   }
 
   void Close() {
-    EndIdle();
+    RemoveFromIdle();
     boost::system::error_code ignored;
     stream_.socket().shutdown(Tcp::socket::shutdown_send, ignored);
     stream_.close();
   }
 
  private:
-  void EndIdle() {
-    if (idle_at_) server_->idle_.erase(*idle_at_);
-    idle_at_.reset();
+  void RemoveFromIdle() {
+    if (idle_position_) server_->idle_.erase(*idle_position_);
+    idle_position_.reset();
   }
 
   void OnHeader(beast::error_code error) {
@@ -180,8 +180,8 @@
     // A request of 60 KB takes one turn instead of eight, the smallest one
     // instead of three.
     parser_->eager(true);
-    error = internal::ReadAtOnce(stream_.socket(), buffer_, *parser_,
-                                 kMostReadsAtOnce);
+    error = internal::ReadAvailable(stream_.socket(), buffer_, *parser_,
+                                    kMaxReadsPerIteration);
     if (error) return OnBadRequest(error);
     if (parser_->is_done()) return OnRequest({});
     stream_.expires_after(
@@ -193,18 +193,18 @@
   }
 
   void OnBadRequest(beast::error_code error) {
-    if (error == http::error::header_limit) return Refuse(431);
-    if (error == http::error::body_limit) return Refuse(413);
+    if (error == http::error::header_limit) return Reject(431);
+    if (error == http::error::body_limit) return Reject(413);
     const bool from_parser =
         error.category() ==
         http::make_error_code(http::error::bad_method).category();
     if (from_parser && error != http::error::end_of_stream &&
         error != http::error::partial_message)
-      return Refuse(400);
+      return Reject(400);
     Close();
   }
 
-  void Refuse(int status) {
+  void Reject(int status) {
     ++server_->in_flight_;
     answered_ = false;
     keep_alive_ = false;
@@ -218,7 +218,7 @@
     if (error) return OnBadRequest(error);
     stream_.expires_never();
     auto& message = parser_->get();
-    if (server_->options_.skip_abandoned && Abandoned()) {
+    if (server_->options_.skip_abandoned && IsAbandoned()) {
       LogEvent(Severity::kInfo, "abandoned_request_skipped",
                {{"path", std::string(message.target())},
                 {"bytes", absl::StrCat(message.body().size())}});
@@ -242,7 +242,7 @@
   }
 
   // Whether the caller is gone: it closed the connection, or that was reset.
-  bool Abandoned() {
+  bool IsAbandoned() {
     char byte = 0;
     const ssize_t n = ::recv(stream_.socket().native_handle(), &byte, 1,
                              MSG_PEEK | MSG_DONTWAIT);
@@ -278,7 +278,7 @@
   beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
   std::optional<http::response<http::string_body>> response_;
-  std::optional<std::list<EventHttpConnection*>::iterator> idle_at_;
+  std::optional<std::list<EventHttpConnection*>::iterator> idle_position_;
   absl::Time idle_since_;
   uint64_t request_number_ = 0;
   bool keep_alive_ = true;
@@ -298,15 +298,15 @@
           return;
         }
         self->Serve(std::move(socket));
-        self->AcceptWaiting();
+        self->AcceptPending();
         self->Accept();
       });
 }
 
-void EventHttpServer::Impl::AcceptWaiting() {
+void EventHttpServer::Impl::AcceptPending() {
   boost::system::error_code error;
   acceptor_.non_blocking(true, error);
-  for (int i = 0; i < kMostAcceptedAtOnce && !error; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerIteration && !error; ++i) {
     Tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
     if (!error) Serve(std::move(socket));
@@ -316,17 +316,17 @@
 // Over the limit the connection is closed at once: its caller tries another
 // machine.
 void EventHttpServer::Impl::Serve(Tcp::socket socket) {
-  if (connections_ < options_.most_connections || MakeRoom())
+  if (connections_ < options_.max_connections || EvictIdleConnection())
     std::make_shared<EventHttpConnection>(shared_from_this(), std::move(socket))
         ->Read();
 }
 
 // What idles may have gone silent for good, without an end: it makes room for
 // a connection that works.
-bool EventHttpServer::Impl::MakeRoom() {
+bool EventHttpServer::Impl::EvictIdleConnection() {
   const absl::Time now = SystemNow().mono;
   for (EventHttpConnection* connection : idle_) {
-    if (!connection->Spare(now)) continue;
+    if (!connection->IsEvictable(now)) continue;
     connection->Close();
     return true;
   }
--- a/keelbridge/transport/event_http_server.h
+++ b/keelbridge/transport/event_http_server.h
@@ -31,15 +31,15 @@
  public:
   struct Options {
     Address listen;  // Port 0: the kernel picks one.
-    size_t most_connections = 1500;
-    size_t most_header_bytes = 16 << 10;
-    size_t most_body_bytes = 256 << 10;
+    size_t max_connections = 1500;
+    size_t max_header_bytes = 16 << 10;
+    size_t max_body_bytes = 256 << 10;
     absl::Duration read_timeout = absl::Seconds(3);   // Of one whole request.
     absl::Duration idle_timeout = absl::Seconds(15);  // Between requests.
     absl::Duration write_timeout = absl::Seconds(3);
     // A server that is full closes the connection that idles longest for a new
     // one, if it has idled for this long. Infinite: the new one is turned away.
-    absl::Duration spare_after = absl::InfiniteDuration();
+    absl::Duration evict_idle_after = absl::InfiniteDuration();
     // A request whose caller has closed the connection meanwhile is not passed
     // to the handler. Only for callers that never close one direction alone.
     bool skip_abandoned = false;
--- a/keelbridge/transport/event_http_server_test.cc
+++ b/keelbridge/transport/event_http_server_test.cc
@@ -20,19 +20,19 @@
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
-  bool ends = false;
+  bool should_close = false;
   EventHttpServer server(
       loop, options,
       [&](const ServerRequest&, const EventHttpServer::Reply& reply) {
         ServerResponse response;
-        response.close_connection = ends;
+        response.close_connection = should_close;
         reply(std::move(response));
       });
   const auto port = server.Start();
   REQUIRE(port);
   EventHttpClient client(loop, {"127.0.0.1", port.value(), ""},
                          EventHttpClient::Options());
-  const auto ask = [&] {
+  const auto fetch_connection_header = [&] {
     std::string connection = "no answer";
     HttpRequest request;
     request.method = "GET";
@@ -48,10 +48,10 @@
     loop.restart();
     return connection;
   };
-  CHECK(ask() == "");
+  CHECK(fetch_connection_header() == "");
   CHECK(server.Connections() == 1);
-  ends = true;
-  CHECK(ask() == "close");
+  should_close = true;
+  CHECK(fetch_connection_header() == "close");
   CHECK(server.Connections() == 0);
 }
 
@@ -74,8 +74,8 @@
   const auto port = server.Start();
   REQUIRE(port);
   for (const size_t bytes : {0, 300, 60000}) {
-    boost::asio::io_context caller;
-    boost::asio::ip::tcp::socket socket(caller);
+    boost::asio::io_context caller_loop;
+    boost::asio::ip::tcp::socket socket(caller_loop);
     socket.connect({boost::asio::ip::make_address("127.0.0.1"),
                     static_cast<uint16_t>(port.value())});
     loop.run_for(std::chrono::milliseconds(50));  // Accepts, and waits.
@@ -85,16 +85,16 @@
                              std::string(bytes, 'x');
     boost::asio::write(socket, boost::asio::buffer(text));
     const size_t before = requests;
-    size_t turns = 0;  // Those in which something was done.
+    size_t iterations = 0;  // Those in which something was done.
     for (int i = 0; i < 100 && requests == before; ++i) {
-      turns += loop.poll_one();
+      iterations += loop.poll_one();
       loop.restart();
     }
     CAPTURE(bytes);
-    MESSAGE("turns for ", bytes, " bytes: ", turns);
+    MESSAGE("turns for ", bytes, " bytes: ", iterations);
     CHECK(requests == before + 1);
     CHECK(body_bytes == bytes);
-    CHECK(turns <= 1);
+    CHECK(iterations <= 1);
   }
 }
 
@@ -102,22 +102,22 @@
 struct FullServer {
   using Result = std::shared_ptr<std::optional<HttpOutcome>>;
 
-  explicit FullServer(absl::Duration spare_after)
+  explicit FullServer(absl::Duration evict_idle_after)
       : server(
-            loop, Full(spare_after),
+            loop, MakeOptions(evict_idle_after),
             [this](const ServerRequest& request, EventHttpServer::Reply reply) {
               if (request.path == "/held")
-                held.push_back(std::move(reply));
+                pending_replies.push_back(std::move(reply));
               else
                 reply({});
             }),
         address{"127.0.0.1", server.Start().value(), ""} {}
 
-  static EventHttpServer::Options Full(absl::Duration spare_after) {
+  static EventHttpServer::Options MakeOptions(absl::Duration evict_idle_after) {
     EventHttpServer::Options options;
     options.listen = {"127.0.0.1", 0, ""};
-    options.most_connections = 3;
-    options.spare_after = spare_after;
+    options.max_connections = 3;
+    options.evict_idle_after = evict_idle_after;
     return options;
   }
   // From a caller of its own, whose connection stays open.
@@ -134,47 +134,47 @@
     loop.run_for(std::chrono::milliseconds(50));
     return result;
   }
-  static bool Answered(const Result& result) {
+  static bool IsAnswered(const Result& result) {
     return result->has_value() && (*result)->response.has_value();
   }
 
   boost::asio::io_context loop;
-  std::vector<EventHttpServer::Reply> held;
+  std::vector<EventHttpServer::Reply> pending_replies;
   EventHttpServer server;
   Address address;
   std::vector<std::unique_ptr<EventHttpClient>> callers;
 };
 
 TEST_CASE("event http server: a full one closes what idles longest") {
-  FullServer site(/*spare_after=*/absl::Milliseconds(20));
-  const auto oldest = site.Send("/held");
-  CHECK(FullServer::Answered(site.Send("/")));
-  CHECK(FullServer::Answered(site.Send("/")));
-  CHECK(site.server.Connections() == 3);
-  const auto fourth = site.Send("/held");
-  CHECK(site.held.size() == 2);
-  CHECK(site.server.Connections() == 3);
-  const auto fifth = site.Send("/held");
-  CHECK(site.held.size() == 3);
+  FullServer fixture(/*evict_idle_after=*/absl::Milliseconds(20));
+  const auto oldest = fixture.Send("/held");
+  CHECK(FullServer::IsAnswered(fixture.Send("/")));
+  CHECK(FullServer::IsAnswered(fixture.Send("/")));
+  CHECK(fixture.server.Connections() == 3);
+  const auto fourth = fixture.Send("/held");
+  CHECK(fixture.pending_replies.size() == 2);
+  CHECK(fixture.server.Connections() == 3);
+  const auto fifth = fixture.Send("/held");
+  CHECK(fixture.pending_replies.size() == 3);
   // All have a request under way: the next one is turned away.
-  CHECK_FALSE(FullServer::Answered(site.Send("/")));
-  for (const auto& reply : site.held) reply({});
-  site.loop.restart();
-  site.loop.run_for(std::chrono::milliseconds(50));
-  CHECK(FullServer::Answered(oldest));
-  CHECK(FullServer::Answered(fourth));
-  CHECK(FullServer::Answered(fifth));
+  CHECK_FALSE(FullServer::IsAnswered(fixture.Send("/")));
+  for (const auto& reply : fixture.pending_replies) reply({});
+  fixture.loop.restart();
+  fixture.loop.run_for(std::chrono::milliseconds(50));
+  CHECK(FullServer::IsAnswered(oldest));
+  CHECK(FullServer::IsAnswered(fourth));
+  CHECK(FullServer::IsAnswered(fifth));
 }
 
 TEST_CASE("event http server: a full one turns new ones away otherwise") {
-  FullServer site(absl::InfiniteDuration());
-  for (int i = 0; i < 3; ++i) CHECK(FullServer::Answered(site.Send("/")));
-  CHECK_FALSE(FullServer::Answered(site.Send("/")));
-  CHECK(site.server.Connections() == 3);
+  FullServer fixture(absl::InfiniteDuration());
+  for (int i = 0; i < 3; ++i) CHECK(FullServer::IsAnswered(fixture.Send("/")));
+  CHECK_FALSE(FullServer::IsAnswered(fixture.Send("/")));
+  CHECK(fixture.server.Connections() == 3);
   // Nor does one that was just used make room.
   FullServer other(absl::Seconds(2));
-  for (int i = 0; i < 3; ++i) CHECK(FullServer::Answered(other.Send("/")));
-  CHECK_FALSE(FullServer::Answered(other.Send("/")));
+  for (int i = 0; i < 3; ++i) CHECK(FullServer::IsAnswered(other.Send("/")));
+  CHECK_FALSE(FullServer::IsAnswered(other.Send("/")));
 }
 
 // A turn of a busy loop is long: callers that come at once must not wait a turn
@@ -189,10 +189,10 @@
       [](const ServerRequest&, const EventHttpServer::Reply&) {});
   const auto port = server.Start();
   REQUIRE(port);
-  boost::asio::io_context outside;
+  boost::asio::io_context client_loop;
   std::vector<boost::asio::ip::tcp::socket> callers;
   for (size_t i = 0; i < kCallers; ++i) {
-    callers.emplace_back(outside);
+    callers.emplace_back(client_loop);
     callers.back().connect({boost::asio::ip::make_address("127.0.0.1"),
                             static_cast<unsigned short>(port.value())});
   }
--- a/keelbridge/transport/event_rpc.cc
+++ b/keelbridge/transport/event_rpc.cc
@@ -6,8 +6,8 @@
 namespace {
 
 // Enough for a hundred peers that use all they may.
-constexpr size_t kMostPeerConnections = 1000;
-constexpr size_t kMostPeerBodyBytes = 8 << 20;
+constexpr size_t kMaxPeerConnections = 1000;
+constexpr size_t kMaxPeerBodyBytes = 8 << 20;
 constexpr size_t kWorkConnectionsToPeer = 8;
 constexpr size_t kControlConnectionsToPeer = 2;
 // Messages are answered at once: a second one is under way only when the first
@@ -15,11 +15,11 @@
 constexpr size_t kOrderConnectionsToPeer = 4;
 // A caller drops what idles for longer. The server waits a little more, so
 // that no call meets its end; what went silent for good counts no longer.
-constexpr absl::Duration kPeerClientIdle = absl::Seconds(30);
-constexpr absl::Duration kPeerServerIdle = absl::Seconds(35);
+constexpr absl::Duration kPeerClientIdleExpiry = absl::Seconds(30);
+constexpr absl::Duration kPeerServerIdleTimeout = absl::Seconds(35);
 // Heartbeats come every 0.4 s: what idles for longer than two is a caller's
 // further connection, or dead.
-constexpr absl::Duration kSpareAfter = absl::Seconds(1);
+constexpr absl::Duration kEvictIdleAfter = absl::Seconds(1);
 constexpr int kMethodNotFound = -32601;
 constexpr int kInvalidRequest = -32600;
 constexpr int kInvalidParams = -32602;
@@ -27,15 +27,15 @@
 EventHttpServer::Options PeerServerOptions(const Address& listen) {
   EventHttpServer::Options options;
   options.listen = listen;
-  options.most_connections = kMostPeerConnections;
-  options.most_body_bytes = kMostPeerBodyBytes;
-  options.idle_timeout = kPeerServerIdle;
-  options.spare_after = kSpareAfter;
+  options.max_connections = kMaxPeerConnections;
+  options.max_body_bytes = kMaxPeerBodyBytes;
+  options.idle_timeout = kPeerServerIdleTimeout;
+  options.evict_idle_after = kEvictIdleAfter;
   options.skip_abandoned = true;
   return options;
 }
 
-size_t ConnectionsOf(RpcLane lane) {
+size_t MaxConnectionsFor(RpcLane lane) {
   switch (lane) {
     case RpcLane::kWork:
       return kWorkConnectionsToPeer;
@@ -47,8 +47,9 @@
   return kControlConnectionsToPeer;
 }
 
-ServerResponse Frame(const Json::Value& id, const JsonRpcReply& reply) {
-  return {200, {}, RpcAnswerText(id, reply), "application/json"};
+ServerResponse MakeRpcResponse(const Json::Value& id,
+                               const JsonRpcReply& reply) {
+  return {200, {}, SerializeRpcResponse(id, reply), "application/json"};
 }
 
 }  // namespace
@@ -67,21 +68,22 @@
 
 void EventRpcServer::Handle(const ServerRequest& request,
                             const EventHttpServer::Reply& reply) {
-  const RpcCall call = ReadRpcCall(request.body);
-  if (!call.readable)
-    return reply(Frame(call.id, {Json::Value(), kInvalidRequest, "no call"}));
+  const RpcCall call = ParseRpcCall(request.body);
+  if (!call.valid)
+    return reply(
+        MakeRpcResponse(call.id, {Json::Value(), kInvalidRequest, "no call"}));
   const auto method = methods_.find(call.method);
   if (method == methods_.end())
-    return reply(
-        Frame(call.id, {Json::Value(), kMethodNotFound, "no such method"}));
+    return reply(MakeRpcResponse(
+        call.id, {Json::Value(), kMethodNotFound, "no such method"}));
   // A caller that got no answer would wait until its time is over.
   try {
     method->second(call.params,
                    [id = call.id, reply](const JsonRpcReply& answer) {
-                     reply(Frame(id, answer));
+                     reply(MakeRpcResponse(id, answer));
                    });
   } catch (const Json::Exception& e) {
-    reply(Frame(call.id, {Json::Value(), kInvalidParams, e.what()}));
+    reply(MakeRpcResponse(call.id, {Json::Value(), kInvalidParams, e.what()}));
   }
 }
 
@@ -92,8 +94,8 @@
   if (peer == nullptr) {
     auto parsed = ParseAddress(address);
     EventHttpClient::Options options;
-    options.most_connections = ConnectionsOf(lane);
-    options.idle_expiry = kPeerClientIdle;
+    options.max_connections = MaxConnectionsFor(lane);
+    options.idle_expiry = kPeerClientIdleExpiry;
     options.drop_unsent = true;
     peer = std::make_unique<EventHttpClient>(
         loop_, parsed ? parsed.value() : Address{"0.0.0.0", 0, ""}, options);
@@ -101,7 +103,7 @@
   HttpRequest request;
   request.method = "POST";
   request.path = "/rpc";
-  request.body = RpcCallText(next_id_++, method, std::move(params));
+  request.body = SerializeRpcCall(next_id_++, method, std::move(params));
   peer->Send(std::move(request), timeout,
              [done = std::move(done)](const HttpOutcome& outcome) {
                if (!outcome.response) {
@@ -111,7 +113,7 @@
                  out.refused = outcome.refused;
                  return done(std::move(out));
                }
-               done(ReadRpcAnswer(outcome.response->body));
+               done(ParseRpcResponse(outcome.response->body));
              });
 }
 
--- a/keelbridge/transport/event_rpc_test.cc
+++ b/keelbridge/transport/event_rpc_test.cc
@@ -16,9 +16,9 @@
 TEST_CASE("event rpc: a control call does not wait for work that is stuck") {
   boost::asio::io_context loop;
   EventRpcServer server(loop, {"127.0.0.1", 0, ""});
-  std::vector<EventRpcServer::Reply> held;
+  std::vector<EventRpcServer::Reply> pending_replies;
   server.Add("work", [&](const Json::Value&, EventRpcServer::Reply reply) {
-    held.push_back(std::move(reply));
+    pending_replies.push_back(std::move(reply));
   });
   server.Add("control",
              [](const Json::Value&, const EventRpcServer::Reply& reply) {
@@ -31,10 +31,10 @@
   std::vector<std::unique_ptr<EventRpcClient>> peers;
   int answered = 0;
   constexpr int kPeers = 43;
-  constexpr int kCallsOfPeer = 30;
+  constexpr int kCallsPerPeer = 30;
   for (int i = 0; i < kPeers; ++i) {
     peers.push_back(std::make_unique<EventRpcClient>(loop));
-    for (int call = 0; call < kCallsOfPeer; ++call)
+    for (int call = 0; call < kCallsPerPeer; ++call)
       peers.back()->Call(listen.ToString(), "work", Json::Value(),
                          absl::Seconds(20), [](const RpcOutcome&) {});
   }
@@ -45,14 +45,14 @@
         [&](const RpcOutcome& outcome) { answered += outcome.answered; },
         RpcLane::kControl);
   }
-  const absl::Time until = SystemNow().mono + absl::Seconds(5);
-  while (answered < kPeers && SystemNow().mono < until)
+  const absl::Time deadline = SystemNow().mono + absl::Seconds(5);
+  while (answered < kPeers && SystemNow().mono < deadline)
     loop.run_for(std::chrono::milliseconds(20));
   CHECK(answered == kPeers);
 }
 
 // Calls `address` and waits until the call is given up.
-RpcOutcome GiveUpOn(const Address& address, const Json::Value& params) {
+RpcOutcome CallUntilTimeout(const Address& address, const Json::Value& params) {
   boost::asio::io_context loop;
   EventRpcClient client(loop);
   std::optional<RpcOutcome> result;
@@ -66,21 +66,21 @@
 TEST_CASE("event rpc: a peer that stood still runs no call that was given up") {
   boost::asio::io_context loop;
   EventRpcServer server(loop, {"127.0.0.1", 0, ""});
-  int ran = 0;
+  int run_count = 0;
   server.Add("work",
              [&](const Json::Value&, const EventRpcServer::Reply& reply) {
-               ++ran;
+               ++run_count;
                reply({Json::Value(true), 0, ""});
              });
   const auto port = server.Start();
   REQUIRE(port);
   // Nobody runs the server's loop meanwhile.
   const RpcOutcome outcome =
-      GiveUpOn({"127.0.0.1", port.value(), ""}, Json::Value());
+      CallUntilTimeout({"127.0.0.1", port.value(), ""}, Json::Value());
   CHECK(!outcome.answered);
   CHECK(outcome.sent);
   loop.run_for(std::chrono::milliseconds(300));
-  CHECK(ran == 0);
+  CHECK(run_count == 0);
 }
 
 TEST_CASE("event rpc: what was given up is not sent later") {
@@ -94,7 +94,7 @@
   const Address address{"127.0.0.1", acceptor.local_endpoint().port(), ""};
   constexpr size_t kCallBytes = 1 << 20;
   const RpcOutcome outcome =
-      GiveUpOn(address, Json::Value(std::string(kCallBytes, 'x')));
+      CallUntilTimeout(address, Json::Value(std::string(kCallBytes, 'x')));
   CHECK(!outcome.answered);
   CHECK(outcome.sent);
   Tcp::socket socket = acceptor.accept();
@@ -118,9 +118,9 @@
   const auto port = server.Start();
   REQUIRE(port);
   EventRpcClient client(loop);
-  Json::Value wrong(Json::objectValue);
-  wrong["a"] = "text";
-  for (const Json::Value& params : {wrong, Json::Value("text")}) {
+  Json::Value wrong_type(Json::objectValue);
+  wrong_type["a"] = "text";
+  for (const Json::Value& params : {wrong_type, Json::Value("text")}) {
     std::optional<RpcOutcome> result;
     client.Call(Address{"127.0.0.1", port.value(), ""}.ToString(), "add",
                 params, absl::Seconds(5),
--- a/keelbridge/transport/event_timer.h
+++ b/keelbridge/transport/event_timer.h
@@ -26,12 +26,12 @@
 // Calls `step` once from the loop's thread; not at all when the loop ends
 // first.
 inline void RunAfter(boost::asio::io_context& loop, absl::Duration delay,
-                     std::function<void()> step) {
+                     std::function<void()> callback) {
   auto timer =
       std::make_shared<EventTimer>(loop, absl::ToChronoNanoseconds(delay));
   timer->async_wait(
-      [timer, step = std::move(step)](boost::system::error_code error) {
-        if (!error) step();
+      [timer, callback = std::move(callback)](boost::system::error_code error) {
+        if (!error) callback();
       });
 }
 
--- a/keelbridge/transport/event_timer_test.cc
+++ b/keelbridge/transport/event_timer_test.cc
@@ -18,7 +18,7 @@
   tick();
   loop.run_for(std::chrono::milliseconds(120));
   CHECK_FALSE(done);
-  BootClock::SuspendForTest(absl::Seconds(25));
+  BootClock::SimulateSuspensionForTest(absl::Seconds(25));
   loop.run_for(std::chrono::milliseconds(300));
   CHECK(done);
 }
--- a/keelbridge/transport/http_client.cc
+++ b/keelbridge/transport/http_client.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // Below this a socket call could not finish at all.
-constexpr absl::Duration kShortestWait = absl::Milliseconds(1);
+constexpr absl::Duration kMinTimeout = absl::Milliseconds(1);
 
 struct Connection {
   std::unique_ptr<httplib::Client> client;
@@ -29,17 +29,17 @@
 
 void SetTimeouts(httplib::Client& client, absl::Duration timeout,
                  absl::Duration connect_timeout) {
-  const timeval whole = absl::ToTimeval(std::max(timeout, kShortestWait));
+  const timeval io = absl::ToTimeval(std::max(timeout, kMinTimeout));
   const timeval connect = absl::ToTimeval(
-      std::max(std::min(timeout, connect_timeout), kShortestWait));
+      std::max(std::min(timeout, connect_timeout), kMinTimeout));
   client.set_connection_timeout(connect.tv_sec, connect.tv_usec);
-  client.set_read_timeout(whole.tv_sec, whole.tv_usec);
-  client.set_write_timeout(whole.tv_sec, whole.tv_usec);
+  client.set_read_timeout(io.tv_sec, io.tv_usec);
+  client.set_write_timeout(io.tv_sec, io.tv_usec);
 }
 
 // An answer must say where it ends; one that ends when the connection does may
 // have been cut off.
-bool SaysItsLength(const httplib::Response& response) {
+bool HasKnownLength(const httplib::Response& response) {
   return response.has_header("Content-Length") ||
          response.has_header("Transfer-Encoding") || response.status == 204 ||
          response.status == 304;
@@ -77,7 +77,7 @@
   const Address& address() const { return address_; }
   const Options& options() const { return options_; }
 
-  Connection Take(absl::Time now) {
+  Connection Acquire(absl::Time now) {
     {
       absl::MutexLock lock(&mutex_);
       while (!idle_.empty()) {
@@ -99,7 +99,7 @@
   void Return(Connection connection, absl::Time now) {
     connection.last_used = now;
     absl::MutexLock lock(&mutex_);
-    if (idle_.size() < options_.most_idle)
+    if (idle_.size() < options_.max_idle)
       idle_.push_back(std::move(connection));
   }
 
@@ -118,16 +118,16 @@
 HttpOutcome HttpClient::Send(const HttpRequest& request,
                              absl::Duration timeout) {
   const absl::Time start = SystemNow().mono;
-  Connection connection = pool_->Take(start);
+  Connection connection = pool_->Acquire(start);
   SetTimeouts(*connection.client, timeout, pool_->options().connect_timeout);
 
   httplib::Request out = ToLibraryRequest(request, pool_->address());
   std::string body;
-  const size_t most = pool_->options().most_body_bytes;
-  out.content_receiver = [&body, most, start, timeout](const char* data,
-                                                       size_t length, uint64_t,
-                                                       uint64_t) {
-    if (body.size() + length > most || SystemNow().mono - start > timeout)
+  const size_t body_limit = pool_->options().max_body_bytes;
+  out.content_receiver = [&body, body_limit, start, timeout](
+                             const char* data, size_t length, uint64_t,
+                             uint64_t) {
+    if (body.size() + length > body_limit || SystemNow().mono - start > timeout)
       return false;
     body.append(data, length);
     return true;
@@ -143,7 +143,7 @@
                                    httplib::to_string(result.error()));
     return outcome;
   }
-  if (!SaysItsLength(*result)) {
+  if (!HasKnownLength(*result)) {
     outcome.failure = SendFailure::kMayHaveSent;
     outcome.message = absl::StrCat(pool_->address().ToString(),
                                    ": the answer does not say where it ends");
--- a/keelbridge/transport/http_client.h
+++ b/keelbridge/transport/http_client.h
@@ -5,7 +5,7 @@
 // verdict is made from. A connection on which anything went wrong is closed and
 // never used again, so a late answer cannot reach another request.
 //
-//   HttpClient client(address, {.most_connections = 8});
+//   HttpClient client(address, {.max_connections = 8});
 //   HttpOutcome outcome = client.Send({.method = "GET", .path = "/healthz"},
 //   absl::Seconds(1)); if (outcome.response) Use(outcome.response->body);
 
@@ -42,7 +42,7 @@
   // `EventHttpClient` gives a request up once its answer has made no progress
   // for this long, however much of its time is left: no byte since the request
   // was written, or since the last one came.
-  absl::Duration silence = absl::InfiniteDuration();
+  absl::Duration progress_timeout = absl::InfiniteDuration();
 };
 
 struct HttpResponse {
@@ -70,8 +70,8 @@
 class HttpClient {
  public:
   struct Options {
-    size_t most_idle = 16;  // Connections kept open between requests.
-    size_t most_body_bytes = 16 << 20;  // A longer answer is a failure.
+    size_t max_idle = 16;  // Connections kept open between requests.
+    size_t max_body_bytes = 16 << 20;  // A longer answer is a failure.
     absl::Duration connect_timeout =
         absl::Seconds(1);  // At most; the call's own time may be less.
     absl::Duration idle_expiry =
--- a/keelbridge/transport/http_server.cc
+++ b/keelbridge/transport/http_server.cc
@@ -26,20 +26,22 @@
 // refusing threads.
 class ConnectionThreads : public httplib::TaskQueue {
  public:
-  explicit ConnectionThreads(size_t most) : most_(most) {}
+  explicit ConnectionThreads(size_t max_serving_threads)
+      : max_serving_threads_(max_serving_threads) {}
 
   void enqueue(std::function<void()> serve) override {
     absl::MutexLock lock(&mutex_);
-    if (busy_ + waiting_.size() < most_) {
+    if (busy_ + waiting_.size() < max_serving_threads_) {
       waiting_.push_back(std::move(serve));
-      if (idle_ < waiting_.size() && threads_.size() < most_) {
-        threads_.emplace_back([this] { Run(waiting_, false); });
+      if (idle_ < waiting_.size() &&
+          serving_threads_.size() < max_serving_threads_) {
+        serving_threads_.emplace_back([this] { Run(waiting_, false); });
       }
       return;
     }
     refused_.push_back(std::move(serve));
-    if (refusers_.size() < kRefusingThreads)
-      refusers_.emplace_back([this] { Run(refused_, true); });
+    if (refusing_threads_.size() < kRefusingThreads)
+      refusing_threads_.emplace_back([this] { Run(refused_, true); });
   }
 
   void shutdown() override {
@@ -47,8 +49,8 @@
       absl::MutexLock lock(&mutex_);
       stopping_ = true;
     }
-    for (std::thread& thread : threads_) thread.join();
-    for (std::thread& thread : refusers_) thread.join();
+    for (std::thread& thread : serving_threads_) thread.join();
+    for (std::thread& thread : refusing_threads_) thread.join();
   }
 
  private:
@@ -76,7 +78,7 @@
     mutex_.Unlock();
   }
 
-  const size_t most_;
+  const size_t max_serving_threads_;
   absl::Mutex mutex_;
   Queue waiting_ ABSL_GUARDED_BY(mutex_);
   Queue refused_ ABSL_GUARDED_BY(mutex_);
@@ -84,8 +86,8 @@
   size_t busy_ ABSL_GUARDED_BY(mutex_) = 0;
   bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
   // Only the accepting thread changes these.
-  std::vector<std::thread> threads_;
-  std::vector<std::thread> refusers_;
+  std::vector<std::thread> serving_threads_;
+  std::vector<std::thread> refusing_threads_;
 };
 
 ServerRequest FromLibrary(const httplib::Request& in) {
@@ -99,10 +101,10 @@
   return out;
 }
 
-void SendCutOff(const ServerResponse& in, httplib::Response& out) {
+void SendTruncated(const ServerResponse& in, httplib::Response& out) {
   const std::string body = in.body;
   out.set_content_provider(
-      body.size() + in.cut_off_bytes, in.content_type,
+      body.size() + in.truncated_bytes, in.content_type,
       [body](size_t offset, size_t, httplib::DataSink& sink) {
         if (offset >= body.size()) return false;
         return sink.write(body.data() + offset, body.size() - offset);
@@ -116,9 +118,9 @@
 }  // namespace
 
 std::string ServerRequest::Query(const std::string& key,
-                                 const std::string& otherwise) const {
+                                 const std::string& fallback) const {
   const auto it = query.find(key);
-  return it == query.end() ? otherwise : it->second;
+  return it == query.end() ? fallback : it->second;
 }
 
 class HttpServer::Impl {
@@ -135,7 +137,7 @@
     } else if (!server_.bind_to_port(options_.ip, port)) {
       return BindError();
     }
-    accepting_ = std::thread([this] { server_.listen_after_bind(); });
+    accept_thread_ = std::thread([this] { server_.listen_after_bind(); });
     while (!server_.is_running()) std::this_thread::yield();
     return port;
   }
@@ -145,7 +147,7 @@
   void Stop() {
     draining_ = true;
     server_.stop();
-    if (accepting_.joinable()) accepting_.join();
+    if (accept_thread_.joinable()) accept_thread_.join();
   }
 
  private:
@@ -166,14 +168,14 @@
       setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &kSocketReuse,
                  sizeof(kSocketReuse));
     });
-    server_.set_payload_max_length(options_.most_body_bytes);
+    server_.set_payload_max_length(options_.max_body_bytes);
     server_.set_read_timeout(read.tv_sec, read.tv_usec);
     server_.set_write_timeout(read.tv_sec, read.tv_usec);
     server_.set_keep_alive_timeout(absl::ToInt64Seconds(options_.keep_alive));
     server_.set_keep_alive_max_count(1000000);
-    const size_t most_threads = options_.most_threads;
-    server_.new_task_queue = [most_threads] {
-      return new ConnectionThreads(most_threads);
+    const size_t max_threads = options_.max_threads;
+    server_.new_task_queue = [max_threads] {
+      return new ConnectionThreads(max_threads);
     };
     server_.set_pre_routing_handler(
         [](const httplib::Request&, httplib::Response& out) {
@@ -207,8 +209,8 @@
     for (const auto& [name, value] : response.headers)
       out.set_header(name.c_str(), value);
     if (draining_) out.set_header("Connection", "close");
-    if (response.cut_off_bytes > 0) {
-      SendCutOff(response, out);
+    if (response.truncated_bytes > 0) {
+      SendTruncated(response, out);
     } else {
       out.set_content(response.body, response.content_type.c_str());
     }
@@ -217,7 +219,7 @@
   const Options options_;
   const Handler handler_;
   httplib::Server server_;
-  std::thread accepting_;
+  std::thread accept_thread_;
   std::atomic<bool> draining_{false};
 };
 
--- a/keelbridge/transport/http_server.h
+++ b/keelbridge/transport/http_server.h
@@ -34,7 +34,7 @@
 
   // The first value of `key` in the query, or `otherwise`.
   std::string Query(const std::string& key,
-                    const std::string& otherwise = "") const;
+                    const std::string& fallback = "") const;
 };
 
 struct ServerResponse {
@@ -44,7 +44,7 @@
   std::string content_type = "application/json";
   // Announce a longer body than is sent, then close. For stand-ins that cut
   // answers off.
-  size_t cut_off_bytes = 0;
+  size_t truncated_bytes = 0;
   // The connection ends with this answer.
   bool close_connection = false;
 };
@@ -54,8 +54,8 @@
   struct Options {
     std::string ip = "127.0.0.1";
     int port = 0;  // 0: the kernel picks one.
-    size_t most_threads = 64;
-    size_t most_body_bytes = 4 << 20;  // A longer body is answered with 413.
+    size_t max_threads = 64;
+    size_t max_body_bytes = 4 << 20;  // A longer body is answered with 413.
     absl::Duration read_timeout = absl::Seconds(5);
     absl::Duration keep_alive = absl::Seconds(1);
   };
--- a/keelbridge/transport/json_rpc.cc
+++ b/keelbridge/transport/json_rpc.cc
@@ -13,42 +13,42 @@
 namespace {
 
 // Longer and deeper texts are refused before the library's parser sees them.
-constexpr size_t kLongestRequest = 4 << 20;
-constexpr int kDeepestNesting = 64;
+constexpr size_t kMaxRequestBytes = 4 << 20;
+constexpr int kMaxNesting = 64;
 
-bool TooDeep(const std::string& text) {
+bool ExceedsMaxNesting(const std::string& text) {
   int depth = 0;
-  bool in_text = false;
+  bool in_string = false;
   for (size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
-    if (in_text) {
+    if (in_string) {
       if (c == '\\') ++i;
-      if (c == '"') in_text = false;
+      if (c == '"') in_string = false;
       continue;
     }
-    if (c == '"') in_text = true;
+    if (c == '"') in_string = true;
     if (c == '{' || c == '[') ++depth;
     if (c == '}' || c == ']') --depth;
-    if (depth > kDeepestNesting) return true;
+    if (depth > kMaxNesting) return true;
   }
   return false;
 }
 
-class CarrierConnector : public jsonrpc::IClientConnector {
+class TransportConnector : public jsonrpc::IClientConnector {
  public:
-  explicit CarrierConnector(const JsonRpcCarrier& carrier)
-      : carrier_(carrier) {}
+  explicit TransportConnector(const JsonRpcTransport& transport)
+      : transport_(transport) {}
 
   void SendRPCMessage(const std::string& message, std::string& result) throw(
       jsonrpc::JsonRpcException) override {
-    result = carrier_(message);
+    result = transport_(message);
     if (result.empty())
       throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_CLIENT_CONNECTOR,
                                       "no answer");
   }
 
  private:
-  const JsonRpcCarrier& carrier_;
+  const JsonRpcTransport& transport_;
 };
 
 }  // namespace
@@ -67,7 +67,7 @@
 
   std::string Dispatch(const std::string& request) const {
     std::string answer;
-    if (request.size() > kLongestRequest || TooDeep(request)) {
+    if (request.size() > kMaxRequestBytes || ExceedsMaxNesting(request)) {
       return R"({"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"request too long or too deep"}})";
     }
     protocol_->HandleRequest(request, answer);
@@ -108,9 +108,9 @@
 }
 
 JsonRpcReply CallJsonRpc(const std::string& method, const Json::Value& params,
-                         const JsonRpcCarrier& carrier) {
+                         const JsonRpcTransport& transport) {
   JsonRpcReply reply;
-  CarrierConnector connector(carrier);
+  TransportConnector connector(transport);
   jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
   try {
     client.CallMethod(method, params, reply.result);
--- a/keelbridge/transport/json_rpc.h
+++ b/keelbridge/transport/json_rpc.h
@@ -52,12 +52,12 @@
 
 // Carries a request text to a server and returns the answer text; an empty
 // answer means that none came.
-using JsonRpcCarrier = std::function<std::string(const std::string& request)>;
+using JsonRpcTransport = std::function<std::string(const std::string& request)>;
 
 // Calls `method` through `carrier`. Errors of the protocol, the method and the
 // carrier come back in the reply.
 JsonRpcReply CallJsonRpc(const std::string& method, const Json::Value& params,
-                         const JsonRpcCarrier& carrier);
+                         const JsonRpcTransport& transport);
 
 }  // namespace keelbridge
 
--- a/keelbridge/transport/read_available.h
+++ b/keelbridge/transport/read_available.h
@@ -4,8 +4,8 @@
 // is worth one turn: a message that is there whole would come in pieces, each a
 // turn later.
 //
-//   beast::error_code error = internal::ReadAtOnce(socket, buffer, parser, 64);
-//   if (!error && !parser.is_done()) ...  // The rest is not there yet.
+//   beast::error_code error = internal::ReadAvailable(socket, buffer, parser,
+//   64); if (!error && !parser.is_done()) ...  // The rest is not there yet.
 
 #ifndef KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
 #define KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
@@ -18,20 +18,20 @@
 
 namespace keelbridge::internal {
 
-// Parses what `buffer` holds and what `socket` has, in `most_reads` reads at
+// Parses what `buffer` holds and what `socket` has, in `max_reads` reads at
 // most, until the message is whole or nothing is left. No error: go on waiting
 // unless the parser is done.
 template <typename Parser>
-boost::beast::error_code ReadAtOnce(boost::asio::ip::tcp::socket& socket,
-                                    boost::beast::flat_buffer& buffer,
-                                    Parser& parser, int most_reads) {
+boost::beast::error_code ReadAvailable(boost::asio::ip::tcp::socket& socket,
+                                       boost::beast::flat_buffer& buffer,
+                                       Parser& parser, int max_reads) {
   boost::beast::error_code error;
   socket.non_blocking(true, error);
-  for (int i = 0; i < most_reads && !error && !parser.is_done(); ++i)
+  for (int i = 0; i < max_reads && !error && !parser.is_done(); ++i)
     boost::beast::http::read_some(socket, buffer, parser, error);
-  const bool nothing_there = error == boost::asio::error::would_block ||
-                             error == boost::asio::error::try_again;
-  return nothing_there ? boost::beast::error_code() : error;
+  const bool no_data_yet = error == boost::asio::error::would_block ||
+                           error == boost::asio::error::try_again;
+  return no_data_yet ? boost::beast::error_code() : error;
 }
 
 }  // namespace keelbridge::internal
--- a/keelbridge/transport/rpc_client.cc
+++ b/keelbridge/transport/rpc_client.cc
@@ -17,7 +17,7 @@
   HttpClient::Options options;
   // Calls are rare, and the other side's library wakes a hundred times a second
   // for each connection that stays open.
-  options.most_idle = 0;
+  options.max_idle = 0;
   return options;
 }
 
@@ -38,7 +38,7 @@
                                     absl::Duration timeout,
                                     const TraceContext& trace) {
   HttpOutcome outcome;
-  const JsonRpcCarrier carrier = [&](const std::string& text) {
+  const JsonRpcTransport transport = [&](const std::string& text) {
     HttpRequest request{"POST", kRpcPath, {}, text, "application/json"};
     if (trace.valid())
       request.headers.emplace_back("traceparent", trace.ToHeader());
@@ -47,11 +47,12 @@
                ? outcome.response->body
                : std::string();
   };
-  const JsonRpcReply reply = CallJsonRpc(method, params, carrier);
+  const JsonRpcReply reply = CallJsonRpc(method, params, transport);
   if (outcome.failure != SendFailure::kNone) {
-    const bool nothing = outcome.failure == SendFailure::kNothingSent;
-    return MakeError(nothing ? ErrorCode::kUnavailable : ErrorCode::kUnknown,
-                     outcome.message);
+    const bool nothing_sent = outcome.failure == SendFailure::kNothingSent;
+    return MakeError(
+        nothing_sent ? ErrorCode::kUnavailable : ErrorCode::kUnknown,
+        outcome.message);
   }
   if (outcome.response && outcome.response->status != 200) {
     return MakeError(
--- a/keelbridge/transport/rpc_frames.cc
+++ b/keelbridge/transport/rpc_frames.cc
@@ -6,8 +6,8 @@
 
 namespace keelbridge {
 
-std::string RpcCallText(int64_t id, const std::string& method,
-                        Json::Value params) {
+std::string SerializeRpcCall(int64_t id, const std::string& method,
+                             Json::Value params) {
   Json::Value out(Json::objectValue);
   out["jsonrpc"] = "2.0";
   out["id"] = Json::Int64(id);
@@ -16,19 +16,20 @@
   return ToJsonText(out);
 }
 
-RpcCall ReadRpcCall(const std::string& body) {
+RpcCall ParseRpcCall(const std::string& body) {
   const JsonDocument document = JsonDocument::Parse(body, "the call");
   const Json::Value& in = document.root();
   RpcCall call;
   call.id = in["id"];
-  call.readable = document.faults().empty() && in["method"].isString();
-  if (!call.readable) return call;
+  call.valid = document.faults().empty() && in["method"].isString();
+  if (!call.valid) return call;
   call.method = in["method"].asString();
   call.params = in["params"];
   return call;
 }
 
-std::string RpcAnswerText(const Json::Value& id, const JsonRpcReply& reply) {
+std::string SerializeRpcResponse(const Json::Value& id,
+                                 const JsonRpcReply& reply) {
   Json::Value out(Json::objectValue);
   out["jsonrpc"] = "2.0";
   out["id"] = id;
@@ -41,7 +42,7 @@
   return ToJsonText(out);
 }
 
-RpcOutcome ReadRpcAnswer(const std::string& body) {
+RpcOutcome ParseRpcResponse(const std::string& body) {
   const JsonDocument document = JsonDocument::Parse(body, "the answer");
   const Json::Value& answer = document.root();
   RpcOutcome out;
@@ -52,8 +53,9 @@
     return out;
   }
   const Json::Value& error = answer["error"];
-  const bool told = error.isObject() && error["message"].isString();
-  out.error = told ? error["message"].asString() : "the answer cannot be read";
+  const bool has_message = error.isObject() && error["message"].isString();
+  out.error =
+      has_message ? error["message"].asString() : "the answer cannot be read";
   return out;
 }
 
--- a/keelbridge/transport/rpc_frames.h
+++ b/keelbridge/transport/rpc_frames.h
@@ -1,8 +1,8 @@
 // The frames of JSON-RPC 2.0 that nodes send each other; see `event_rpc.h`.
 //
-//   const RpcCall call = ReadRpcCall(request.body);
-//   if (!call.readable) return reply(RpcAnswerText(call.id, error));
-//   const RpcOutcome outcome = ReadRpcAnswer(response.body);
+//   const RpcCall call = ParseRpcCall(request.body);
+//   if (!call.readable) return reply(SerializeRpcResponse(call.id, error));
+//   const RpcOutcome outcome = ParseRpcResponse(response.body);
 
 #ifndef KEELBRIDGE_TRANSPORT_RPC_FRAMES_H_
 #define KEELBRIDGE_TRANSPORT_RPC_FRAMES_H_
@@ -17,8 +17,8 @@
 namespace keelbridge {
 
 struct RpcCall {
-  bool readable = false;  // It names a method.
-  Json::Value id;         // Null where there is none.
+  bool valid = false;  // It names a method.
+  Json::Value id;      // Null where there is none.
   std::string method;
   Json::Value params;
 };
@@ -33,12 +33,13 @@
 };
 
 // `params` may be null.
-std::string RpcCallText(int64_t id, const std::string& method,
-                        Json::Value params);
-RpcCall ReadRpcCall(const std::string& body);
-std::string RpcAnswerText(const Json::Value& id, const JsonRpcReply& reply);
+std::string SerializeRpcCall(int64_t id, const std::string& method,
+                             Json::Value params);
+RpcCall ParseRpcCall(const std::string& body);
+std::string SerializeRpcResponse(const Json::Value& id,
+                                 const JsonRpcReply& reply);
 // Of a call that was sent. An answer that cannot be read is an error.
-RpcOutcome ReadRpcAnswer(const std::string& body);
+RpcOutcome ParseRpcResponse(const std::string& body);
 
 }  // namespace keelbridge
 
--- a/testing/capacity_benchmark.cc
+++ b/testing/capacity_benchmark.cc
@@ -42,7 +42,7 @@
   const std::string text = ConfigurationText(static_cast<int>(state.range(0)));
   for (auto _ : state) benchmark::DoNotOptimize(ParseConfiguration(text, "c"));
   const size_t before = HeapBytes();
-  const Result<Configuration> kept = ParseConfiguration(text, "c");
+  const Result<Configuration> retained = ParseConfiguration(text, "c");
   state.counters["text_KB"] = static_cast<double>(text.size()) / 1e3;
   state.counters["state_KB"] = static_cast<double>(HeapBytes() - before) / 1e3;
 }
@@ -76,10 +76,10 @@
   size_t bytes = 0;
   for (auto _ : state) {
     const std::string out = ToJsonText(ToJson(request));
-    const std::string back = ToJsonText(ToJson(reply));
-    bytes = out.size() + back.size();
+    const std::string reply_text = ToJsonText(ToJson(reply));
+    bytes = out.size() + reply_text.size();
     benchmark::DoNotOptimize(
-        HoldReplyFromJson(JsonDocument::Parse(back, "r").root()));
+        HoldReplyFromJson(JsonDocument::Parse(reply_text, "r").root()));
   }
   state.counters["bytes"] = static_cast<double>(bytes);
 }
@@ -124,7 +124,7 @@
   }
   const std::string text = zone.Snapshot();
   const size_t before = HeapBytes();
-  const Result<ZoneState> kept = ZoneState::Restore(text);
+  const Result<ZoneState> retained = ZoneState::Restore(text);
   state.counters["state_KB"] = static_cast<double>(HeapBytes() - before) / 1e3;
   for (auto _ : state) benchmark::DoNotOptimize(ZoneState::Restore(text));
   state.counters["snapshot_KB"] = static_cast<double>(text.size()) / 1e3;
--- a/testing/fakes/fake_log.cc
+++ b/testing/fakes/fake_log.cc
@@ -21,15 +21,15 @@
   }
 }
 
-LogBatch FakeLog::Read(const std::string& stream, int64_t from, size_t most,
-                       absl::Time now) {
+LogBatch FakeLog::Read(const std::string& stream, int64_t from,
+                       size_t max_records, absl::Time now) {
   Stream& s = streams_[stream];
   Expire(s, now);
   LogBatch batch;
   batch.first = s.first;
   batch.next = s.first + static_cast<int64_t>(s.records.size());
   for (int64_t at = std::max(from, s.first);
-       at < batch.next && batch.records.size() < most; ++at) {
+       at < batch.next && batch.records.size() < max_records; ++at) {
     batch.records.push_back(
         {at, s.records[static_cast<size_t>(at - s.first)].text});
   }
--- a/testing/fakes/fake_log.h
+++ b/testing/fakes/fake_log.h
@@ -20,7 +20,7 @@
       : retention_(retention) {}
 
   int64_t Append(const std::string& stream, std::string text, absl::Time now);
-  LogBatch Read(const std::string& stream, int64_t from, size_t most,
+  LogBatch Read(const std::string& stream, int64_t from, size_t max_records,
                 absl::Time now);
   // Drops the oldest records now, whatever their age.
   void DropBefore(const std::string& stream, int64_t offset);
--- a/testing/fakes/fake_worker.cc
+++ b/testing/fakes/fake_worker.cc
@@ -7,15 +7,15 @@
 
 FakeWorker::FakeWorker(Options options, uint64_t incarnation,
                        absl::Time started,
-                       std::function<void(const RunFact&)> journal)
+                       std::function<void(const RunEvent&)> journal)
     : options_(std::move(options)),
       journal_(std::move(journal)),
       incarnation_(incarnation),
       started_(started) {}
 
-std::string FakeWorker::Refusal(const std::string& holder, int64_t epoch,
-                                int64_t not_after_ms, Now now,
-                                bool needs_hold) const {
+std::string FakeWorker::RefusalReason(const std::string& holder, int64_t epoch,
+                                      int64_t not_after_ms, Now now,
+                                      bool needs_hold) const {
   if (options_.check_not_after && ToMillis(now.wall) > not_after_ms)
     return "late";
   if (!options_.check_epoch) return "";
@@ -26,7 +26,7 @@
   return "";
 }
 
-std::vector<LeaseRow> FakeWorker::Rows() const {
+std::vector<LeaseRow> FakeWorker::LeaseRows() const {
   std::vector<LeaseRow> rows;
   for (const auto& [attempt, row] : rows_) rows.push_back(row.row);
   return rows;
@@ -36,15 +36,15 @@
   Advance(now.mono);
   HoldReply reply;
   if (request.mode == HoldMode::kAcquire) {
-    reply.refusal = Refusal(request.holder, request.epoch, request.not_after_ms,
-                            now, false);
+    reply.refusal = RefusalReason(request.holder, request.epoch,
+                                  request.not_after_ms, now, false);
     reply.granted = reply.refusal.empty();
     if (reply.granted) {
       holder_ = request.holder;
       epoch_ = std::max(epoch_, request.epoch);
       hold_until_ = now.mono + request.hold_ttl;
       for (auto& [attempt, row] : rows_)
-        row.lapses = std::max(row.lapses, now.mono + request.lease_ttl);
+        row.lapse_time = std::max(row.lapse_time, now.mono + request.lease_ttl);
       for (const int64_t attempt : request.acknowledged) {
         const auto it = rows_.find(attempt);
         if (it != rows_.end() && it->second.row.state != LeaseState::kRunning)
@@ -56,10 +56,10 @@
   }
   reply.holder = holder_;
   reply.epoch = epoch_;
-  reply.hold_left = std::max(absl::ZeroDuration(), hold_until_ - now.mono);
+  reply.hold_remaining = std::max(absl::ZeroDuration(), hold_until_ - now.mono);
   reply.incarnation = incarnation_;
-  reply.up = now.mono - started_;
-  const std::vector<LeaseRow> rows = Rows();
+  reply.uptime = now.mono - started_;
+  const std::vector<LeaseRow> rows = LeaseRows();
   reply.digest = LeaseDigest(rows);
   reply.has_rows = reply.granted && reply.digest != request.known_digest;
   if (reply.has_rows) reply.rows = rows;
@@ -69,8 +69,8 @@
 CommandReply FakeWorker::Start(const StartRequest& request, Now now) {
   Advance(now.mono);
   CommandReply reply;
-  reply.refusal =
-      Refusal(request.holder, request.epoch, request.not_after_ms, now, true);
+  reply.refusal = RefusalReason(request.holder, request.epoch,
+                                request.not_after_ms, now, true);
   if (rows_.count(request.attempt) > 0) reply.refusal = "duplicate";
   if (reply.refusal.empty() && options_.check_capacity &&
       !request.resources.FitsIn(options_.total - used_)) {
@@ -82,9 +82,9 @@
              LeaseState::kRunning, request.progress_ms, ToMillis(now.wall),
              request.decision};
   row.began = now.mono;
-  row.lapses = now.mono + request.lease_ttl;
+  row.lapse_time = now.mono + request.lease_ttl;
   if (request.work > absl::ZeroDuration()) {
-    row.finishes =
+    row.finish_time =
         now.mono +
         std::max(absl::Milliseconds(1),
                  request.work - absl::Milliseconds(request.progress_ms));
@@ -100,8 +100,8 @@
 CommandReply FakeWorker::Stop(const StopRequest& request, Now now) {
   Advance(now.mono);
   CommandReply reply;
-  reply.refusal =
-      Refusal(request.holder, request.epoch, request.not_after_ms, now, true);
+  reply.refusal = RefusalReason(request.holder, request.epoch,
+                                request.not_after_ms, now, true);
   if (!reply.refusal.empty()) return reply;
   const auto it = rows_.find(request.attempt);
   if (it == rows_.end() || it->second.row.task != request.task) {
@@ -112,8 +112,8 @@
   reply.done = true;
   if (row.row.state == LeaseState::kRunning) {
     if (request.mode == StopMode::kCheckpoint) {
-      row.checkpoint_done =
-          std::min(row.checkpoint_done, now.mono + options_.checkpoint_time);
+      row.checkpoint_done_time = std::min(row.checkpoint_done_time,
+                                          now.mono + options_.checkpoint_time);
     } else if (request.mode == StopMode::kStop) {
       End(row, LeaseState::kStopped, "stopped", now.mono);
     }
@@ -142,18 +142,18 @@
       ++it;
       continue;
     }
-    const absl::Time first =
-        std::min({row.lapses, row.finishes, row.checkpoint_done});
-    if (first > mono) {
+    const absl::Time earliest =
+        std::min({row.lapse_time, row.finish_time, row.checkpoint_done_time});
+    if (earliest > mono) {
       ++it;
-    } else if (first == row.lapses) {
+    } else if (earliest == row.lapse_time) {
       // A lapsed lease leaves no row: nobody may rely on it.
-      End(row, LeaseState::kStopped, "lapsed", first);
+      End(row, LeaseState::kStopped, "lapsed", earliest);
       it = rows_.erase(it);
     } else {
-      const bool finished = first == row.finishes;
+      const bool finished = earliest == row.finish_time;
       End(row, finished ? LeaseState::kFinished : LeaseState::kCheckpointed,
-          finished ? "finished" : "checkpointed", first);
+          finished ? "finished" : "checkpointed", earliest);
       ++it;
     }
   }
--- a/testing/fakes/fake_worker.h
+++ b/testing/fakes/fake_worker.h
@@ -21,7 +21,7 @@
 namespace keelbridge::testing {
 
 // One fact of a journal: a task began or ceased to run on a worker.
-struct RunFact {
+struct RunEvent {
   absl::Time at;  // True (monotonic) time.
   std::string worker;
   std::string task;
@@ -45,7 +45,7 @@
   };
 
   FakeWorker(Options options, uint64_t incarnation, absl::Time started,
-             std::function<void(const RunFact&)> journal);
+             std::function<void(const RunEvent&)> journal);
 
   HoldReply Hold(const HoldRequest& request, Now now);
   CommandReply Start(const StartRequest& request, Now now);
@@ -62,20 +62,21 @@
  private:
   struct Row {
     LeaseRow row;
-    absl::Time lapses;
-    absl::Time finishes = absl::InfiniteFuture();
+    absl::Time lapse_time;
+    absl::Time finish_time = absl::InfiniteFuture();
     absl::Time began;
-    absl::Time checkpoint_done = absl::InfiniteFuture();
+    absl::Time checkpoint_done_time = absl::InfiniteFuture();
   };
 
   // Why a command is refused, or empty.
-  std::string Refusal(const std::string& holder, int64_t epoch,
-                      int64_t not_after_ms, Now now, bool needs_hold) const;
+  std::string RefusalReason(const std::string& holder, int64_t epoch,
+                            int64_t not_after_ms, Now now,
+                            bool needs_hold) const;
   void End(Row& row, LeaseState state, const std::string& how, absl::Time at);
-  std::vector<LeaseRow> Rows() const;
+  std::vector<LeaseRow> LeaseRows() const;
 
   const Options options_;
-  const std::function<void(const RunFact&)> journal_;
+  const std::function<void(const RunEvent&)> journal_;
   uint64_t incarnation_;
   absl::Time started_;
   std::string holder_;
--- a/testing/fakes/fakes_main.cc
+++ b/testing/fakes/fakes_main.cc
@@ -42,12 +42,13 @@
 namespace {
 
 // Rewrites addresses to this process, and leaves out workers beyond the limit.
-Json::Value Rewritten(Json::Value root, int port, int workers_per_zone) {
+Json::Value RewriteAddresses(Json::Value root, int port, int workers_per_zone) {
   const std::string base = absl::StrCat("127.0.0.1:", port);
-  std::map<std::string, int> seen;
+  std::map<std::string, int> workers_in_zone;
   Json::Value workers(Json::arrayValue);
   for (Json::Value& worker : root["workers"]) {
-    if (++seen[worker["zone"].asString()] > workers_per_zone) continue;
+    if (++workers_in_zone[worker["zone"].asString()] > workers_per_zone)
+      continue;
     worker["address"] =
         absl::StrCat(base, "/worker/", worker["name"].asString());
     workers.append(worker);
@@ -86,8 +87,8 @@
       JsonDocument::Parse(text.str(), "configuration");
   if (!absl::GetFlag(FLAGS_out).empty()) {
     std::ofstream(absl::GetFlag(FLAGS_out))
-        << ToJsonText(Rewritten(document.root(), port.value(),
-                                absl::GetFlag(FLAGS_workers_per_zone)))
+        << ToJsonText(RewriteAddresses(document.root(), port.value(),
+                                       absl::GetFlag(FLAGS_workers_per_zone)))
         << "\n";
   }
   if (!absl::GetFlag(FLAGS_ready_file).empty())
--- a/testing/fakes/fault_proxy.cc
+++ b/testing/fakes/fault_proxy.cc
@@ -15,7 +15,7 @@
 namespace {
 
 using Tcp = boost::asio::ip::tcp;
-constexpr size_t kPieceBytes = 16 << 10;
+constexpr size_t kChunkBytes = 16 << 10;
 
 }  // namespace
 
@@ -31,12 +31,12 @@
     client_.set_option(Tcp::no_delay(true), error);
     const Tcp::endpoint to(boost::asio::ip::make_address(proxy_->target_.ip),
                            static_cast<unsigned short>(proxy_->target_.port));
-    server_.async_connect(
-        to, [self = shared_from_this()](boost::system::error_code e) {
-          if (e && !self->silenced_) return self->Close(false);
-          self->Pump(self->client_, self->server_, &self->up_, false);
-          self->Pump(self->server_, self->client_, &self->down_, true);
-        });
+    server_.async_connect(to, [self = shared_from_this()](
+                                  boost::system::error_code e) {
+      if (e && !self->silenced_) return self->Close(false);
+      self->Pump(self->client_, self->server_, &self->request_buffer_, false);
+      self->Pump(self->server_, self->client_, &self->response_buffer_, true);
+    });
   }
 
   void Close(bool reset) {
@@ -45,62 +45,64 @@
       client_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
     client_.close(ignored);
     server_.close(ignored);
-    if (proxy_ != nullptr) proxy_->open_.erase(shared_from_this());
+    if (proxy_ != nullptr) proxy_->connections_.erase(shared_from_this());
   }
 
-  void Orphan() { proxy_ = nullptr; }
+  void DetachFromProxy() { proxy_ = nullptr; }
   void Silence() { silenced_ = true; }
   bool silenced() const { return silenced_; }
 
  private:
-  using Piece = std::array<char, kPieceBytes>;
+  using Chunk = std::array<char, kChunkBytes>;
 
-  void Pump(Tcp::socket& from, Tcp::socket& to, Piece* piece, bool answers) {
+  void Pump(Tcp::socket& from, Tcp::socket& to, Chunk* chunk,
+            bool is_response) {
     from.async_read_some(
-        boost::asio::buffer(*piece),
-        [self = shared_from_this(), &from, &to, piece, answers](
+        boost::asio::buffer(*chunk),
+        [self = shared_from_this(), &from, &to, chunk, is_response](
             boost::system::error_code error, size_t bytes) {
           if (self->silenced_)
-            return self->Discard(from, to, piece, answers, error);
+            return self->Discard(from, to, chunk, is_response, error);
           if (error) return self->Close(false);
-          self->Pass(from, to, piece, bytes, answers);
+          self->Forward(from, to, chunk, bytes, is_response);
         });
   }
 
   // Takes what a side of a silenced connection sends, and its end, and tells
   // the other side nothing.
-  void Discard(Tcp::socket& from, Tcp::socket& to, Piece* piece, bool answers,
-               boost::system::error_code error) {
-    if (!error && proxy_ != nullptr) return Pump(from, to, piece, answers);
+  void Discard(Tcp::socket& from, Tcp::socket& to, Chunk* chunk,
+               bool is_response, boost::system::error_code error) {
+    if (!error && proxy_ != nullptr) return Pump(from, to, chunk, is_response);
     boost::system::error_code ignored;
     from.close(ignored);
     if (!to.is_open() || proxy_ == nullptr) Close(false);
   }
 
-  void Pass(Tcp::socket& from, Tcp::socket& to, Piece* piece, size_t bytes,
-            bool answers) {
+  void Forward(Tcp::socket& from, Tcp::socket& to, Chunk* chunk, size_t bytes,
+               bool is_response) {
     if (proxy_ == nullptr) return Close(false);
     const FaultProxy::Mode mode = proxy_->mode_;
-    const bool dropped = mode == FaultProxy::Mode::kSilent ||
-                         (mode == FaultProxy::Mode::kOneWay && answers);
+    const bool dropped =
+        mode == FaultProxy::Mode::kDropAll ||
+        (mode == FaultProxy::Mode::kDropResponses && is_response);
     // What was dropped makes the rest of the connection meaningless: it stays
     // open and says nothing more.
     if (dropped) return;
     absl::Duration delay = mode == FaultProxy::Mode::kDelay
                                ? proxy_->delay_
                                : absl::ZeroDuration();
-    if (answers) delay += proxy_->TakeLink(bytes);
+    if (is_response) delay += proxy_->ReserveLinkTime(bytes);
     auto timer = std::make_shared<boost::asio::steady_timer>(
         proxy_->loop_, absl::ToChronoNanoseconds(delay));
-    timer->async_wait([self = shared_from_this(), timer, &from, &to, piece,
-                       bytes, answers](boost::system::error_code) {
-      if (self->silenced_) return self->Pump(from, to, piece, answers);
-      boost::asio::async_write(to, boost::asio::buffer(piece->data(), bytes),
-                               [self, &from, &to, piece, answers](
+    timer->async_wait([self = shared_from_this(), timer, &from, &to, chunk,
+                       bytes, is_response](boost::system::error_code) {
+      if (self->silenced_) return self->Pump(from, to, chunk, is_response);
+      boost::asio::async_write(to, boost::asio::buffer(chunk->data(), bytes),
+                               [self, &from, &to, chunk, is_response](
                                    boost::system::error_code error, size_t) {
                                  if (error && !self->silenced_)
                                    return self->Close(false);
-                                 self->Pump(from, to, piece, answers);
+                                 self->Pump(from, to, chunk, is_response);
                                });
     });
   }
@@ -108,8 +110,8 @@
   FaultProxy* proxy_;
   Tcp::socket client_;
   Tcp::socket server_;
-  Piece up_;
-  Piece down_;
+  Chunk request_buffer_;
+  Chunk response_buffer_;
   bool silenced_ = false;
 };
 
@@ -124,10 +126,10 @@
 }
 
 FaultProxy::~FaultProxy() {
-  const auto open = std::move(open_);
-  open_.clear();
+  const auto open = std::move(connections_);
+  connections_.clear();
   for (const auto& connection : open) {
-    connection->Orphan();
+    connection->DetachFromProxy();
     connection->Close(false);
   }
 }
@@ -138,7 +140,7 @@
         if (error) return;
         auto connection =
             std::make_shared<ProxiedConnection>(this, std::move(socket));
-        open_.insert(connection);
+        connections_.insert(connection);
         if (mode_ == Mode::kReset)
           connection->Close(true);
         else
@@ -147,26 +149,26 @@
       });
 }
 
-absl::Duration FaultProxy::TakeLink(size_t bytes) {
-  if (answer_rate_ <= 0) return absl::ZeroDuration();
+absl::Duration FaultProxy::ReserveLinkTime(size_t bytes) {
+  if (response_rate_ <= 0) return absl::ZeroDuration();
   const absl::Time now = SystemNow().mono;
-  link_free_ = std::max(link_free_, now) +
-               absl::Seconds(static_cast<double>(bytes) / answer_rate_);
-  return link_free_ - now;
+  link_free_at_ = std::max(link_free_at_, now) +
+                  absl::Seconds(static_cast<double>(bytes) / response_rate_);
+  return link_free_at_ - now;
 }
 
 void FaultProxy::SetMode(Mode mode, absl::Duration delay) {
   mode_ = mode;
   delay_ = delay;
-  if (mode != Mode::kReset && mode != Mode::kPass) return;
-  const auto open = open_;
+  if (mode != Mode::kReset && mode != Mode::kForward) return;
+  const auto open = connections_;
   for (const auto& connection : open) {
     if (!connection->silenced()) connection->Close(mode == Mode::kReset);
   }
 }
 
-void FaultProxy::SilenceOpen() {
-  for (const auto& connection : open_) connection->Silence();
+void FaultProxy::SilenceOpenConnections() {
+  for (const auto& connection : connections_) connection->Silence();
 }
 
 }  // namespace keelbridge::testing
--- a/testing/fakes/fault_proxy.h
+++ b/testing/fakes/fault_proxy.h
@@ -3,7 +3,7 @@
 //
 //   FaultProxy proxy(loop, store_address);
 //   settings.store = proxy.address();
-//   proxy.SetMode(FaultProxy::Mode::kSilent);
+//   proxy.SetMode(FaultProxy::Mode::kDropAll);
 
 #ifndef KEELBRIDGE_TESTING_FAKES_FAULT_PROXY_H_
 #define KEELBRIDGE_TESTING_FAKES_FAULT_PROXY_H_
@@ -24,11 +24,11 @@
 class FaultProxy {
  public:
   enum class Mode {
-    kPass,
-    kDelay,   // Each piece waits for `delay`.
-    kReset,   // Open connections are reset, new ones too.
-    kSilent,  // Nothing passes; connections stay open.
-    kOneWay,  // Requests pass, answers do not.
+    kForward,
+    kDelay,          // Each piece waits for `delay`.
+    kReset,          // Open connections are reset, new ones too.
+    kDropAll,        // Nothing passes; connections stay open.
+    kDropResponses,  // Requests pass, answers do not.
   };
 
   // Listens on `listen`; port 0: any that is free.
@@ -44,31 +44,31 @@
   void SetMode(Mode mode, absl::Duration delay = absl::Milliseconds(200));
   // Passes again and tells nobody: a connection on which something was dropped
   // stays open and says nothing more, one on which nothing was goes on.
-  void HealQuietly() { mode_ = Mode::kPass; }
+  void ResumeForwarding() { mode_ = Mode::kForward; }
   // All connections that are open now stay open and say nothing more, in either
   // direction, for good: neither a mode nor the end of one side ends the other.
   // New ones pass as the mode says.
-  void SilenceOpen();
+  void SilenceOpenConnections();
   // Answers of all connections share a link of this rate; 0: it has no bound.
-  void SetAnswerRate(double bytes_per_second) {
-    answer_rate_ = bytes_per_second;
+  void SetResponseRate(double bytes_per_second) {
+    response_rate_ = bytes_per_second;
   }
 
  private:
   friend class ProxiedConnection;
   void Accept();
   // How long a piece of an answer is on the link, behind those before it.
-  absl::Duration TakeLink(size_t bytes);
+  absl::Duration ReserveLinkTime(size_t bytes);
 
   boost::asio::io_context& loop_;
   const Address target_;
   boost::asio::ip::tcp::acceptor acceptor_;
   Address address_;
-  Mode mode_ = Mode::kPass;
+  Mode mode_ = Mode::kForward;
   absl::Duration delay_;
-  double answer_rate_ = 0;
-  absl::Time link_free_ = absl::InfinitePast();
-  std::set<std::shared_ptr<ProxiedConnection>> open_;
+  double response_rate_ = 0;
+  absl::Time link_free_at_ = absl::InfinitePast();
+  std::set<std::shared_ptr<ProxiedConnection>> connections_;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/fakes/fault_proxy_test.cc
+++ b/testing/fakes/fault_proxy_test.cc
@@ -9,18 +9,18 @@
 namespace {
 
 // A server that answers when told to, a proxy before it, and a caller.
-struct Site {
+struct ProxyFixture {
   boost::asio::io_context loop;
-  EventHttpServer::Reply waiting;
+  EventHttpServer::Reply pending_reply;
   EventHttpServer server{
       loop, Listen(),
       [this](const ServerRequest&, EventHttpServer::Reply reply) {
-        waiting = std::move(reply);
+        pending_reply = std::move(reply);
       }};
   Address target{"127.0.0.1", server.Start().value(), ""};
   FaultProxy proxy{loop, target};
   EventHttpClient client{loop, proxy.address(), EventHttpClient::Options()};
-  bool over = false;
+  bool completed = false;
   int status = 0;
 
   static EventHttpServer::Options Listen() {
@@ -29,11 +29,11 @@
     return options;
   }
   void Send() {
-    over = false;
+    completed = false;
     status = 0;
     client.Send({"GET", "/", {}, "", ""}, absl::Seconds(5),
                 [this](const HttpOutcome& outcome) {
-                  over = true;
+                  completed = true;
                   status = outcome.response ? outcome.response->status : 0;
                 });
     Run();
@@ -45,102 +45,103 @@
 };
 
 TEST_CASE("fault proxy: a call whose answer was dropped hears nothing more") {
-  Site site;
-  site.Send();
-  site.proxy.SetMode(FaultProxy::Mode::kSilent);
-  site.waiting({});
-  site.Run();
-  site.proxy.HealQuietly();
-  site.Run();
-  CHECK_FALSE(site.over);
+  ProxyFixture fixture;
+  fixture.Send();
+  fixture.proxy.SetMode(FaultProxy::Mode::kDropAll);
+  fixture.pending_reply({});
+  fixture.Run();
+  fixture.proxy.ResumeForwarding();
+  fixture.Run();
+  CHECK_FALSE(fixture.completed);
   // Another connection passes.
-  EventHttpClient other(site.loop, site.proxy.address(),
+  EventHttpClient other(fixture.loop, fixture.proxy.address(),
                         EventHttpClient::Options());
   int status = 0;
   other.Send({"GET", "/", {}, "", ""}, absl::Seconds(5),
              [&](const HttpOutcome& outcome) {
                if (outcome.response) status = outcome.response->status;
              });
-  site.Run();
-  site.waiting({});
-  site.Run();
+  fixture.Run();
+  fixture.pending_reply({});
+  fixture.Run();
   CHECK(status == 200);
-  CHECK_FALSE(site.over);
+  CHECK_FALSE(fixture.completed);
 }
 
 TEST_CASE("fault proxy: answers share the link's rate") {
-  Site site;
-  site.proxy.SetAnswerRate(100e3);
-  site.Send();
-  EventHttpServer::Reply first = std::move(site.waiting);
-  EventHttpClient other(site.loop, site.proxy.address(),
+  ProxyFixture fixture;
+  fixture.proxy.SetResponseRate(100e3);
+  fixture.Send();
+  EventHttpServer::Reply first = std::move(fixture.pending_reply);
+  EventHttpClient other(fixture.loop, fixture.proxy.address(),
                         EventHttpClient::Options());
-  bool other_over = false;
+  bool other_completed = false;
   other.Send({"GET", "/", {}, "", ""}, absl::Seconds(5),
              [&](const HttpOutcome& outcome) {
-               other_over = outcome.response.has_value();
+               other_completed = outcome.response.has_value();
              });
-  site.Run();
+  fixture.Run();
   const std::string body(20'000, 'x');  // 0.2 s.
   first({200, {}, body, "text/plain"});
-  site.waiting({200, {}, body, "text/plain"});
-  site.Run();
-  CHECK_FALSE(site.over);
-  CHECK_FALSE(other_over);
-  site.Run();
-  CHECK_FALSE((site.over && other_over));  // Both at once take 0.4 s.
-  for (int i = 0; i < 4; ++i) site.Run();
-  CHECK(site.status == 200);
-  CHECK(other_over);
+  fixture.pending_reply({200, {}, body, "text/plain"});
+  fixture.Run();
+  CHECK_FALSE(fixture.completed);
+  CHECK_FALSE(other_completed);
+  fixture.Run();
+  CHECK_FALSE(
+      (fixture.completed && other_completed));  // Both at once take 0.4 s.
+  for (int i = 0; i < 4; ++i) fixture.Run();
+  CHECK(fixture.status == 200);
+  CHECK(other_completed);
 }
 
 TEST_CASE("fault proxy: a call on which nothing was dropped goes on") {
-  Site site;
-  site.Send();
-  site.proxy.SetMode(FaultProxy::Mode::kSilent);
-  site.Run();
-  site.proxy.HealQuietly();
-  site.waiting({});
-  site.Run();
-  CHECK(site.status == 200);
+  ProxyFixture fixture;
+  fixture.Send();
+  fixture.proxy.SetMode(FaultProxy::Mode::kDropAll);
+  fixture.Run();
+  fixture.proxy.ResumeForwarding();
+  fixture.pending_reply({});
+  fixture.Run();
+  CHECK(fixture.status == 200);
 }
 
 TEST_CASE("fault proxy: what is open goes silent for good, new ones pass") {
-  Site site;
-  site.Send();
-  site.proxy.SilenceOpen();
-  site.waiting({});
-  site.Run();
-  CHECK_FALSE(site.over);
-  CHECK(site.server.Connections() == 1);
-  EventHttpClient other(site.loop, site.proxy.address(),
+  ProxyFixture fixture;
+  fixture.Send();
+  fixture.proxy.SilenceOpenConnections();
+  fixture.pending_reply({});
+  fixture.Run();
+  CHECK_FALSE(fixture.completed);
+  CHECK(fixture.server.Connections() == 1);
+  EventHttpClient other(fixture.loop, fixture.proxy.address(),
                         EventHttpClient::Options());
   int status = 0;
   other.Send({"GET", "/", {}, "", ""}, absl::Seconds(5),
              [&](const HttpOutcome& outcome) {
                if (outcome.response) status = outcome.response->status;
              });
-  site.Run();
-  site.waiting({});
-  site.Run();
+  fixture.Run();
+  fixture.pending_reply({});
+  fixture.Run();
   CHECK(status == 200);
   // No mode ends the silence.
-  site.waiting = nullptr;
-  site.proxy.SetMode(FaultProxy::Mode::kReset);
-  site.Run();
-  CHECK_FALSE(site.over);
-  CHECK(site.server.Connections() == 1);
+  fixture.pending_reply = nullptr;
+  fixture.proxy.SetMode(FaultProxy::Mode::kReset);
+  fixture.Run();
+  CHECK_FALSE(fixture.completed);
+  CHECK(fixture.server.Connections() == 1);
 }
 
 TEST_CASE("fault proxy: passing again ends what is open") {
-  Site site;
-  site.Send();
-  site.proxy.SetMode(FaultProxy::Mode::kSilent);
-  site.Run();
-  site.proxy.SetMode(FaultProxy::Mode::kPass);
-  site.Run();
-  CHECK(site.over);
-  CHECK(site.status == 0);
+  ProxyFixture fixture;
+  fixture.Send();
+  fixture.proxy.SetMode(FaultProxy::Mode::kDropAll);
+  fixture.Run();
+  fixture.proxy.SetMode(FaultProxy::Mode::kForward);
+  fixture.Run();
+  CHECK(fixture.completed);
+  CHECK(fixture.status == 0);
 }
 
 }  // namespace
--- a/testing/fakes/foreign_entries.cc
+++ b/testing/fakes/foreign_entries.cc
@@ -10,7 +10,7 @@
 namespace keelbridge::testing {
 namespace {
 
-Json::Value Whole(const std::string& service, const std::string& address) {
+Json::Value ValidEntry(const std::string& service, const std::string& address) {
   Json::Value out(Json::objectValue);
   out["service"] = service;
   out["machine"] = "m-" + service;
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-std::string WorkerEntry(const std::string& service,
-                        const std::string& address) {
-  return ToJsonText(Whole(service, address));
+std::string ValidWorkerEntry(const std::string& service,
+                             const std::string& address) {
+  return ToJsonText(ValidEntry(service, address));
 }
 
 std::vector<ForeignEntry> ForeignEntries(const std::string& service,
@@ -42,34 +42,36 @@
   const auto add = [&out](const std::string& document) {
     out.push_back({absl::StrCat("foreign-", out.size()), document});
   };
-  const auto changed = [&](const std::function<void(Json::Value&)>& change) {
-    Json::Value entry = Whole(service, address);
-    change(entry);
-    add(ToJsonText(entry));
-  };
+  const auto add_modified =
+      [&](const std::function<void(Json::Value&)>& modify) {
+        Json::Value entry = ValidEntry(service, address);
+        modify(entry);
+        add(ToJsonText(entry));
+      };
   for (const char* field :
        {"service", "address", "zone", "state", "capacity", "labels"}) {
-    changed([&](Json::Value& entry) { entry.removeMember(field); });
-    changed([&](Json::Value& entry) { entry[field] = 7; });
-    changed([&](Json::Value& entry) { entry[field] = Json::Value(); });
-    changed([&](Json::Value& entry) {
+    add_modified([&](Json::Value& entry) { entry.removeMember(field); });
+    add_modified([&](Json::Value& entry) { entry[field] = 7; });
+    add_modified([&](Json::Value& entry) { entry[field] = Json::Value(); });
+    add_modified([&](Json::Value& entry) {
       entry[field] = Json::Value(Json::objectValue);
     });
   }
-  changed([](Json::Value& entry) { entry["state"] = "wobbly"; });
-  changed([](Json::Value& entry) { entry["service"] = "unheard-of"; });
-  changed([](Json::Value& entry) { entry["capacity"]["cpu"] = true; });
-  changed([](Json::Value& entry) { entry["capacity"]["cpu"] = -64000; });
-  changed([](Json::Value& entry) { entry["capacity"]["cpu"] = 2000000000; });
-  changed([](Json::Value& entry) { entry["labels"] = "a"; });
-  changed([](Json::Value& entry) { entry["slots"] = "eight"; });
-  const std::string whole = WorkerEntry(service, address);
+  add_modified([](Json::Value& entry) { entry["state"] = "wobbly"; });
+  add_modified([](Json::Value& entry) { entry["service"] = "unheard-of"; });
+  add_modified([](Json::Value& entry) { entry["capacity"]["cpu"] = true; });
+  add_modified([](Json::Value& entry) { entry["capacity"]["cpu"] = -64000; });
+  add_modified(
+      [](Json::Value& entry) { entry["capacity"]["cpu"] = 2000000000; });
+  add_modified([](Json::Value& entry) { entry["labels"] = "a"; });
+  add_modified([](Json::Value& entry) { entry["slots"] = "eight"; });
+  const std::string valid_entry = ValidWorkerEntry(service, address);
   add("{}");
   add("[]");
   add("null");
   add(std::string("\x00\xff\xfe", 3));
-  add(whole.substr(0, whole.size() / 2));
-  add(whole + "\xff");
+  add(valid_entry.substr(0, valid_entry.size() / 2));
+  add(valid_entry + "\xff");
   add(std::string(4000, '['));
   return out;
 }
--- a/testing/fakes/foreign_entries.h
+++ b/testing/fakes/foreign_entries.h
@@ -18,7 +18,8 @@
 };
 
 // The entry of a worker with room, of `service`, as a worker writes it.
-std::string WorkerEntry(const std::string& service, const std::string& address);
+std::string ValidWorkerEntry(const std::string& service,
+                             const std::string& address);
 
 // One of each kind: a field missing, of another type or out of range, a state
 // or service that nobody knows, bytes that are no record. Where they tell an
--- a/testing/fakes/memory_store.cc
+++ b/testing/fakes/memory_store.cc
@@ -25,8 +25,9 @@
     if (order.writer->epoch > writer.epoch)
       writer = Writer{order.writer->epoch, -1};
     if (!order.records.empty()) {
-      if (order.writer->sequence <= writer.last) return reply;  // Again.
-      writer.last = order.writer->sequence;
+      if (order.writer->sequence <= writer.last_sequence)
+        return reply;  // Again.
+      writer.last_sequence = order.writer->sequence;
     }
   }
   for (Record record : order.records) {
@@ -64,7 +65,7 @@
   reply.end = static_cast<int64_t>(log->second.records.size());
   const auto& newest = log->second.newest;
   for (auto it = newest.upper_bound(after_key); it != newest.end(); ++it) {
-    if (reply.records.size() >= kPage) {
+    if (reply.records.size() >= kPageSize) {
       reply.more = true;
       break;
     }
@@ -75,14 +76,14 @@
 
 template <typename Reply>
 void MemoryStoreConnection::Answer(absl::Duration timeout,
-                                   const std::function<Reply()>& act,
+                                   const std::function<Reply()>& operation,
                                    std::function<void(Reply)> done) {
-  if (silent_) {
+  if (unresponsive_) {
     RunAfter(store_.loop(), timeout, [done] { done(Reply()); });
     return;
   }
-  boost::asio::post(store_.loop(),
-                    [reply = act(), done = std::move(done)] { done(reply); });
+  boost::asio::post(store_.loop(), [reply = operation(),
+                                    done = std::move(done)] { done(reply); });
 }
 
 void MemoryStoreConnection::Append(const AppendOrder& order,
@@ -93,7 +94,7 @@
 }
 
 void MemoryStoreConnection::Read(Stream stream, int64_t from,
-                                 absl::Duration wait, Patience patience,
+                                 absl::Duration wait, ReadTimeout patience,
                                  std::function<void(ReadReply)> done) {
   (void)wait;
   Answer<ReadReply>(
@@ -102,7 +103,7 @@
 }
 
 void MemoryStoreConnection::Newest(Stream stream, const std::string& after_key,
-                                   Patience patience,
+                                   ReadTimeout patience,
                                    std::function<void(NewestReply)> done) {
   Answer<NewestReply>(
       patience.total, [&] { return store_.Newest(stream, after_key); },
--- a/testing/fakes/memory_store.h
+++ b/testing/fakes/memory_store.h
@@ -4,7 +4,7 @@
 //
 //   MemoryStore store(loop);
 //   MemoryStoreConnection node_a(store);
-//   node_a.SetSilent(true);  // Its calls get no answer and are not done.
+//   node_a.SetUnresponsive(true);  // Its calls get no answer and are not done.
 
 #ifndef KEELBRIDGE_TESTING_FAKES_MEMORY_STORE_H_
 #define KEELBRIDGE_TESTING_FAKES_MEMORY_STORE_H_
@@ -23,7 +23,7 @@
 class MemoryStore {
  public:
   // Records in one answer of `Newest`.
-  static constexpr size_t kPage = 3;
+  static constexpr size_t kPageSize = 3;
 
   explicit MemoryStore(boost::asio::io_context& loop) : loop_(loop) {}
 
@@ -35,7 +35,7 @@
  private:
   struct Writer {
     int64_t epoch = -1;
-    int64_t last = -1;  // Sequence.
+    int64_t last_sequence = -1;  // Sequence.
   };
   struct Log {
     std::vector<Record> records;
@@ -51,23 +51,23 @@
  public:
   explicit MemoryStoreConnection(MemoryStore& store) : store_(store) {}
 
-  void SetSilent(bool silent) { silent_ = silent; }
+  void SetUnresponsive(bool unresponsive) { unresponsive_ = unresponsive; }
 
   void Append(const AppendOrder& order, absl::Duration timeout,
               std::function<void(AppendReply)> done) override;
-  void Read(Stream stream, int64_t from, absl::Duration wait, Patience patience,
-            std::function<void(ReadReply)> done) override;
-  void Newest(Stream stream, const std::string& after_key, Patience patience,
+  void Read(Stream stream, int64_t from, absl::Duration wait,
+            ReadTimeout patience, std::function<void(ReadReply)> done) override;
+  void Newest(Stream stream, const std::string& after_key, ReadTimeout patience,
               std::function<void(NewestReply)> done) override;
 
  private:
   // Calls `done` with `reply` from the loop, or with no answer after `timeout`.
   template <typename Reply>
-  void Answer(absl::Duration timeout, const std::function<Reply()>& act,
+  void Answer(absl::Duration timeout, const std::function<Reply()>& operation,
               std::function<void(Reply)> done);
 
   MemoryStore& store_;
-  bool silent_ = false;
+  bool unresponsive_ = false;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/fakes/platform_server.cc
+++ b/testing/fakes/platform_server.cc
@@ -16,19 +16,19 @@
 
 // How long a part that is down keeps its caller waiting before the connection
 // is cut.
-constexpr absl::Duration kDownWait = absl::Milliseconds(300);
-constexpr size_t kMostRead = 1000;
-constexpr size_t kCutOffBytes = 64;
+constexpr absl::Duration kDownDelay = absl::Milliseconds(300);
+constexpr size_t kMaxReadRecords = 1000;
+constexpr size_t kTruncatedBytes = 64;
 
-ServerResponse JsonAnswer(const Json::Value& value, int status = 200) {
+ServerResponse JsonResponse(const Json::Value& value, int status = 200) {
   return {status, {}, ToJsonText(value)};
 }
 
 // An answer that never arrives whole: the caller cannot tell what happened.
-ServerResponse NoAnswer() {
+ServerResponse TruncatedResponse() {
   ServerResponse response{200, {}, "", "application/json"};
   response.body = "{";
-  response.cut_off_bytes = kCutOffBytes;
+  response.truncated_bytes = kTruncatedBytes;
   return response;
 }
 
@@ -36,7 +36,7 @@
   return JsonDocument::Parse(body, "request").root();
 }
 
-int64_t ToInt(const std::string& text) {
+int64_t ParseIntOrZero(const std::string& text) {
   int64_t out = 0;
   return absl::SimpleAtoi(text, &out) ? out : 0;
 }
@@ -58,7 +58,7 @@
     options.name = worker.name;
     options.total = worker.resources;
     const auto journal =
-        [this](const RunFact& fact) ABSL_NO_THREAD_SAFETY_ANALYSIS {
+        [this](const RunEvent& fact) ABSL_NO_THREAD_SAFETY_ANALYSIS {
           Json::Value line;
           line["kind"] = "run";
           line["at_ms"] = static_cast<Json::Int64>(ToMillis(fact.at));
@@ -67,7 +67,7 @@
           line["task"] = fact.task;
           line["attempt"] = static_cast<Json::Int64>(fact.attempt);
           line["how"] = fact.how;
-          Note(line);
+          AddToJournal(line);
         };
     workers_[worker.name] = std::make_unique<FakeWorker>(
         options, RandomId() >> 1, SystemNow().mono, journal);
@@ -80,7 +80,7 @@
   HttpServer::Options options;
   options.ip = options_.ip;
   options.port = options_.port;
-  options.most_threads = options_.most_threads;
+  options.max_threads = options_.max_threads;
   options.keep_alive = absl::Seconds(5);
   server_ = std::make_unique<HttpServer>(
       options,
@@ -116,13 +116,13 @@
   return log_.appends();
 }
 
-Faults PlatformServer::FaultsOf(const std::string& part) const {
+Faults PlatformServer::FaultsFor(const std::string& part) const {
   absl::MutexLock lock(&mutex_);
   const auto it = faults_.find(part);
   return it == faults_.end() ? Faults() : it->second;
 }
 
-void PlatformServer::Note(const Json::Value& line) {
+void PlatformServer::AddToJournal(const Json::Value& line) {
   journal_.push_back(ToJsonText(line));
 }
 
@@ -133,11 +133,11 @@
       path[0] == "worker" || path[0] == "runner"
           ? absl::StrCat(path[0], "/", path.size() > 1 ? path[1] : "")
           : path[0];
-  const Faults faults = FaultsOf(part);
+  const Faults faults = FaultsFor(part);
   if (faults.delay_ms > 0) absl::SleepFor(absl::Milliseconds(faults.delay_ms));
   if (faults.down) {
-    absl::SleepFor(kDownWait);
-    return NoAnswer();
+    absl::SleepFor(kDownDelay);
+    return TruncatedResponse();
   }
   ServerResponse response{404, {}, "no such stand-in\n", "text/plain"};
   if (path[0] == "log") {
@@ -156,7 +156,7 @@
   } else if (path[0] == "runner" && path.size() == 3) {
     response = HandleRunner(path[1], path[2], request);
   }
-  return faults.lose_answers ? NoAnswer() : response;
+  return faults.lose_answers ? TruncatedResponse() : response;
 }
 
 ServerResponse PlatformServer::HandleLog(const ServerRequest& request) {
@@ -167,18 +167,19 @@
     const absl::Time now = SystemNow().mono;
     if (request.path == "/log/append") {
       next_append_ = std::max(next_append_, now) +
-                     absl::Seconds(1 / options_.appends_a_second);
+                     absl::Seconds(1 / options_.max_appends_per_second);
       wait_until = next_append_;
       out["offset"] = static_cast<Json::Int64>(
           log_.Append(request.Query("stream"), request.body, now));
     } else {
       out = ToJson(log_.Read(request.Query("stream"),
-                             ToInt(request.Query("from")), kMostRead, now));
+                             ParseIntOrZero(request.Query("from")),
+                             kMaxReadRecords, now));
     }
   }
   const absl::Duration wait = wait_until - SystemNow().mono;
   if (wait > absl::ZeroDuration()) absl::SleepFor(wait);
-  return JsonAnswer(out);
+  return JsonResponse(out);
 }
 
 ServerResponse PlatformServer::HandleHosts() {
@@ -189,7 +190,7 @@
     if (SystemNow().mono - since >= options_.host_list_lag)
       out["leaving"].append(host);
   }
-  return JsonAnswer(out);
+  return JsonResponse(out);
 }
 
 ServerResponse PlatformServer::HandleWorker(const std::string& name,
@@ -202,11 +203,11 @@
   FakeWorker& worker = *it->second;
   const Now now = SystemNow();
   if (verb == "hold")
-    return JsonAnswer(ToJson(worker.Hold(HoldRequestFromJson(in), now)));
+    return JsonResponse(ToJson(worker.Hold(HoldRequestFromJson(in), now)));
   if (verb == "start")
-    return JsonAnswer(ToJson(worker.Start(StartRequestFromJson(in), now)));
+    return JsonResponse(ToJson(worker.Start(StartRequestFromJson(in), now)));
   if (verb == "stop")
-    return JsonAnswer(ToJson(worker.Stop(StopRequestFromJson(in), now)));
+    return JsonResponse(ToJson(worker.Stop(StopRequestFromJson(in), now)));
   return {404, {}, "hold, start or stop\n", "text/plain"};
 }
 
@@ -215,7 +216,7 @@
                                             const ServerRequest& request) {
   const std::string id = FindHeader(request.headers, kRequestIdHeader);
   const std::string attempt = FindHeader(request.headers, kAttemptHeader);
-  const Faults faults = FaultsOf("runner/" + name);
+  const Faults faults = FaultsFor("runner/" + name);
   {
     absl::MutexLock lock(&mutex_);
     Runner& runner = runners_[name];
@@ -225,7 +226,7 @@
       line["id"] = id;
       line["attempt"] = attempt;
       line["runner"] = name;
-      Note(line);
+      AddToJournal(line);
       ServerResponse refusal{
           503,
           {{kVerdictHeader, VerdictName(Verdict::kDidNotRun)}},
@@ -233,7 +234,7 @@
           "text/plain"};
       return refusal;
     }
-    runner.most_busy = std::max(runner.most_busy, ++runner.busy);
+    runner.max_busy = std::max(runner.max_busy, ++runner.busy);
     Json::Value line;
     line["kind"] = "request";
     line["id"] = id;
@@ -243,7 +244,7 @@
     line["path"] = path;
     line["busy"] = static_cast<Json::Int64>(runner.busy);
     line["at_ms"] = static_cast<Json::Int64>(ToMillis(SystemNow().mono));
-    Note(line);
+    AddToJournal(line);
   }
   absl::SleepFor(absl::Milliseconds(options_.runner_work_ms));
   {
@@ -256,7 +257,7 @@
                           "text/plain"};
   response.body = absl::StrCat("answer of ", name, " to ", path, " for ", id,
                                "\n", request.body);
-  if (faults.cut_off) response.cut_off_bytes = kCutOffBytes;
+  if (faults.cut_off) response.truncated_bytes = kTruncatedBytes;
   return response;
 }
 
@@ -264,7 +265,7 @@
   const Json::Value in = ParseBody(request.body);
   if (in.isMember("leaving")) {
     SetLeaving(in["leaving"].asString(), in.get("is", true).asBool());
-    return JsonAnswer(Json::Value("ok"));
+    return JsonResponse(Json::Value("ok"));
   }
   Faults faults;
   faults.down = in["down"].asBool();
@@ -273,7 +274,7 @@
   faults.refuse = in["refuse"].asBool();
   faults.delay_ms = in["delay_ms"].asInt64();
   SetFaults(in["part"].asString(), faults);
-  return JsonAnswer(Json::Value("ok"));
+  return JsonResponse(Json::Value("ok"));
 }
 
 }  // namespace keelbridge::testing
--- a/testing/fakes/platform_server.h
+++ b/testing/fakes/platform_server.h
@@ -45,10 +45,10 @@
   struct Options {
     std::string ip = "127.0.0.1";
     int port = 0;
-    size_t most_threads = 400;
+    size_t max_threads = 400;
     absl::Duration host_list_lag = absl::Seconds(1);
     absl::Duration log_retention = absl::Hours(1);
-    double appends_a_second = 100;
+    double max_appends_per_second = 100;
     int64_t runner_work_ms = 2;  // What a runner takes for a request.
   };
 
@@ -72,7 +72,7 @@
   struct Runner {
     int64_t slots = 0;
     int64_t busy = 0;
-    int64_t most_busy = 0;
+    int64_t max_busy = 0;
   };
 
   ServerResponse Handle(const ServerRequest& request);
@@ -83,8 +83,8 @@
                               const ServerRequest& request);
   ServerResponse HandleControl(const ServerRequest& request);
   ServerResponse HandleHosts();
-  Faults FaultsOf(const std::string& part) const;
-  void Note(const Json::Value& line);
+  Faults FaultsFor(const std::string& part) const;
+  void AddToJournal(const Json::Value& line);
 
   const Options options_;
   mutable absl::Mutex mutex_;
--- a/testing/fakes/site_fakes_main.cc
+++ b/testing/fakes/site_fakes_main.cc
@@ -20,7 +20,7 @@
 ABSL_FLAG(std::string, ready_file, "", "written once it serves");
 
 // What the users' store takes in one call.
-constexpr size_t kMostAppendBytes = 2 << 20;
+constexpr size_t kMaxAppendBytes = 2 << 20;
 
 int main(int argc, char** argv) {
   absl::ParseCommandLine(argc, argv);
@@ -29,7 +29,7 @@
   options.workers = absl::GetFlag(FLAGS_workers);
   options.capacity.cpu_milli = absl::GetFlag(FLAGS_cpu_milli);
   keelbridge::testing::SitePlatform platform(loop, options);
-  platform.store().SetMostAppendBytes(kMostAppendBytes);
+  platform.store().SetMaxAppendBytes(kMaxAppendBytes);
   platform.PublishConfiguration(1);
   std::ofstream(absl::GetFlag(FLAGS_ready_file))
       << "{\"store\": \"" << platform.store_address().ToString()
--- a/testing/fakes/site_platform.cc
+++ b/testing/fakes/site_platform.cc
@@ -14,33 +14,34 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr absl::Duration kAdvanceEvery = absl::Milliseconds(10);
-constexpr int kBeatEvery = 50;  // Advances between two records of a worker.
-constexpr char kLifeHeader[] = "X-Keelbridge-Expected-Instance";
+constexpr absl::Duration kAdvanceInterval = absl::Milliseconds(10);
+constexpr int kHeartbeatTicks =
+    50;  // Advances between two records of a worker.
+constexpr char kInstanceHeader[] = "X-Keelbridge-Expected-Instance";
 // Of a task that crashes its worker: how long after its start, and when the
 // next life comes.
-constexpr absl::Duration kCrashAfter = absl::Milliseconds(10);
-constexpr absl::Duration kCrashedFor = absl::Seconds(3);
+constexpr absl::Duration kCrashDelay = absl::Milliseconds(10);
+constexpr absl::Duration kCrashDownTime = absl::Seconds(3);
 // After so many crashes so many starts are taken for an endless repeat.
-constexpr int kCrashesCounted = 3;
-constexpr int kStartsTooMany = 3;
+constexpr int kExcusedCrashes = 3;
+constexpr int kEndlessRepeatStarts = 3;
 // A capacity that has shrunk counts after this.
-constexpr absl::Duration kCapacityCounts = absl::Milliseconds(3500);
+constexpr absl::Duration kCapacityGrace = absl::Milliseconds(3500);
 // Of an order that is carried out late.
-constexpr absl::Duration kLateAtLeast = absl::Seconds(1);
-constexpr absl::Duration kLateSpread = absl::Seconds(3);
-constexpr absl::Duration kGangPatience = absl::Seconds(3);
+constexpr absl::Duration kMinLateDelay = absl::Seconds(1);
+constexpr absl::Duration kLateDelayRange = absl::Seconds(3);
+constexpr absl::Duration kGangTimeout = absl::Seconds(3);
 
 Json::Value Parse(const std::string& text) {
   return JsonDocument::Parse(text, "body").root();
 }
 
-ServerResponse Answer(int status, const Json::Value& body) {
+ServerResponse JsonResponse(int status, const Json::Value& body) {
   return {status, {}, ToJsonText(body), "application/json"};
 }
 
 // What the payload says of a task's step.
-SiteRunPlan PlanOf(const StartOrder& order, double draw) {
+SiteRunPlan MakeRunPlan(const StartOrder& order, double draw) {
   SiteRunPlan plan;
   const Json::Value steps = Parse("{\"steps\":" + order.payload + "}")["steps"];
   const Json::Value& step =
@@ -52,13 +53,13 @@
   return plan;
 }
 
-bool CrashesItsWorker(const StartOrder& order) {
+bool CrashesWorker(const StartOrder& order) {
   const Json::Value steps = Parse("{\"steps\":" + order.payload + "}")["steps"];
   const auto step = static_cast<Json::ArrayIndex>(order.task.step);
   return steps[step]["crashes"].asBool();
 }
 
-const char* ReasonOf(OrderResult result) {
+const char* RefusalReason(OrderResult result) {
   switch (result) {
     case OrderResult::kFenced:
       return "fence";
@@ -74,9 +75,9 @@
 ServerResponse OrderAnswer(const OrderReply& reply) {
   Json::Value body(Json::objectValue);
   body["clockMs"] = Json::Int64(reply.clock_ms);
-  if (reply.result == OrderResult::kDone) return Answer(200, body);
-  body["reason"] = ReasonOf(reply.result);
-  return Answer(409, body);
+  if (reply.result == OrderResult::kDone) return JsonResponse(200, body);
+  body["reason"] = RefusalReason(reply.result);
+  return JsonResponse(409, body);
 }
 
 }  // namespace
@@ -103,9 +104,9 @@
                                                  EventHttpServer::Reply reply) {
       HandleWorker(i, request, std::move(reply));
     });
-    StartLife(i, /*again=*/false);
+    StartIncarnation(i, /*again=*/false);
   }
-  Arm();
+  ScheduleAdvance();
 }
 
 Address SitePlatform::Serve(std::unique_ptr<EventHttpServer>* server,
@@ -113,37 +114,38 @@
   EventHttpServer::Options options;
   options.listen = Address{"127.0.0.1", 0, ""};
   options.idle_timeout = absl::Seconds(60);
-  options.most_body_bytes = 4 << 20;
+  options.max_body_bytes = 4 << 20;
   *server =
       std::make_unique<EventHttpServer>(loop_, options, std::move(handler));
   auto port = (*server)->Start();
   return Address{"127.0.0.1", port ? port.value() : 0, ""};
 }
 
-void SitePlatform::StartLife(int index, bool again) {
+void SitePlatform::StartIncarnation(int index, bool keep_id) {
   Slot& slot = slots_[static_cast<size_t>(index)];
-  if (!again) slot.name = absl::StrCat("i-", index, "-", slot.names++);
-  if (again) slot.proxy->SetMode(FaultProxy::Mode::kPass);
-  slot.born_ms = std::max(slot.born_ms + 1, ToMillis(SystemNow().wall));
+  if (!keep_id) slot.name = absl::StrCat("i-", index, "-", slot.name_count++);
+  if (keep_id) slot.proxy->SetMode(FaultProxy::Mode::kForward);
+  slot.start_time_ms =
+      std::max(slot.start_time_ms + 1, ToMillis(SystemNow().wall));
   SiteWorker::Options options;
-  options.record.id = WorkerLifeId({slot.name, slot.born_ms});
+  options.record.id = WorkerIncarnationId({slot.name, slot.start_time_ms});
   options.record.machine = absl::StrCat("m-", index);
   options.record.zone = absl::StrCat("zone-", index % 3);
   options.record.capacity = options_.capacity;
-  slot.counted = options_.capacity;
-  options.longest_lease = options_.longest_lease;
-  slot.life = std::make_unique<SiteWorker>(
+  slot.capacity_limit = options_.capacity;
+  options.max_lease = options_.max_lease;
+  slot.incarnation = std::make_unique<SiteWorker>(
       options,
       [this](const StartOrder& order) {
         const SiteRunPlan plan =
-            PlanOf(order, std::uniform_real_distribution<>(0, 1)(random_));
+            MakeRunPlan(order, std::uniform_real_distribution<>(0, 1)(random_));
         TaskId step = order.task;
         step.index = 0;
         gang_size_[step] = plan.gang;
-        if (CrashesItsWorker(order)) crashing_[order.task];
+        if (CrashesWorker(order)) crash_counts_[order.task];
         return plan;
       },
-      [this](const SiteRun& run, bool begins) { Journal(run, begins); },
+      [this](const SiteRun& run, bool begins) { RecordRun(run, begins); },
       SystemNow().mono);
 }
 
@@ -158,7 +160,7 @@
   route["pathPrefix"] = kSitePrefix;
   route["service"] = "desk";
   route["priority"] = 0;
-  route["maxAttempts"] = options_.most_attempts;
+  route["maxAttempts"] = options_.max_attempts;
   route["stretch"] = 2.0;
   route["targetLatencyMs"] = 500;
   if (options_.advice) {
@@ -179,11 +181,11 @@
   store_.Put("keyed.op", "config", ToJsonText(out));
 }
 
-void SitePlatform::Journal(const SiteRun& run, bool begins) {
+void SitePlatform::RecordRun(const SiteRun& run, bool begins) {
   const std::string name =
       absl::StrCat(TaskIdText(run.task), " run ", run.run, " on ", run.worker);
   if (!begins) {
-    if (run.end == RunEnd::kDone) done_by_[run.task] = run.worker;
+    if (run.end == RunEnd::kDone) completed_on_[run.task] = run.worker;
     for (SiteRun& known : runs_) {
       if (known.task == run.task && known.run == run.run &&
           known.worker == run.worker)
@@ -193,104 +195,109 @@
   }
   Resources used;
   for (const Slot& slot : slots_) {
-    for (const auto& [key, other] : slot.life->running()) {
+    for (const auto& [key, other] : slot.incarnation->running()) {
       if (other.worker == run.worker) used += other.need;
-      const bool same = key.first == run.task;
-      if (same && (other.worker != run.worker || key.second != run.run))
+      const bool same_task = key.first == run.task;
+      if (same_task && (other.worker != run.worker || key.second != run.run))
         faults_.push_back(
             absl::StrCat("TWICE: ", name, " beside ", other.worker));
     }
   }
-  if (!used.FitsIn(SlotOf(run.worker)->counted))
+  if (!used.FitsIn(FindSlot(run.worker)->capacity_limit))
     faults_.push_back(absl::StrCat("LIMIT: ", name));
-  if (done_by_.count(run.task) > 0)
+  if (completed_on_.count(run.task) > 0)
     faults_.push_back(absl::StrCat("TWICE: ", name, " after it was done on ",
-                                   done_by_[run.task]));
+                                   completed_on_[run.task]));
   runs_.push_back(run);
-  if (crashing_.count(run.task) > 0) CrashUnder(run);
+  if (crash_counts_.count(run.task) > 0) ScheduleCrash(run);
 }
 
-SitePlatform::Slot* SitePlatform::SlotOf(const std::string& worker) {
-  const auto found = std::find_if(
-      slots_.begin(), slots_.end(),
-      [&](const Slot& slot) { return slot.life->record().id == worker; });
+SitePlatform::Slot* SitePlatform::FindSlot(const std::string& worker) {
+  const auto found =
+      std::find_if(slots_.begin(), slots_.end(), [&](const Slot& slot) {
+        return slot.incarnation->record().id == worker;
+      });
   return found == slots_.end() ? nullptr : &*found;
 }
 
-void SitePlatform::CrashUnder(const SiteRun& run) {
-  Crashes& crashes = crashing_[run.task];
-  if (crashes.workers >= kCrashesCounted &&
-      ++crashes.starts_after >= kStartsTooMany)
+void SitePlatform::ScheduleCrash(const SiteRun& run) {
+  CrashCount& crashes = crash_counts_[run.task];
+  if (crashes.workers >= kExcusedCrashes &&
+      ++crashes.starts_after_excused >= kEndlessRepeatStarts)
     faults_.push_back(absl::StrCat("BUDGET: ", TaskIdText(run.task), " run ",
                                    run.run, " after ", crashes.workers,
                                    " crashes"));
-  After(kCrashAfter, [this, run] {
-    Slot* slot = SlotOf(run.worker);
-    if (slot == nullptr || !slot->life->alive() ||
-        slot->life->running().count({run.task, run.run}) == 0)
+  RunAfter(kCrashDelay, [this, run] {
+    Slot* slot = FindSlot(run.worker);
+    if (slot == nullptr || !slot->incarnation->alive() ||
+        slot->incarnation->running().count({run.task, run.run}) == 0)
       return;
-    ++crashing_[run.task].workers;
-    EndLife(static_cast<int>(slot - slots_.data()), kCrashedFor,
-            options_.crashed_keep_id);
+    ++crash_counts_[run.task].workers;
+    EndIncarnation(static_cast<int>(slot - slots_.data()), kCrashDownTime,
+                   options_.keep_id_after_crash);
   });
 }
 
 void SitePlatform::HandleWorker(int index, const ServerRequest& request,
                                 EventHttpServer::Reply reply) {
   Slot& slot = slots_[static_cast<size_t>(index)];
-  SiteWorker& life = *slot.life;
-  if (!life.alive()) {
+  SiteWorker& incarnation = *slot.incarnation;
+  if (!incarnation.alive()) {
     unanswered_.push_back(std::move(reply));
     return;
   }
-  const std::string expected = FindHeader(request.headers, kLifeHeader);
+  const std::string expected = FindHeader(request.headers, kInstanceHeader);
   if (!expected.empty() && expected != slot.name)
-    return reply(Answer(421, Json::Value(Json::objectValue)));
-  const bool lost = Draw() < lost_orders_;
-  const bool late = late_orders_ > 0 && Draw() < late_orders_;
+    return reply(JsonResponse(421, Json::Value(Json::objectValue)));
+  const bool lost = RandomFraction() < lost_orders_;
+  const bool late = late_orders_ > 0 && RandomFraction() < late_orders_;
   const Json::Value body = Parse(request.body);
   if (request.path == "/hold") {
     const absl::Time now = SystemNow().mono;
-    Look look{index,
-              {},
-              now + absl::Milliseconds(body["waitMs"].asInt64()),
-              std::move(reply),
-              life.record().id};
-    look.order.fence = body["fencingToken"].asInt64();
-    look.order.ends_noted = body["lastSeen"].asInt64();
-    look.order.lease_until_ms = body["deadlineMs"].asInt64();
+    PendingObservation observation{
+        index,
+        {},
+        now + absl::Milliseconds(body["waitMs"].asInt64()),
+        std::move(reply),
+        incarnation.record().id};
+    observation.order.fence = body["fencingToken"].asInt64();
+    observation.order.ends_acknowledged = body["lastSeen"].asInt64();
+    observation.order.lease_until_ms = body["deadlineMs"].asInt64();
     // The order counts from its arrival; the answer may wait.
-    life.Observe(look.order, now);
-    looks_.push_back(std::move(look));
+    incarnation.Observe(observation.order, now);
+    pending_observations_.push_back(std::move(observation));
     return;
   }
   if (late) {
     unanswered_.push_back(std::move(reply));
-    After(kLateAtLeast + kLateSpread * Draw(),
-          [this, index, path = request.path, body, expected] {
-            Slot& there = slots_[static_cast<size_t>(index)];
-            const bool meant = expected.empty() || expected == there.name;
-            if (meant && there.life->alive()) CarryOut(*there.life, path, body);
-          });
+    RunAfter(kMinLateDelay + kLateDelayRange * RandomFraction(),
+             [this, index, path = request.path, body, expected] {
+               Slot& current_slot = slots_[static_cast<size_t>(index)];
+               const bool is_addressee =
+                   expected.empty() || expected == current_slot.name;
+               if (is_addressee && current_slot.incarnation->alive())
+                 ExecuteOrder(*current_slot.incarnation, path, body);
+             });
     return;
   }
-  const std::optional<OrderReply> done = CarryOut(life, request.path, body);
+  const std::optional<OrderReply> done =
+      ExecuteOrder(incarnation, request.path, body);
   if (lost)
     unanswered_.push_back(std::move(reply));
   else
     reply(done ? OrderAnswer(*done)
-               : Answer(404, Json::Value(Json::objectValue)));
+               : JsonResponse(404, Json::Value(Json::objectValue)));
 }
 
-std::optional<OrderReply> SitePlatform::CarryOut(SiteWorker& life,
-                                                 const std::string& path,
-                                                 const Json::Value& body) {
+std::optional<OrderReply> SitePlatform::ExecuteOrder(SiteWorker& incarnation,
+                                                     const std::string& path,
+                                                     const Json::Value& body) {
   const absl::Time now = SystemNow().mono;
   TaskId task;
   ParseTaskId(body["task"].asString(), &task);
   const int32_t run = body["run"].asInt();
   const int64_t fence = body["fencingToken"].asInt64();
-  if (path == "/run-stop") return life.Stop({task, run, fence}, now);
+  if (path == "/run-stop") return incarnation.Stop({task, run, fence}, now);
   if (path != "/run-start") return std::nullopt;
   StartOrder order;
   order.task = task;
@@ -298,22 +305,24 @@
   order.payload = body["taskSpec"].asString();
   order.lease_until_ms = body["deadlineMs"].asInt64();
   order.fence = fence;
-  return life.Start(order, now);
+  return incarnation.Start(order, now);
 }
 
-void SitePlatform::AnswerLook(const Look& look) {
-  SiteWorker& life = *slots_[static_cast<size_t>(look.slot)].life;
-  ObserveOrder order = look.order;
+void SitePlatform::AnswerObservation(const PendingObservation& observation) {
+  SiteWorker& incarnation =
+      *slots_[static_cast<size_t>(observation.slot)].incarnation;
+  ObserveOrder order = observation.order;
   order.lease_until_ms = 0;
-  const ObserveReply seen = life.Observe(order, SystemNow().mono);
-  if (seen.order.result != OrderResult::kDone)
-    return look.reply(OrderAnswer(seen.order));
+  const ObserveReply observed = incarnation.Observe(order, SystemNow().mono);
+  if (observed.order.result != OrderResult::kDone)
+    return observation.reply(OrderAnswer(observed.order));
   Json::Value body(Json::objectValue);
-  body["born"] = Json::Int64(slots_[static_cast<size_t>(look.slot)].born_ms);
-  body["clockMs"] = Json::Int64(seen.order.clock_ms);
+  body["born"] =
+      Json::Int64(slots_[static_cast<size_t>(observation.slot)].start_time_ms);
+  body["clockMs"] = Json::Int64(observed.order.clock_ms);
   body["running"] = Json::Value(Json::arrayValue);
   body["ended"] = Json::Value(Json::arrayValue);
-  for (const RunningTask& running : seen.running) {
+  for (const RunningTask& running : observed.running) {
     Json::Value row(Json::arrayValue);
     row.append(TaskIdText(running.task));
     row.append(running.run);
@@ -321,7 +330,7 @@
     row.append(running.percent);
     body["running"].append(row);
   }
-  for (const EndedTask& ended : seen.ended) {
+  for (const EndedTask& ended : observed.ended) {
     Json::Value row(Json::arrayValue);
     row.append(Json::Int64(ended.number));
     row.append(TaskIdText(ended.task));
@@ -330,7 +339,7 @@
     row.append(ended.checkpoint);
     body["ended"].append(row);
   }
-  look.reply(Answer(200, body));
+  observation.reply(JsonResponse(200, body));
 }
 
 void SitePlatform::HandleAdvice(const ServerRequest& request,
@@ -353,7 +362,7 @@
       loop_, std::chrono::milliseconds(5));
   timer->async_wait(
       [timer, reply = std::move(reply), out](boost::system::error_code error) {
-        if (!error) reply(Answer(200, out));
+        if (!error) reply(JsonResponse(200, out));
       });
 }
 
@@ -365,7 +374,7 @@
   };
   std::map<std::pair<TaskId, int32_t>, Gang> gangs;
   for (const Slot& slot : slots_) {
-    for (const auto& [key, run] : slot.life->running()) {
+    for (const auto& [key, run] : slot.incarnation->running()) {
       TaskId step = key.first;
       step.index = 0;
       if (gang_size_[step] == 0) continue;
@@ -375,45 +384,49 @@
     }
   }
   for (const auto& [key, gang] : gangs) {
-    const bool whole = gang.present == gang_size_[key.first];
-    const bool was_whole = gang_done_at_.count(key) > 0;
-    if (whole && !was_whole) gang_done_at_[key] = now + absl::Milliseconds(400);
+    const bool complete = gang.present == gang_size_[key.first];
+    const bool was_complete = gang_done_at_.count(key) > 0;
+    if (complete && !was_complete)
+      gang_done_at_[key] = now + absl::Milliseconds(400);
     const bool broken =
-        !whole && (was_whole || now - gang.first > kGangPatience);
-    const bool done = whole && was_whole && now >= gang_done_at_[key];
+        !complete && (was_complete || now - gang.first > kGangTimeout);
+    const bool done = complete && was_complete && now >= gang_done_at_[key];
     for (Slot& slot : slots_) {
-      if (broken) slot.life->BreakGang(key.first, key.second, now);
-      if (done) slot.life->CompleteGang(key.first, key.second, now);
+      if (broken) slot.incarnation->BreakGang(key.first, key.second, now);
+      if (done) slot.incarnation->CompleteGang(key.first, key.second, now);
     }
   }
 }
 
 void SitePlatform::Advance() {
   const absl::Time now = SystemNow().mono;
-  for (Slot& slot : slots_) slot.life->Advance(now);
+  for (Slot& slot : slots_) slot.incarnation->Advance(now);
   AdvanceGangs(now);
-  std::vector<Look> kept;
-  for (Look& look : looks_) {
-    SiteWorker& life = *slots_[static_cast<size_t>(look.slot)].life;
-    if (!life.alive() || life.record().id != look.life) {
-      unanswered_.push_back(std::move(look.reply));
+  std::vector<PendingObservation> still_pending;
+  for (PendingObservation& observation : pending_observations_) {
+    SiteWorker& incarnation =
+        *slots_[static_cast<size_t>(observation.slot)].incarnation;
+    if (!incarnation.alive() ||
+        incarnation.record().id != observation.incarnation) {
+      unanswered_.push_back(std::move(observation.reply));
       continue;
     }
-    const bool due = now >= look.deadline || !life.unnoted().empty();
+    const bool due = now >= observation.deadline ||
+                     !incarnation.unacknowledged_ends().empty();
     if (due)
-      AnswerLook(look);
+      AnswerObservation(observation);
     else
-      kept.push_back(std::move(look));
+      still_pending.push_back(std::move(observation));
   }
-  looks_ = std::move(kept);
-  if (ticks_++ % kBeatEvery != 0) return;
+  pending_observations_ = std::move(still_pending);
+  if (ticks_++ % kHeartbeatTicks != 0) return;
   for (Slot& slot : slots_) {
-    if (!slot.life->alive()) continue;
-    const WorkerRecord& record = slot.life->record();
+    if (!slot.incarnation->alive()) continue;
+    const WorkerRecord& record = slot.incarnation->record();
     Json::Value out(Json::objectValue);
     out["service"] = "desk";
     out["machine"] = record.machine;
-    out["born"] = Json::Int64(slot.born_ms);
+    out["born"] = Json::Int64(slot.start_time_ms);
     out["address"] = slot.address.ToString();
     out["zone"] = record.zone;
     out["state"] = "ready";
@@ -431,18 +444,18 @@
       Serve(&foreign_server_,
             [this](const ServerRequest&, const EventHttpServer::Reply& reply) {
               ++foreign_calls_;
-              reply(Answer(503, Json::Value(Json::objectValue)));
+              reply(JsonResponse(503, Json::Value(Json::objectValue)));
             });
   for (const ForeignEntry& entry : ForeignEntries("desk", address.ToString()))
     store_.Put("keyed.servers", entry.id, entry.document);
 }
 
-void SitePlatform::Arm() {
-  timer_.expires_after(absl::ToChronoNanoseconds(kAdvanceEvery));
+void SitePlatform::ScheduleAdvance() {
+  timer_.expires_after(absl::ToChronoNanoseconds(kAdvanceInterval));
   timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     Advance();
-    Arm();
+    ScheduleAdvance();
   });
 }
 
@@ -457,53 +470,54 @@
   slots_[static_cast<size_t>(index)].proxy->SetMode(mode);
 }
 
-void SitePlatform::SilenceOpenToWorkers() {
-  for (Slot& slot : slots_) slot.proxy->SilenceOpen();
+void SitePlatform::SilenceOpenWorkerConnections() {
+  for (Slot& slot : slots_) slot.proxy->SilenceOpenConnections();
 }
 
 void SitePlatform::CrashWorker(int index, absl::Duration down) {
-  EndLife(index, down, /*again=*/false);
+  EndIncarnation(index, down, /*again=*/false);
 }
 
 void SitePlatform::RestartWorker(int index, absl::Duration down) {
-  EndLife(index, down, /*again=*/true);
+  EndIncarnation(index, down, /*again=*/true);
 }
 
-void SitePlatform::EndLife(int index, absl::Duration down, bool again) {
+void SitePlatform::EndIncarnation(int index, absl::Duration down,
+                                  bool keep_id) {
   Slot& slot = slots_[static_cast<size_t>(index)];
-  if (!slot.life->alive()) return;
-  if (again)
-    slot.proxy->SetMode(Draw() < 0.5 ? FaultProxy::Mode::kReset
-                                     : FaultProxy::Mode::kSilent);
-  for (const EndedTask& end : slot.life->unnoted()) {
-    if (end.end == RunEnd::kDone) done_by_.erase(end.task);
+  if (!slot.incarnation->alive()) return;
+  if (keep_id)
+    slot.proxy->SetMode(RandomFraction() < 0.5 ? FaultProxy::Mode::kReset
+                                               : FaultProxy::Mode::kDropAll);
+  for (const EndedTask& end : slot.incarnation->unacknowledged_ends()) {
+    if (end.end == RunEnd::kDone) completed_on_.erase(end.task);
   }
-  slot.life->Crash(SystemNow().mono);
-  After(down, [this, index, again] { StartLife(index, again); });
+  slot.incarnation->Crash(SystemNow().mono);
+  RunAfter(down, [this, index, keep_id] { StartIncarnation(index, keep_id); });
 }
 
 void SitePlatform::ShrinkWorker(int index, double share, absl::Duration time) {
   Slot& slot = slots_[static_cast<size_t>(index)];
-  if (!slot.life->alive()) return;
-  Resources small = options_.capacity;
-  small.cpu_milli = static_cast<int32_t>(small.cpu_milli * share);
-  small.memory_mib = static_cast<int32_t>(small.memory_mib * share);
-  slot.life->record().capacity = small;
-  const std::string id = slot.life->record().id;
-  After(kCapacityCounts, [this, id, small] {
-    Slot* shrunk = SlotOf(id);
-    if (shrunk != nullptr && shrunk->life->record().capacity == small)
-      shrunk->counted = small;
+  if (!slot.incarnation->alive()) return;
+  Resources reduced = options_.capacity;
+  reduced.cpu_milli = static_cast<int32_t>(reduced.cpu_milli * share);
+  reduced.memory_mib = static_cast<int32_t>(reduced.memory_mib * share);
+  slot.incarnation->record().capacity = reduced;
+  const std::string id = slot.incarnation->record().id;
+  RunAfter(kCapacityGrace, [this, id, reduced] {
+    Slot* shrunk = FindSlot(id);
+    if (shrunk != nullptr && shrunk->incarnation->record().capacity == reduced)
+      shrunk->capacity_limit = reduced;
   });
-  After(time, [this, id] {
-    Slot* shrunk = SlotOf(id);
+  RunAfter(time, [this, id] {
+    Slot* shrunk = FindSlot(id);
     if (shrunk == nullptr) return;
-    shrunk->counted = options_.capacity;
-    shrunk->life->record().capacity = options_.capacity;
+    shrunk->capacity_limit = options_.capacity;
+    shrunk->incarnation->record().capacity = options_.capacity;
   });
 }
 
-void SitePlatform::After(absl::Duration delay, std::function<void()> step) {
+void SitePlatform::RunAfter(absl::Duration delay, std::function<void()> step) {
   auto timer = std::make_shared<boost::asio::steady_timer>(
       loop_, absl::ToChronoNanoseconds(delay));
   timer->async_wait(
--- a/testing/fakes/site_platform.h
+++ b/testing/fakes/site_platform.h
@@ -46,11 +46,11 @@
     int workers = 6;
     Resources capacity{16000, 65536, 0};
     bool advice = true;
-    int most_attempts = 3;
+    int max_attempts = 3;
     uint64_t seed = 1;
-    absl::Duration longest_lease = absl::Seconds(6);
+    absl::Duration max_lease = absl::Seconds(6);
     // A worker that a task crashed comes back under its id; with proxies.
-    bool crashed_keep_id = false;
+    bool keep_id_after_crash = false;
   };
 
   SitePlatform(boost::asio::io_context& loop, Options options);
@@ -64,7 +64,7 @@
   void UseWorkerProxies();
   void SetWorkerProxy(int index, FaultProxy::Mode mode);
   // The connections that are open to workers go silent for good.
-  void SilenceOpenToWorkers();
+  void SilenceOpenWorkerConnections();
   void CrashWorker(int index, absl::Duration down);
   // The worker crashes, and its next life comes under the id that it had: it
   // knows nothing of before, its counts begin anew, and no connection of before
@@ -89,45 +89,48 @@
 
  private:
   struct Slot {
-    std::unique_ptr<SiteWorker> life;
+    std::unique_ptr<SiteWorker> incarnation;
     std::unique_ptr<EventHttpServer> server;
     Address address;  // That its record tells.
     std::unique_ptr<FaultProxy> proxy;
-    std::string name;     // Its id for the platform.
-    int64_t born_ms = 0;  // Wall clock.
-    int names = 0;        // That it has had.
+    std::string name;           // Its id for the platform.
+    int64_t start_time_ms = 0;  // Wall clock.
+    int name_count = 0;         // That it has had.
     // The most that may run there; see ShrinkWorker: a capacity that has shrunk
     // counts once nodes had time to hear of it.
-    Resources counted;
+    Resources capacity_limit;
   };
-  struct Look {
+  struct PendingObservation {
     int slot;
     ObserveOrder order;
     absl::Time deadline;
     EventHttpServer::Reply reply;
-    std::string life;
+    std::string incarnation;
   };
 
   Address Serve(std::unique_ptr<EventHttpServer>* server,
                 EventHttpServer::Handler handler);
   // Under a new id, unless it starts again.
-  void StartLife(int index, bool again);
-  void EndLife(int index, absl::Duration down, bool again);
+  void StartIncarnation(int index, bool keep_id);
+  void EndIncarnation(int index, absl::Duration down, bool keep_id);
   // Carries out an order to start or to stop; none: it is another call.
-  std::optional<OrderReply> CarryOut(SiteWorker& life, const std::string& path,
-                                     const Json::Value& body);
-  double Draw() { return std::uniform_real_distribution<>(0, 1)(random_); }
+  std::optional<OrderReply> ExecuteOrder(SiteWorker& incarnation,
+                                         const std::string& path,
+                                         const Json::Value& body);
+  double RandomFraction() {
+    return std::uniform_real_distribution<>(0, 1)(random_);
+  }
   void HandleWorker(int index, const ServerRequest& request,
                     EventHttpServer::Reply reply);
-  void AnswerLook(const Look& look);
+  void AnswerObservation(const PendingObservation& observation);
   void HandleAdvice(const ServerRequest& request, EventHttpServer::Reply reply);
-  void Journal(const SiteRun& run, bool begins);
-  void CrashUnder(const SiteRun& run);
-  Slot* SlotOf(const std::string& worker);
-  void After(absl::Duration delay, std::function<void()> step);
+  void RecordRun(const SiteRun& run, bool begins);
+  void ScheduleCrash(const SiteRun& run);
+  Slot* FindSlot(const std::string& worker);
+  void RunAfter(absl::Duration delay, std::function<void()> step);
   void Advance();
   void AdvanceGangs(absl::Time now);
-  void Arm();
+  void ScheduleAdvance();
 
   boost::asio::io_context& loop_;
   const Options options_;
@@ -142,20 +145,21 @@
   std::vector<Slot> slots_;
   // Orders that get no answer: their connections stay open and say nothing.
   std::vector<EventHttpServer::Reply> unanswered_;
-  std::vector<Look> looks_;
+  std::vector<PendingObservation> pending_observations_;
   boost::asio::steady_timer timer_;
   int ticks_ = 0;
   double lost_orders_ = 0;
   double late_orders_ = 0;
   std::vector<SiteRun> runs_;
-  std::map<TaskId, std::string> done_by_;
+  std::map<TaskId, std::string> completed_on_;
   std::map<std::pair<TaskId, int32_t>, absl::Time> gang_done_at_;
   std::map<TaskId, int32_t> gang_size_;
-  struct Crashes {
-    int workers = 0;       // That crashed under the task.
-    int starts_after = 0;  // After the last of them that counts.
+  struct CrashCount {
+    int workers = 0;               // That crashed under the task.
+    int starts_after_excused = 0;  // After the last of them that counts.
   };
-  std::map<TaskId, Crashes> crashing_;  // Tasks that crash their workers.
+  std::map<TaskId, CrashCount>
+      crash_counts_;  // Tasks that crash their workers.
   std::vector<std::string> faults_;
 };
 
--- a/testing/fakes/site_store.cc
+++ b/testing/fakes/site_store.cc
@@ -17,17 +17,17 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr size_t kAnswersKept = 5;
+constexpr size_t kCachedResponses = 5;
 constexpr size_t kPageItems = 500;
-constexpr absl::Duration kExpiryEvery = absl::Milliseconds(50);
+constexpr absl::Duration kExpiryInterval = absl::Milliseconds(50);
 
-int64_t Number(const ServerRequest& request, const std::string& key,
-               int64_t otherwise) {
+int64_t QueryNumber(const ServerRequest& request, const std::string& key,
+                    int64_t fallback) {
   int64_t value = 0;
-  return absl::SimpleAtoi(request.Query(key), &value) ? value : otherwise;
+  return absl::SimpleAtoi(request.Query(key), &value) ? value : fallback;
 }
 
-ServerResponse Answer(int status, const Json::Value& body) {
+ServerResponse JsonResponse(int status, const Json::Value& body) {
   return {status, {}, ToJsonText(body), "application/json"};
 }
 
@@ -68,7 +68,7 @@
 
 // Items of a page that name no record: a key, a value or an offset of another
 // type, a value that is no base64, no object at all.
-std::vector<Json::Value> SpoiltItems() {
+std::vector<Json::Value> UnreadableItems() {
   std::vector<Json::Value> items;
   const auto add = [&items](const Json::Value& key, const Json::Value& value,
                             const Json::Value& offset) {
@@ -90,7 +90,7 @@
 }
 
 // `text` with its %XX as bytes.
-std::string Unescaped(const std::string& text) {
+std::string PercentDecode(const std::string& text) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
     const bool escaped = text[i] == '%' && i + 2 < text.size();
@@ -107,7 +107,7 @@
 
 void SiteStore::Handle(const ServerRequest& request,
                        EventHttpServer::Reply reply) {
-  if (faults_.silent) {
+  if (faults_.unresponsive) {
     unanswered_.push_back(std::move(reply));
     return;
   }
@@ -116,31 +116,32 @@
   timer->async_wait([this, timer, request, reply = std::move(reply)](
                         boost::system::error_code error) {
     if (error) return;
-    if (faults_.silent) {
+    if (faults_.unresponsive) {
       unanswered_.push_back(reply);
       return;
     }
-    if (faults_.down) return reply(Answer(503, Json::Value(Json::objectValue)));
+    if (faults_.down)
+      return reply(JsonResponse(503, Json::Value(Json::objectValue)));
     if (request.path == "/log-read") return Read(request, reply);
     if (request.path == "/log-newest") return reply(Newest(request));
     if (request.path != "/log-append")
-      return reply(Answer(404, Json::Value(Json::objectValue)));
+      return reply(JsonResponse(404, Json::Value(Json::objectValue)));
     HandleAppend(request, reply);
   });
 }
 
-bool SiteStore::Draw(double share) {
+bool SiteStore::RandomBool(double share) {
   return std::uniform_real_distribution<>(0, 1)(random_) < share;
 }
 
 void SiteStore::HandleAppend(const ServerRequest& request,
                              const EventHttpServer::Reply& reply) {
-  if (faults_.late_appends > 0 && Draw(faults_.late_appends)) {
+  if (faults_.late_appends > 0 && RandomBool(faults_.late_appends)) {
     unanswered_.push_back(reply);
     return AppendLater(request);
   }
   const ServerResponse answer = Append(request);
-  if (Draw(faults_.lost_answers))
+  if (RandomBool(faults_.lost_answers))
     unanswered_.push_back(reply);
   else
     reply(answer);
@@ -148,7 +149,7 @@
 
 void SiteStore::AppendLater(const ServerRequest& request) {
   auto timer = std::make_shared<boost::asio::steady_timer>(
-      loop_, absl::ToChronoNanoseconds(faults_.late_by));
+      loop_, absl::ToChronoNanoseconds(faults_.late_append_delay));
   timer->async_wait([this, timer, request](boost::system::error_code error) {
     if (!error) Append(request);
   });
@@ -156,53 +157,54 @@
 
 ServerResponse SiteStore::Append(const ServerRequest& request) {
   ++appends_;
-  if (request.body.size() > most_append_bytes_)
+  if (request.body.size() > max_append_bytes_)
     return {400, {}, "{\"reason\":\"too large\"}", "application/json"};
   const std::string name = request.Query("topic");
   Topic& topic = topics_[name];
   Json::Value body(Json::objectValue);
   std::vector<KeyValue> records;
-  if (!Decode(request.body, &records)) return Answer(400, body);
-  const int64_t at = Number(request, "at", -1);
+  if (!Decode(request.body, &records)) return JsonResponse(400, body);
+  const int64_t at = QueryNumber(request, "at", -1);
   if (at >= 0 && at != topic.end) {
     body["end"] = Json::Int64(topic.end);
-    return Answer(412, body);
+    return JsonResponse(412, body);
   }
   const std::string producer = request.Query("producer");
-  const int64_t sequence = Number(request, "callSequence", -1);
+  const int64_t sequence = QueryNumber(request, "callSequence", -1);
   if (!producer.empty()) {
     Writer& writer = topic.writers[producer];
-    const int64_t epoch = Number(request, "epoch", 0);
+    const int64_t epoch = QueryNumber(request, "epoch", 0);
     if (epoch < writer.epoch) {
       body["reason"] = "fenced";
-      return Answer(409, body);
+      return JsonResponse(409, body);
     }
     if (epoch > writer.epoch) writer = Writer{epoch, -1, {}};
-    const auto known = writer.answers.find(sequence);
-    if (!records.empty() && known != writer.answers.end())
+    const auto known = writer.responses.find(sequence);
+    if (!records.empty() && known != writer.responses.end())
       return {200, {}, known->second, "application/json"};
     if (!records.empty() && writer.next >= 0 && sequence != writer.next) {
       body["reason"] = "seq";
       body["callSequence"] = Json::Int64(writer.next);
-      return Answer(409, body);
+      return JsonResponse(409, body);
     }
   }
   body["offset"] = Json::Int64(topic.end);
-  for (const KeyValue& record : records) Add(name, record.key, record.value);
+  for (const KeyValue& record : records)
+    AppendRecord(name, record.key, record.value);
   body["end"] = Json::Int64(topic.end);
   if (!producer.empty() && !records.empty()) {
     Writer& writer = topic.writers[producer];
     writer.next = sequence + 1;
-    writer.answers[sequence] = ToJsonText(body);
-    if (writer.answers.size() > kAnswersKept)
-      writer.answers.erase(writer.answers.begin());
+    writer.responses[sequence] = ToJsonText(body);
+    if (writer.responses.size() > kCachedResponses)
+      writer.responses.erase(writer.responses.begin());
   }
-  Wake(name);
-  return Answer(200, body);
+  AnswerWaiters(name);
+  return JsonResponse(200, body);
 }
 
-void SiteStore::Add(const std::string& name, const std::string& key,
-                    const std::string& value) {
+void SiteStore::AppendRecord(const std::string& name, const std::string& key,
+                             const std::string& value) {
   Topic& topic = topics_[name];
   const Entry entry{topic.end++, key, value};
   topic.log.push_back(entry);
@@ -214,24 +216,24 @@
 
 void SiteStore::Put(const std::string& topic, const std::string& key,
                     const std::string& value) {
-  Add(topic, key, value);
-  Wake(topic);
+  AppendRecord(topic, key, value);
+  AnswerWaiters(topic);
 }
 
-void SiteStore::Forget(const std::string& name) {
+void SiteStore::DropHistory(const std::string& name) {
   Topic& topic = topics_[name];
   topic.log.clear();
   topic.first = topic.end;
 }
 
-void SiteStore::ForgetAll() {
-  for (const auto& [name, topic] : topics_) Forget(name);
+void SiteStore::DropAllHistory() {
+  for (const auto& [name, topic] : topics_) DropHistory(name);
 }
 
-void SiteStore::CutPolls() {
+void SiteStore::CloseLongPolls() {
   // A connection lives as long as the reply that it waits for.
   waiters_.clear();
-  silent_polls_.clear();
+  dropped_polls_.clear();
 }
 
 ServerResponse SiteStore::ReadNow(Topic& topic, int64_t from) const {
@@ -252,31 +254,32 @@
                      EventHttpServer::Reply reply) {
   const std::string name = request.Query("topic");
   Topic& topic = topics_[name];
-  const int64_t from = Number(request, "from", 0);
+  const int64_t from = QueryNumber(request, "from", 0);
   if (from < topic.first) {
     Json::Value body(Json::objectValue);
     body["first"] = Json::Int64(topic.first);
-    return reply(Answer(410, body));
+    return reply(JsonResponse(410, body));
   }
-  const int64_t wait_ms = Number(request, "waitMs", 0);
-  if (wait_ms > 0 && faults_.silent_polls) {
-    silent_polls_.push_back(std::move(reply));
+  const int64_t wait_ms = QueryNumber(request, "waitMs", 0);
+  if (wait_ms > 0 && faults_.drop_poll_responses) {
+    dropped_polls_.push_back(std::move(reply));
     return;
   }
   if (from < topic.end || wait_ms <= 0) return reply(ReadNow(topic, from));
   waiters_.push_back({name, from,
                       SystemNow().mono + absl::Milliseconds(wait_ms),
                       std::move(reply)});
-  ArmExpiry();
+  ScheduleExpiry();
 }
 
 ServerResponse SiteStore::Newest(const ServerRequest& request) {
   const Topic& topic = topics_[request.Query("topic")];
-  const std::string after = Unescaped(request.Query("dependsOn"));
+  const std::string after = PercentDecode(request.Query("dependsOn"));
   Json::Value body(Json::objectValue);
   body["items"] = Json::Value(Json::arrayValue);
-  if (spoilt_.count(request.Query("topic")) > 0) {
-    for (const Json::Value& item : SpoiltItems()) body["items"].append(item);
+  if (topics_with_unreadable_items_.count(request.Query("topic")) > 0) {
+    for (const Json::Value& item : UnreadableItems())
+      body["items"].append(item);
   }
   body["more"] = false;
   body["end"] = Json::Int64(topic.end);
@@ -292,17 +295,17 @@
     item["offset"] = Json::Int64(it->second.offset);
     body["items"].append(item);
   }
-  return Answer(200, body);
+  return JsonResponse(200, body);
 }
 
 void SiteStore::AnswerPoll(Waiter waiter) {
-  if (faults_.silent_polls)
-    silent_polls_.push_back(std::move(waiter.reply));
+  if (faults_.drop_poll_responses)
+    dropped_polls_.push_back(std::move(waiter.reply));
   else
     waiter.reply(ReadNow(topics_[waiter.topic], waiter.from));
 }
 
-void SiteStore::Wake(const std::string& name) {
+void SiteStore::AnswerWaiters(const std::string& name) {
   for (auto it = waiters_.begin(); it != waiters_.end();) {
     Topic& topic = topics_[it->topic];
     if (it->topic != name || it->from >= topic.end) {
@@ -314,11 +317,11 @@
   }
 }
 
-void SiteStore::ArmExpiry() {
+void SiteStore::ScheduleExpiry() {
   if (expiry_armed_) return;
   expiry_armed_ = true;
   auto timer = std::make_shared<boost::asio::steady_timer>(
-      loop_, absl::ToChronoNanoseconds(kExpiryEvery));
+      loop_, absl::ToChronoNanoseconds(kExpiryInterval));
   timer->async_wait([this, timer](boost::system::error_code error) {
     expiry_armed_ = false;
     if (error) return;
@@ -331,7 +334,7 @@
       AnswerPoll(std::exchange(*it, Waiter()));
       it = waiters_.erase(it);
     }
-    if (!waiters_.empty()) ArmExpiry();
+    if (!waiters_.empty()) ScheduleExpiry();
   });
 }
 
--- a/testing/fakes/site_store_test.cc
+++ b/testing/fakes/site_store_test.cc
@@ -9,14 +9,15 @@
 
 constexpr char kTopic[] = "keyed.test";
 constexpr int kNoAnswer = 0;
-constexpr int kCut = -1;  // The connection ended without an answer.
+constexpr int kConnectionClosed =
+    -1;  // The connection ended without an answer.
 
 // What became of one call.
 struct Outcome {
   int status = kNoAnswer;
 };
 
-struct Site {
+struct StoreFixture {
   boost::asio::io_context loop;
   SiteStore store{loop, 1};
 
@@ -24,7 +25,7 @@
     auto outcome = std::make_shared<Outcome>();
     // Destroyed with the last copy of the reply, as a connection is.
     const std::shared_ptr<void> connection(nullptr, [outcome](void*) {
-      if (outcome->status == kNoAnswer) outcome->status = kCut;
+      if (outcome->status == kNoAnswer) outcome->status = kConnectionClosed;
     });
     store.Handle(request, [outcome, connection](const ServerResponse& answer) {
       outcome->status = answer.status;
@@ -59,81 +60,81 @@
 };
 
 TEST_CASE("site store: silent polls get no answer while other calls do") {
-  Site site;
-  const auto early = site.Poll(0, 10000);
-  site.Run(20);
+  StoreFixture fixture;
+  const auto early = fixture.Poll(0, 10000);
+  fixture.Run(20);
   SiteStore::Faults faults;
-  faults.silent_polls = true;
-  site.store.SetFaults(faults);
-  site.store.Put(kTopic, "k", "v");
-  const auto late = site.Poll(0, 10000);
-  const auto read = site.Poll(0, 0);
-  const auto newest = site.Newest();
-  site.Run(50);
+  faults.drop_poll_responses = true;
+  fixture.store.SetFaults(faults);
+  fixture.store.Put(kTopic, "k", "v");
+  const auto late = fixture.Poll(0, 10000);
+  const auto read = fixture.Poll(0, 0);
+  const auto newest = fixture.Newest();
+  fixture.Run(50);
   CHECK(early->status == kNoAnswer);
   CHECK(late->status == kNoAnswer);
   CHECK(read->status == 200);
   CHECK(newest->status == 200);
   // Nor do they when the fault is over and something else changes.
-  site.store.SetFaults({});
-  site.store.Put(kTopic, "k", "w");
-  site.Run(50);
+  fixture.store.SetFaults({});
+  fixture.store.Put(kTopic, "k", "w");
+  fixture.Run(50);
   CHECK(early->status == kNoAnswer);
   CHECK(late->status == kNoAnswer);
 }
 
 TEST_CASE("site store: a silent poll's own time brings no answer either") {
-  Site site;
+  StoreFixture fixture;
   SiteStore::Faults faults;
-  faults.silent_polls = true;
-  const auto poll = site.Poll(0, 60);
-  site.Run(20);
-  site.store.SetFaults(faults);
-  site.Run(200);
+  faults.drop_poll_responses = true;
+  const auto poll = fixture.Poll(0, 60);
+  fixture.Run(20);
+  fixture.store.SetFaults(faults);
+  fixture.Run(200);
   CHECK(poll->status == kNoAnswer);
 }
 
 TEST_CASE("site store: polls that are cut end without an answer") {
-  Site site;
-  const auto waits = site.Poll(0, 10000);
-  site.Run(20);
+  StoreFixture fixture;
+  const auto waiting_poll = fixture.Poll(0, 10000);
+  fixture.Run(20);
   SiteStore::Faults faults;
-  faults.silent_polls = true;
-  site.store.SetFaults(faults);
-  const auto silent = site.Poll(0, 10000);
-  site.Run(20);
-  site.store.CutPolls();
-  CHECK(waits->status == kCut);
-  CHECK(silent->status == kCut);
+  faults.drop_poll_responses = true;
+  fixture.store.SetFaults(faults);
+  const auto dropped_poll = fixture.Poll(0, 10000);
+  fixture.Run(20);
+  fixture.store.CloseLongPolls();
+  CHECK(waiting_poll->status == kConnectionClosed);
+  CHECK(dropped_poll->status == kConnectionClosed);
 }
 
 TEST_CASE("site store: a late append is done, and never answered") {
-  Site site;
+  StoreFixture fixture;
   SiteStore::Faults faults;
   faults.late_appends = 1;
-  faults.late_by = absl::Milliseconds(200);
-  site.store.SetFaults(faults);
-  const auto append = site.Append(0);
-  site.Run(50);
-  CHECK(site.store.appends() == 0);
-  site.store.SetFaults({});
-  site.Run(300);
-  CHECK(site.store.appends() == 1);
+  faults.late_append_delay = absl::Milliseconds(200);
+  fixture.store.SetFaults(faults);
+  const auto append = fixture.Append(0);
+  fixture.Run(50);
+  CHECK(fixture.store.appends() == 0);
+  fixture.store.SetFaults({});
+  fixture.Run(300);
+  CHECK(fixture.store.appends() == 1);
   CHECK(append->status == kNoAnswer);
   // Its condition counts when it is done: the next one comes too late.
-  const auto next = site.Append(0);
-  site.Run(50);
+  const auto next = fixture.Append(0);
+  fixture.Run(50);
   CHECK(next->status == 412);
 }
 
 TEST_CASE("site store: forgotten history is gone, the newest records stay") {
-  Site site;
-  site.store.Put(kTopic, "k", "v");
-  site.store.ForgetAll();
-  const auto read = site.Poll(0, 0);
-  const auto after = site.Poll(1, 0);
-  const auto newest = site.Newest();
-  site.Run(50);
+  StoreFixture fixture;
+  fixture.store.Put(kTopic, "k", "v");
+  fixture.store.DropAllHistory();
+  const auto read = fixture.Poll(0, 0);
+  const auto after = fixture.Poll(1, 0);
+  const auto newest = fixture.Newest();
+  fixture.Run(50);
   CHECK(read->status == 410);
   CHECK(after->status == 200);
   CHECK(newest->status == 200);
--- a/testing/fakes/site_worker.cc
+++ b/testing/fakes/site_worker.cc
@@ -12,26 +12,26 @@
     : options_(std::move(options)),
       plan_(std::move(plan)),
       journal_(std::move(journal)),
-      born_(now) {}
+      start_time_(now) {}
 
 int64_t SiteWorker::ClockMs(absl::Time now) const {
   return options_.clock_start_ms +
-         absl::ToInt64Milliseconds((now - born_) * options_.clock_rate);
+         absl::ToInt64Milliseconds((now - start_time_) * options_.clock_rate);
 }
 
-bool SiteWorker::TakeFence(int64_t fence) {
+bool SiteWorker::AcceptFence(int64_t fence) {
   if (fence < fence_) return false;
   fence_ = fence;
   return true;
 }
 
 void SiteWorker::ExtendLease(int64_t until_ms, absl::Time now) {
-  const int64_t most =
-      ClockMs(now) + absl::ToInt64Milliseconds(options_.longest_lease);
-  lease_until_ms_ = std::max(lease_until_ms_, std::min(until_ms, most));
+  const int64_t max_until_ms =
+      ClockMs(now) + absl::ToInt64Milliseconds(options_.max_lease);
+  lease_until_ms_ = std::max(lease_until_ms_, std::min(until_ms, max_until_ms));
 }
 
-absl::Duration SavedWork(const std::string& checkpoint) {
+absl::Duration CheckpointedWork(const std::string& checkpoint) {
   int64_t ms = 0;
   if (!absl::SimpleAtoi(checkpoint, &ms)) return absl::ZeroDuration();
   return absl::Milliseconds(ms);
@@ -39,21 +39,22 @@
 
 absl::Duration SiteWorker::WorkDone(const Timing& timing,
                                     absl::Time now) const {
-  const absl::Duration left = timing.done_at - now;
-  const absl::Duration work = timing.plan.work - timing.plan.before;
-  return timing.plan.done + std::max(absl::ZeroDuration(), work - left);
+  const absl::Duration time_left = timing.done_at - now;
+  const absl::Duration work = timing.plan.work - timing.plan.restore_time;
+  return timing.plan.done + std::max(absl::ZeroDuration(), work - time_left);
 }
 
 std::string SiteWorker::Checkpoint(const Timing& timing, absl::Time now) const {
-  if (!timing.plan.saves) return "";
+  if (!timing.plan.writes_checkpoints) return "";
   return absl::StrCat(absl::ToInt64Milliseconds(WorkDone(timing, now)));
 }
 
-int32_t SiteWorker::Percent(const Timing& timing, absl::Time now) const {
-  const absl::Duration whole =
-      timing.plan.done + timing.plan.work - timing.plan.before;
-  if (whole <= absl::ZeroDuration()) return 0;
-  return static_cast<int32_t>(100 * (WorkDone(timing, now) / whole));
+int32_t SiteWorker::ProgressPercent(const Timing& timing,
+                                    absl::Time now) const {
+  const absl::Duration total_work =
+      timing.plan.done + timing.plan.work - timing.plan.restore_time;
+  if (total_work <= absl::ZeroDuration()) return 0;
+  return static_cast<int32_t>(100 * (WorkDone(timing, now) / total_work));
 }
 
 void SiteWorker::End(const RunKey& key, RunEnd end, absl::Time now) {
@@ -73,24 +74,24 @@
 
 void SiteWorker::Advance(absl::Time now) {
   if (!alive_) return;
-  std::vector<std::pair<RunKey, RunEnd>> due;
+  std::vector<std::pair<RunKey, RunEnd>> due_ends;
   const bool lapsed = ClockMs(now) > lease_until_ms_;
   for (const auto& [key, timing] : timing_) {
     if (lapsed)
-      due.emplace_back(key, RunEnd::kLapsed);
+      due_ends.emplace_back(key, RunEnd::kLapsed);
     else if (timing.stop_at <= now)
-      due.emplace_back(key, RunEnd::kStopped);
+      due_ends.emplace_back(key, RunEnd::kStopped);
     else if (timing.done_at <= now && timing.fails)
-      due.emplace_back(key, RunEnd::kFailed);
+      due_ends.emplace_back(key, RunEnd::kFailed);
     else if (timing.done_at <= now && timing.gang == 0)
-      due.emplace_back(key, RunEnd::kDone);
+      due_ends.emplace_back(key, RunEnd::kDone);
   }
-  for (const auto& [key, end] : due) End(key, end, now);
+  for (const auto& [key, end] : due_ends) End(key, end, now);
 }
 
 void SiteWorker::CompleteGang(const TaskId& step, int32_t run, absl::Time now) {
   std::vector<RunKey> members;
-  for (const auto& [key, one] : running_) {
+  for (const auto& [key, run_record] : running_) {
     TaskId of = key.first;
     of.index = 0;
     if (of == step && key.second == run) members.push_back(key);
@@ -100,7 +101,7 @@
 
 void SiteWorker::BreakGang(const TaskId& step, int32_t run, absl::Time now) {
   std::vector<RunKey> members;
-  for (const auto& [key, one] : running_) {
+  for (const auto& [key, run_record] : running_) {
     TaskId of = key.first;
     of.index = 0;
     if (of == step && key.second == run) members.push_back(key);
@@ -122,7 +123,7 @@
   Advance(now);
   OrderReply reply;
   reply.clock_ms = ClockMs(now);
-  if (!TakeFence(order.fence)) {
+  if (!AcceptFence(order.fence)) {
     reply.result = OrderResult::kFenced;
     return reply;
   }
@@ -162,7 +163,7 @@
   Advance(now);
   OrderReply reply;
   reply.clock_ms = ClockMs(now);
-  if (!TakeFence(order.fence)) {
+  if (!AcceptFence(order.fence)) {
     reply.result = OrderResult::kFenced;
     return reply;
   }
@@ -179,7 +180,7 @@
   Advance(now);
   ObserveReply reply;
   reply.order.clock_ms = ClockMs(now);
-  if (!TakeFence(order.fence)) {
+  if (!AcceptFence(order.fence)) {
     reply.order.result = OrderResult::kFenced;
     return reply;
   }
@@ -187,13 +188,13 @@
   if (order.lease_until_ms > 0) ExtendLease(order.lease_until_ms, now);
   ended_.erase(std::remove_if(ended_.begin(), ended_.end(),
                               [&](const EndedTask& end) {
-                                return end.number <= order.ends_noted;
+                                return end.number <= order.ends_acknowledged;
                               }),
                ended_.end());
   for (const auto& [key, run] : running_)
     reply.running.push_back({key.first, key.second,
                              Checkpoint(timing_[key], now),
-                             Percent(timing_[key], now)});
+                             ProgressPercent(timing_[key], now)});
   reply.ended = ended_;
   return reply;
 }
