--- a/testing/fakes/site_worker.h
+++ b/testing/fakes/site_worker.h
@@ -28,7 +28,7 @@
   absl::Time began;
   absl::Time ended = absl::InfiniteFuture();
   RunEnd end = RunEnd::kFailed;  // Once it has ended.
-  bool noted = false;            // The system took note of the end.
+  bool acknowledged = false;     // The system took note of the end.
   bool late = false;             // The order was carried out late.
 };
 
@@ -36,22 +36,23 @@
 // which knows the jobs.
 struct SiteRunPlan {
   Resources need;
-  absl::Duration work;    // Until it ends, with what comes before the work.
-  absl::Duration before;  // Of that, what is no work: a restore.
-  absl::Duration done;    // Work that earlier runs did.
-  bool saves = false;     // Its progress can be carried on; see SavedWork.
+  absl::Duration work;  // Until it ends, with what comes before the work.
+  absl::Duration restore_time;  // Of that, what is no work: a restore.
+  absl::Duration done;          // Work that earlier runs did.
+  bool writes_checkpoints =
+      false;  // Its progress can be carried on; see CheckpointedWork.
   bool fails = false;
   int32_t gang = 0;  // Members that must be present; 0: none.
 };
 
 // The work that a checkpoint of the stand-in tells to be done.
-absl::Duration SavedWork(const std::string& checkpoint);
+absl::Duration CheckpointedWork(const std::string& checkpoint);
 
 class SiteWorker {
  public:
   struct Options {
     WorkerRecord record;
-    absl::Duration longest_lease = absl::Seconds(6);
+    absl::Duration max_lease = absl::Seconds(6);
     absl::Duration stop_time = absl::Milliseconds(50);
     double clock_rate = 1.0;  // Down to 0.98.
     int64_t clock_start_ms = 1000;
@@ -82,7 +83,7 @@
     return running_;
   }
   // Ends that the system has not taken note of.
-  const std::vector<EndedTask>& unnoted() const { return ended_; }
+  const std::vector<EndedTask>& unacknowledged_ends() const { return ended_; }
   bool LeaseLapsed(absl::Time now) const {
     return ClockMs(now) > lease_until_ms_;
   }
@@ -98,17 +99,17 @@
   };
   using RunKey = std::pair<TaskId, int32_t>;
   void End(const RunKey& key, RunEnd end, absl::Time now);
-  bool TakeFence(int64_t fence);
+  bool AcceptFence(int64_t fence);
   void ExtendLease(int64_t until_ms, absl::Time now);
   // Work done by then, earlier runs included.
   absl::Duration WorkDone(const Timing& timing, absl::Time now) const;
   std::string Checkpoint(const Timing& timing, absl::Time now) const;
-  int32_t Percent(const Timing& timing, absl::Time now) const;
+  int32_t ProgressPercent(const Timing& timing, absl::Time now) const;
 
   Options options_;
   const Plan plan_;
   const Journal journal_;
-  const absl::Time born_;
+  const absl::Time start_time_;
   bool alive_ = true;
   int64_t fence_ = 0;
   int64_t lease_until_ms_ = 0;
--- a/testing/fuzz/client_call_fuzzer.cc
+++ b/testing/fuzz/client_call_fuzzer.cc
@@ -19,7 +19,7 @@
     R"({"name":"b","host":"a.example","pathPrefix":"/x/y/","service":"s"}],)"
     R"("services":[{"name":"s","admissionCheck":true,"spare":false}]})";
 
-keelbridge::ServerRequest RequestOf(const std::vector<std::string>& lines) {
+keelbridge::ServerRequest BuildRequest(const std::vector<std::string>& lines) {
   keelbridge::ServerRequest request;
   const std::vector<std::string> first =
       absl::StrSplit(lines[0], absl::MaxSplits(' ', 1));
@@ -33,14 +33,14 @@
   return request;
 }
 
-void CheckTaken(const keelbridge::JobSpec& spec) {
+void CheckAcceptedJob(const keelbridge::JobSpec& spec) {
   fuzz::Require(static_cast<bool>(keelbridge::CheckJobSpec(spec)),
                 "a job that is taken is within the limits");
-  const Json::Value own = ToJson(spec);
-  const Json::Value kept =
-      keelbridge::JsonDocument::Parse(keelbridge::ToJsonText(own), "job")
+  const Json::Value encoded = ToJson(spec);
+  const Json::Value decoded =
+      keelbridge::JsonDocument::Parse(keelbridge::ToJsonText(encoded), "job")
           .root();
-  fuzz::Require(ToJson(keelbridge::JobSpecFromJson(kept)) == own,
+  fuzz::Require(ToJson(keelbridge::JobSpecFromJson(decoded)) == encoded,
                 "a job reads the same from the product's own form");
 }
 
@@ -50,8 +50,8 @@
   const platform::Dialect dialect;
   static const keelbridge::SiteConfiguration configuration =
       dialect.ParseConfiguration(kConfiguration).value();
-  const auto call = dialect.ParseClientCall(RequestOf(fuzz::Lines(data, size)),
-                                            configuration);
+  const auto call = dialect.ParseClientCall(
+      BuildRequest(fuzz::InputLines(data, size)), configuration);
   if (!call) {
     fuzz::Require(!call.error().message.empty(), "a refusal gives a reason");
     return 0;
@@ -60,6 +60,6 @@
                     call.value().remaining <= absl::Seconds(60),
                 "a client waits for some time, and not for ever");
   if (call.value().kind == ClientCallKind::kSubmit)
-    CheckTaken(call.value().spec);
+    CheckAcceptedJob(call.value().spec);
   return 0;
 }
--- a/testing/fuzz/configuration_fuzzer.cc
+++ b/testing/fuzz/configuration_fuzzer.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-void CheckLookUps(const keelbridge::SiteConfiguration& configuration) {
+void CheckLookups(const keelbridge::SiteConfiguration& configuration) {
   for (const keelbridge::Queue& queue : configuration.queues) {
-    fuzz::Require(queue.most_attempts >= 1, "a task may be tried once");
+    fuzz::Require(queue.max_attempts >= 1, "a task may be tried once");
     const keelbridge::Queue* named = configuration.FindQueueByName(queue.name);
     fuzz::Require(named != nullptr && named->name == queue.name,
                   "a queue is found by its name");
@@ -25,14 +25,15 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  const std::string text = fuzz::Text(data, size);
+  const std::string text = fuzz::InputText(data, size);
   const platform::Dialect dialect;
-  const auto read = dialect.ParseConfiguration(text);
-  if (!read) {
-    fuzz::Require(!read.error().message.empty(), "a refusal gives a reason");
+  const auto parsed = dialect.ParseConfiguration(text);
+  if (!parsed) {
+    fuzz::Require(!parsed.error().message.empty(), "a refusal gives a reason");
     return 0;
   }
-  fuzz::Require(read.value().document == text, "the document is kept as it is");
-  CheckLookUps(read.value());
+  fuzz::Require(parsed.value().document == text,
+                "the document is kept as it is");
+  CheckLookups(parsed.value());
   return 0;
 }
--- a/testing/fuzz/fuzz_check.h
+++ b/testing/fuzz/fuzz_check.h
@@ -18,18 +18,18 @@
 namespace fuzz {
 
 // Ends the run with a finding unless `holds`.
-inline void Require(bool holds, const char* what) {
-  if (holds) return;
+inline void Require(bool condition, const char* what) {
+  if (condition) return;
   std::fprintf(stderr, "does not hold: %s\n", what);
   std::abort();
 }
 
-inline std::string Text(const uint8_t* data, size_t size) {
+inline std::string InputText(const uint8_t* data, size_t size) {
   return std::string(reinterpret_cast<const char*>(data), size);
 }
 
-inline std::vector<std::string> Lines(const uint8_t* data, size_t size) {
-  return absl::StrSplit(Text(data, size), '\n');
+inline std::vector<std::string> InputLines(const uint8_t* data, size_t size) {
+  return absl::StrSplit(InputText(data, size), '\n');
 }
 
 }  // namespace fuzz
--- a/testing/fuzz/job_fuzzer.cc
+++ b/testing/fuzz/job_fuzzer.cc
@@ -8,13 +8,14 @@
 
 namespace {
 
-void CheckNames(const std::string& text) {
+void CheckTaskId(const std::string& text) {
   keelbridge::TaskId task;
   if (!keelbridge::ParseTaskId(text, &task)) return;
-  keelbridge::TaskId again;
-  fuzz::Require(keelbridge::ParseTaskId(keelbridge::TaskIdText(task), &again) &&
-                    again == task,
-                "a task's name reads the same");
+  keelbridge::TaskId decoded_again;
+  fuzz::Require(
+      keelbridge::ParseTaskId(keelbridge::TaskIdText(task), &decoded_again) &&
+          decoded_again == task,
+      "a task's name reads the same");
 }
 
 void CheckJob(const Json::Value& json) {
@@ -25,16 +26,16 @@
     return;
   }
   if (!keelbridge::CheckJobSpec(spec)) return;
-  const Json::Value own = ToJson(spec);
-  fuzz::Require(ToJson(keelbridge::JobSpecFromJson(own)) == own,
+  const Json::Value encoded = ToJson(spec);
+  fuzz::Require(ToJson(keelbridge::JobSpecFromJson(encoded)) == encoded,
                 "a job reads the same from what was written");
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  const std::string text = fuzz::Text(data, size);
-  CheckNames(text);
+  const std::string text = fuzz::InputText(data, size);
+  CheckTaskId(text);
   CheckJob(keelbridge::JsonDocument::Parse(text, "job").root());
   return 0;
 }
--- a/testing/fuzz/job_records_fuzzer.cc
+++ b/testing/fuzz/job_records_fuzzer.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-keelbridge::Record RecordOf(const std::string& line) {
+keelbridge::Record ParseRecordLine(const std::string& line) {
   keelbridge::Record record;
   const size_t space = line.find(' ');
   record.key = line.substr(0, space);
@@ -15,7 +15,7 @@
   return record;
 }
 
-void WalkThrough(const keelbridge::Job& job) {
+void CheckRounds(const keelbridge::Job& job) {
   for (const keelbridge::Round& round : job.rounds) {
     (void)job.RoundDone(round);
     fuzz::Require(round.steps.size() == job.spec.steps.size(),
@@ -33,12 +33,12 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   keelbridge::JobRecords records;
-  for (const std::string& line : fuzz::Lines(data, size))
-    records.Add(RecordOf(line));
+  for (const std::string& line : fuzz::InputLines(data, size))
+    records.Add(ParseRecordLine(line));
   for (const auto& [id, job] : records.Build()) {
     fuzz::Require(records.unreadable_jobs().count(id) == 0,
                   "a job that cannot be read is not built");
-    WalkThrough(*job);
+    CheckRounds(*job);
     (void)DescriptionRecord(*job);
     (void)ProgressRecord(*job);
   }
--- a/testing/fuzz/known_workers_fuzzer.cc
+++ b/testing/fuzz/known_workers_fuzzer.cc
@@ -5,13 +5,14 @@
 #include "testing/fuzz/fuzz_check.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  const auto known = keelbridge::KnownWorkerFrom(
-      {keelbridge::KnownWorkerKey("w-1"), fuzz::Text(data, size), 0});
+  const auto known = keelbridge::ParseKnownWorker(
+      {keelbridge::KnownWorkerKey("w-1"), fuzz::InputText(data, size), 0});
   fuzz::Require(known.has_value(), "a worker with a record is known");
   fuzz::Require(known->worker.id == "w-1", "the worker keeps its id");
-  const keelbridge::Record own = KnownWorkerRecord(*known);
-  const auto again = keelbridge::KnownWorkerFrom(own);
-  fuzz::Require(again && KnownWorkerRecord(*again).value == own.value,
-                "a known worker reads the same");
+  const keelbridge::Record encoded = KnownWorkerRecord(*known);
+  const auto decoded_again = keelbridge::ParseKnownWorker(encoded);
+  fuzz::Require(
+      decoded_again && KnownWorkerRecord(*decoded_again).value == encoded.value,
+      "a known worker reads the same");
   return 0;
 }
--- a/testing/fuzz/leader_record_fuzzer.cc
+++ b/testing/fuzz/leader_record_fuzzer.cc
@@ -6,11 +6,12 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const auto leader = keelbridge::LeaderFromRecord(
-      {keelbridge::kLeaderKey, fuzz::Text(data, size), 0});
+      {keelbridge::kLeaderKey, fuzz::InputText(data, size), 0});
   if (!leader) return 0;
-  const keelbridge::Record own = ToRecord(*leader);
-  const auto again = keelbridge::LeaderFromRecord(own);
-  fuzz::Require(again && ToRecord(*again).value == own.value,
-                "a leader's record reads the same");
+  const keelbridge::Record encoded = ToRecord(*leader);
+  const auto decoded_again = keelbridge::LeaderFromRecord(encoded);
+  fuzz::Require(
+      decoded_again && ToRecord(*decoded_again).value == encoded.value,
+      "a leader's record reads the same");
   return 0;
 }
--- a/testing/fuzz/list_page_fuzzer.cc
+++ b/testing/fuzz/list_page_fuzzer.cc
@@ -6,7 +6,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   keelbridge::NewestReply page;
-  if (!platform::internal::DecodeNewest(fuzz::Text(data, size), &page))
+  if (!platform::internal::DecodeNewest(fuzz::InputText(data, size), &page))
     return 0;
   for (const keelbridge::Record& record : page.records)
     fuzz::Require(!record.value || !record.value->empty(),
--- a/testing/fuzz/node_messages_fuzzer.cc
+++ b/testing/fuzz/node_messages_fuzzer.cc
@@ -27,9 +27,10 @@
   fuzz::Require(call.value().kind != keelbridge::ClientCallKind::kSubmit ||
                     keelbridge::CheckJobSpec(call.value().spec),
                 "a job that is taken is within the limits");
-  const Json::Value own = ToJson(call.value());
-  const auto again = keelbridge::ClientCallFromJson(own);
-  fuzz::Require(again && ToJson(again.value()) == own, "a call reads the same");
+  const Json::Value encoded = ToJson(call.value());
+  const auto decoded_again = keelbridge::ClientCallFromJson(encoded);
+  fuzz::Require(decoded_again && ToJson(decoded_again.value()) == encoded,
+                "a call reads the same");
 }
 
 void CheckAdviceRequest(const Json::Value& in) {
@@ -45,7 +46,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   if (size == 0) return 0;
   const auto document = keelbridge::JsonDocument::Parse(
-      fuzz::Text(data + 1, size - 1), "message");
+      fuzz::InputText(data + 1, size - 1), "message");
   const Json::Value& in = document.root();
   switch (data[0]) {
     case 'c':
--- a/testing/fuzz/order_messages_fuzzer.cc
+++ b/testing/fuzz/order_messages_fuzzer.cc
@@ -13,9 +13,10 @@
 void CheckOrder(const Json::Value& row) {
   const auto order = keelbridge::OrderFromRow(row);
   if (!order) return;
-  const Json::Value own = ToRow(*order);
-  const auto again = keelbridge::OrderFromRow(own);
-  fuzz::Require(again && ToRow(*again) == own, "an order reads the same");
+  const Json::Value encoded = ToRow(*order);
+  const auto decoded_again = keelbridge::OrderFromRow(encoded);
+  fuzz::Require(decoded_again && ToRow(*decoded_again) == encoded,
+                "an order reads the same");
 }
 
 void CheckReply(const Json::Value& row) {
@@ -27,16 +28,17 @@
   for (const keelbridge::EndedTask& task : reply->reply.ended)
     fuzz::Require(task.end >= RunEnd::kDone && task.end <= RunEnd::kAlone,
                   "an end is one of those that there are");
-  const Json::Value own = ToRow(*reply);
-  const auto again = keelbridge::ReplyFromRow(own);
-  fuzz::Require(again && ToRow(*again) == own, "an answer reads the same");
+  const Json::Value encoded = ToRow(*reply);
+  const auto decoded_again = keelbridge::ReplyFromRow(encoded);
+  fuzz::Require(decoded_again && ToRow(*decoded_again) == encoded,
+                "an answer reads the same");
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const auto message =
-      keelbridge::JsonDocument::Parse(fuzz::Text(data, size), "orders");
+      keelbridge::JsonDocument::Parse(fuzz::InputText(data, size), "orders");
   for (const Json::Value& row : message.root()["rows"]) {
     CheckOrder(row);
     CheckReply(row);
--- a/testing/fuzz/record_frames_fuzzer.cc
+++ b/testing/fuzz/record_frames_fuzzer.cc
@@ -9,14 +9,14 @@
 namespace {
 
 // The body's first bytes: where the stream ends and begins.
-constexpr size_t kOffsets = 16;
+constexpr size_t kHeaderBytes = 16;
 
 // A record of a key and no bytes, and one of a key alone, have one form.
-void CheckWrittenTheSame(const std::string& body,
-                         const keelbridge::ReadReply& reply) {
-  fuzz::Require(
-      platform::internal::EncodeRecords(reply.records) == body.substr(kOffsets),
-      "records are written as they were read");
+void CheckEncodedEqual(const std::string& body,
+                       const keelbridge::ReadReply& reply) {
+  fuzz::Require(platform::internal::EncodeRecords(reply.records) ==
+                    body.substr(kHeaderBytes),
+                "records are written as they were read");
 }
 
 }  // namespace
@@ -25,10 +25,11 @@
   int64_t from = 0;
   if (size < sizeof(from)) return 0;
   std::memcpy(&from, data, sizeof(from));
-  const std::string body = fuzz::Text(data + sizeof(from), size - sizeof(from));
+  const std::string body =
+      fuzz::InputText(data + sizeof(from), size - sizeof(from));
   keelbridge::ReadReply reply;
   if (!platform::internal::DecodeRead(body, from, &reply)) return 0;
-  CheckWrittenTheSame(body, reply);
+  CheckEncodedEqual(body, reply);
   for (size_t i = 0; i < reply.records.size(); ++i)
     fuzz::Require(reply.records[i].offset - from == static_cast<int64_t>(i),
                   "offsets rise by one");
--- a/testing/fuzz/rpc_frames_fuzzer.cc
+++ b/testing/fuzz/rpc_frames_fuzzer.cc
@@ -8,31 +8,35 @@
 namespace {
 
 void CheckCall(const std::string& body) {
-  const keelbridge::RpcCall call = keelbridge::ReadRpcCall(body);
-  if (!call.readable) return;
-  const std::string text = keelbridge::RpcCallText(1, call.method, call.params);
-  const keelbridge::RpcCall again = keelbridge::ReadRpcCall(text);
-  fuzz::Require(again.readable && keelbridge::RpcCallText(1, again.method,
-                                                          again.params) == text,
+  const keelbridge::RpcCall call = keelbridge::ParseRpcCall(body);
+  if (!call.valid) return;
+  const std::string text =
+      keelbridge::SerializeRpcCall(1, call.method, call.params);
+  const keelbridge::RpcCall decoded_again = keelbridge::ParseRpcCall(text);
+  fuzz::Require(decoded_again.valid &&
+                    keelbridge::SerializeRpcCall(1, decoded_again.method,
+                                                 decoded_again.params) == text,
                 "a call reads the same");
 }
 
 void CheckAnswer(const std::string& body) {
-  const keelbridge::RpcOutcome outcome = keelbridge::ReadRpcAnswer(body);
+  const keelbridge::RpcOutcome outcome = keelbridge::ParseRpcResponse(body);
   fuzz::Require(outcome.sent, "a call that was answered was sent");
   if (!outcome.answered) return;
   const std::string text =
-      keelbridge::RpcAnswerText(1, {outcome.result, 0, ""});
-  const keelbridge::RpcOutcome again = keelbridge::ReadRpcAnswer(text);
-  fuzz::Require(again.answered &&
-                    keelbridge::RpcAnswerText(1, {again.result, 0, ""}) == text,
-                "an answer reads the same");
+      keelbridge::SerializeRpcResponse(1, {outcome.result, 0, ""});
+  const keelbridge::RpcOutcome decoded_again =
+      keelbridge::ParseRpcResponse(text);
+  fuzz::Require(
+      decoded_again.answered && keelbridge::SerializeRpcResponse(
+                                    1, {decoded_again.result, 0, ""}) == text,
+      "an answer reads the same");
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  const std::string body = fuzz::Text(data, size);
+  const std::string body = fuzz::InputText(data, size);
   CheckCall(body);
   CheckAnswer(body);
   return 0;
--- a/testing/fuzz/worker_record_fuzzer.cc
+++ b/testing/fuzz/worker_record_fuzzer.cc
@@ -7,15 +7,17 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const platform::Dialect dialect;
-  const auto record = dialect.ParseWorkerRecord("w-1", fuzz::Text(data, size));
+  const auto record =
+      dialect.ParseWorkerRecord("w-1", fuzz::InputText(data, size));
   if (!record) {
     fuzz::Require(!record.error().message.empty(), "a refusal gives a reason");
     return 0;
   }
-  const keelbridge::WorkerLife life =
-      keelbridge::ParseWorkerLife(record.value().id);
-  fuzz::Require(life.name == "w-1", "the record keeps its name");
-  fuzz::Require(keelbridge::WorkerLifeId(life) == record.value().id,
-                "an id gives back its life");
+  const keelbridge::WorkerIncarnation incarnation =
+      keelbridge::ParseWorkerIncarnation(record.value().id);
+  fuzz::Require(incarnation.name == "w-1", "the record keeps its name");
+  fuzz::Require(
+      keelbridge::WorkerIncarnationId(incarnation) == record.value().id,
+      "an id gives back its life");
   return 0;
 }
--- a/testing/gateway_hop_main.cc
+++ b/testing/gateway_hop_main.cc
@@ -24,13 +24,14 @@
 }
 
 int Run() {
-  SmallCell::Options options;
+  ZoneTestCluster::Options options;
   options.runner_work_ms = 0;
-  SmallCell cell(options);
-  cell.Publish();
-  HttpClient direct(ParseAddress(cell.PlatformAddress() + "/runner/t0").value(),
-                    HttpClient::Options());
-  HttpClient gateway(ParseAddress(cell.GatewayAddress(0)).value(),
+  ZoneTestCluster cluster(options);
+  cluster.Publish();
+  HttpClient direct(
+      ParseAddress(cluster.PlatformAddress() + "/runner/t0").value(),
+      HttpClient::Options());
+  HttpClient gateway(ParseAddress(cluster.GatewayAddress(0)).value(),
                      HttpClient::Options());
   std::vector<double> direct_ms;
   std::vector<double> gateway_ms;
--- a/testing/site_cut_test.cc
+++ b/testing/site_cut_test.cc
@@ -20,10 +20,10 @@
 using Mode = FaultProxy::Mode;
 
 constexpr int kNodes = 3;
-constexpr absl::Duration kPause = absl::Milliseconds(30);
+constexpr absl::Duration kPollInterval = absl::Milliseconds(30);
 
-SiteCell::Options Proxied() {
-  SiteCell::Options options;
+SiteTestCluster::Options ProxiedOptions() {
+  SiteTestCluster::Options options;
   options.nodes = kNodes;
   options.proxies = true;
   return options;
@@ -34,28 +34,29 @@
 }
 
 // A node that knows the version's queue refuses the id, others the queue.
-bool ServesBy(SiteCell& cell, int node, int64_t version) {
+bool ServesVersion(SiteTestCluster& cluster, int node, int64_t version) {
   const HttpRequest request{
       "GET", VersionPrefix(version) + "none", {{"Host", kSiteHost}}, "", ""};
-  return StatusOf(cell.Raw(node, request)) == 400;
+  return StatusOf(cluster.SendRequest(node, request)) == 400;
 }
 
-void Publish(SiteCell& cell, int64_t version) {
-  cell.WithPlatform([version](SitePlatform& platform) {
+void Publish(SiteTestCluster& cluster, int64_t version) {
+  cluster.WithPlatform([version](SitePlatform& platform) {
     platform.PublishConfiguration(version);
   });
 }
 
 // Every node serves by `version` within the bound of ConfigurationCheck:
-// `kApply` from now on while nothing disturbs the nodes, `kInTouch` once their
-// trouble has just ended.
-void CheckAllServeBy(SiteCell& cell, int64_t version, absl::Duration bound) {
-  const absl::Time until = absl::Now() + bound;
+// `kApplyTime` from now on while nothing disturbs the nodes, `kRecoveryTime`
+// once their trouble has just ended.
+void CheckAllServeVersion(SiteTestCluster& cluster, int64_t version,
+                          absl::Duration time_limit) {
+  const absl::Time deadline = absl::Now() + time_limit;
   for (int node = 0; node < kNodes; ++node) {
-    bool serves = ServesBy(cell, node, version);
-    while (!serves && absl::Now() < until) {
-      absl::SleepFor(kPause);
-      serves = ServesBy(cell, node, version);
+    bool serves = ServesVersion(cluster, node, version);
+    while (!serves && absl::Now() < deadline) {
+      absl::SleepFor(kPollInterval);
+      serves = ServesVersion(cluster, node, version);
     }
     CAPTURE(node);
     CHECK(serves);
@@ -63,170 +64,174 @@
 }
 
 TEST_CASE("site cut: a change is heard of though polls get no answer") {
-  SiteCell cell(Proxied());
-  REQUIRE(cell.AwaitReady(kNodes));
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
   SiteStore::Faults faults;
-  faults.silent_polls = true;
-  cell.WithPlatform(
+  faults.drop_poll_responses = true;
+  cluster.WithPlatform(
       [&](SitePlatform& platform) { platform.store().SetFaults(faults); });
-  Publish(cell, 2);
-  CheckAllServeBy(cell, 2, ConfigurationCheck::kApply);
+  Publish(cluster, 2);
+  CheckAllServeVersion(cluster, 2, ConfigurationCheck::kApplyTime);
 }
 
 TEST_CASE(
     "site cut: a change behind a silence that heals quietly is heard of") {
-  SiteCell cell(Proxied());
-  REQUIRE(cell.AwaitReady(kNodes));
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
   for (int node = 0; node < kNodes; ++node)
-    cell.SetStoreProxy(node, Mode::kSilent);
-  Publish(cell, 2);
+    cluster.SetStoreProxy(node, Mode::kDropAll);
+  Publish(cluster, 2);
   absl::SleepFor(absl::Seconds(1));
-  for (int node = 0; node < kNodes; ++node) cell.HealStoreProxyQuietly(node);
-  CheckAllServeBy(cell, 2, ConfigurationCheck::kInTouch);
+  for (int node = 0; node < kNodes; ++node)
+    cluster.HealStoreProxyWithoutReset(node);
+  CheckAllServeVersion(cluster, 2, ConfigurationCheck::kRecoveryTime);
 }
 
 TEST_CASE("site cut: polls that are cut after a change cost nothing") {
-  SiteCell cell(Proxied());
-  REQUIRE(cell.AwaitReady(kNodes));
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
   SiteStore::Faults faults;
-  faults.silent_polls = true;
-  cell.WithPlatform(
+  faults.drop_poll_responses = true;
+  cluster.WithPlatform(
       [&](SitePlatform& platform) { platform.store().SetFaults(faults); });
-  Publish(cell, 2);
+  Publish(cluster, 2);
   absl::SleepFor(absl::Seconds(1));
-  cell.WithPlatform([](SitePlatform& platform) {
+  cluster.WithPlatform([](SitePlatform& platform) {
     platform.store().SetFaults({});
-    platform.store().CutPolls();
+    platform.store().CloseLongPolls();
   });
   // A second of the two is over.
-  CheckAllServeBy(cell, 2, ConfigurationCheck::kApply - absl::Seconds(1));
+  CheckAllServeVersion(cluster, 2,
+                       ConfigurationCheck::kApplyTime - absl::Seconds(1));
 }
 
 // Nothing that the node could hear of another leader by reaches it any more.
-void CutOff(SiteCell& cell, int node) {
-  cell.SetStoreProxy(node, Mode::kSilent);
-  for (int i = 0; i < kNodes; ++i) cell.SetPeerProxy(i, Mode::kSilent);
+void IsolateNode(SiteTestCluster& cluster, int node) {
+  cluster.SetStoreProxy(node, Mode::kDropAll);
+  for (int i = 0; i < kNodes; ++i) cluster.SetPeerProxy(i, Mode::kDropAll);
   for (int i = 0; i < SitePlatform::Options().workers; ++i)
-    cell.SetWorkerProxy(i, Mode::kSilent);
+    cluster.SetWorkerProxy(i, Mode::kDropAll);
 }
 
 // Hands `job` in at the nodes but `leader`; false: none accepted it in time.
-bool AcceptedElsewhere(SiteCell& cell, int leader, uint64_t job) {
-  const absl::Time until = absl::Now() + absl::Seconds(20);
-  for (int turn = 0; absl::Now() < until; ++turn) {
-    const int node = turn % kNodes;
+bool SubmitToOtherNodes(SiteTestCluster& cluster, int leader, uint64_t job) {
+  const absl::Time deadline = absl::Now() + absl::Seconds(20);
+  for (int attempt = 0; absl::Now() < deadline; ++attempt) {
+    const int node = attempt % kNodes;
     if (node == leader) continue;
-    const std::string body = SiteCell::OneStep(1, 100);
-    if (StatusOf(cell.Call(node, "POST", job, body)) == 200) return true;
-    absl::SleepFor(kPause);
+    const std::string body = SiteTestCluster::OneStepJob(1, 100);
+    if (StatusOf(cluster.Call(node, "POST", job, body)) == 200) return true;
+    absl::SleepFor(kPollInterval);
   }
   return false;
 }
 
 TEST_CASE("site cut: a leader that is cut off calls no accepted job unknown") {
-  SiteCell cell(Proxied());
-  REQUIRE(cell.AwaitReady(kNodes));
-  const int leader = cell.Leader();
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  const int leader = cluster.Leader();
   REQUIRE(leader >= 0);
-  CutOff(cell, leader);
-  REQUIRE(AcceptedElsewhere(cell, leader, 1));
-  constexpr int kLooks = 5;
-  for (int i = 0; i < kLooks; ++i) {
-    const int status = StatusOf(cell.Call(leader, "GET", 1));
+  IsolateNode(cluster, leader);
+  REQUIRE(SubmitToOtherNodes(cluster, leader, 1));
+  constexpr int kQueries = 5;
+  for (int i = 0; i < kQueries; ++i) {
+    const int status = StatusOf(cluster.Call(leader, "GET", 1));
     CHECK(status != 410);
     CHECK(status != 404);
-    absl::SleepFor(kPause);
+    absl::SleepFor(kPollInterval);
   }
 }
 
 // Callers that ask `node` for `job`, on connections that are open already, and
 // wait for what it answers once it goes on.
-class PatientCallers {
+class ConcurrentCallers {
  public:
-  PatientCallers(SiteCell& cell, int node) : cell_(cell), node_(node) {}
+  ConcurrentCallers(SiteTestCluster& cluster, int node)
+      : cluster_(cluster), node_(node) {}
 
-  void Ask(uint64_t job, int callers) {
+  void StartCalls(uint64_t job, int callers) {
     for (int i = 0; i < callers; ++i) {
       threads_.emplace_back([this, job] {
-        const HttpOutcome outcome = cell_.Raw(node_,
-                                              {"GET",
-                                               kSitePrefix + JobIdText(job),
-                                               {{"Host", kSiteHost}},
-                                               "",
-                                               ""},
-                                              absl::Seconds(6));
+        const HttpOutcome outcome =
+            cluster_.SendRequest(node_,
+                                 {"GET",
+                                  kSitePrefix + JobIdText(job),
+                                  {{"Host", kSiteHost}},
+                                  "",
+                                  ""},
+                                 absl::Seconds(6));
         if (StatusOf(outcome) == 410 || StatusOf(outcome) == 404) ++unknown_;
       });
     }
   }
   // How many of those that asked since the last time were told that nobody
   // knows the job.
-  int Unknown() {
+  int JoinAndCountUnknown() {
     for (std::thread& thread : threads_) thread.join();
     threads_.clear();
     return unknown_.exchange(0);
   }
 
  private:
-  SiteCell& cell_;
+  SiteTestCluster& cluster_;
   const int node_;
   std::atomic<int> unknown_{0};
   std::vector<std::thread> threads_;
 };
 
 TEST_CASE("site cut: a leader that stood still calls no accepted job unknown") {
-  SiteCell cell(Proxied());
-  REQUIRE(cell.AwaitReady(kNodes));
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
   constexpr int kRounds = 3;
   constexpr int kCallers = 8;
   for (uint64_t job = 1; job <= kRounds; ++job) {
     CAPTURE(job);
-    const int leader = cell.Leader();
+    const int leader = cluster.Leader();
     REQUIRE(leader >= 0);
-    PatientCallers callers(cell, leader);
-    callers.Ask(job + 100, kCallers);  // Nobody handed it in.
-    CHECK(callers.Unknown() == kCallers);
-    cell.node(leader).Signal(SIGSTOP);
-    const bool accepted = AcceptedElsewhere(cell, leader, job);
-    callers.Ask(job, kCallers);
-    absl::SleepFor(kPause);
-    cell.node(leader).Signal(SIGCONT);
+    ConcurrentCallers callers(cluster, leader);
+    callers.StartCalls(job + 100, kCallers);  // Nobody handed it in.
+    CHECK(callers.JoinAndCountUnknown() == kCallers);
+    cluster.node(leader).Signal(SIGSTOP);
+    const bool accepted = SubmitToOtherNodes(cluster, leader, job);
+    callers.StartCalls(job, kCallers);
+    absl::SleepFor(kPollInterval);
+    cluster.node(leader).Signal(SIGCONT);
     CHECK(accepted);
-    CHECK(callers.Unknown() == 0);
-    REQUIRE(cell.AwaitState(job, "completed"));
+    CHECK(callers.JoinAndCountUnknown() == 0);
+    REQUIRE(cluster.AwaitState(job, "completed"));
   }
 }
 
 TEST_CASE(
     "site cut: a call that comes late in a planned stop is answered before the "
     "process ends") {
-  SiteCell cell(Proxied());
-  REQUIRE(cell.AwaitReady(kNodes));
-  const int node = (cell.Leader() + 1) % kNodes;
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  const int node = (cluster.Leader() + 1) % kNodes;
   // Whatever it passes on gets no answer.
-  cell.SetStoreProxy(node, Mode::kSilent);
-  for (int i = 0; i < kNodes; ++i) cell.SetPeerProxy(i, Mode::kSilent);
-  cell.node(node).Signal(SIGTERM);
+  cluster.SetStoreProxy(node, Mode::kDropAll);
+  for (int i = 0; i < kNodes; ++i) cluster.SetPeerProxy(i, Mode::kDropAll);
+  cluster.node(node).Signal(SIGTERM);
   // The grace is 6 s, a call is passed on for up to 2.6 s, and the process ends
   // 0.5 s before its grace. The first call keeps it until the others come. All
   // of them may have reached a leader, the last one with its only try.
   std::vector<std::thread> callers;
   std::vector<int> statuses(3);
   for (size_t i = 0; i < statuses.size(); ++i) {
-    callers.emplace_back([&cell, &statuses, node, i] {
+    callers.emplace_back([&cluster, &statuses, node, i] {
       absl::SleepFor(absl::Milliseconds(2000 + 1300 * static_cast<int>(i)));
       const HttpRequest request{"POST",
                                 kSitePrefix + JobIdText(i + 1),
                                 {{"Host", kSiteHost}},
-                                SiteCell::OneStep(1, 100),
+                                SiteTestCluster::OneStepJob(1, 100),
                                 "application/json"};
       statuses[i] =
-          StatusOf(cell.NewClient(node)->Send(request, absl::Seconds(4)));
+          StatusOf(cluster.NewClient(node)->Send(request, absl::Seconds(4)));
     });
   }
   for (std::thread& caller : callers) caller.join();
   for (const int status : statuses) CHECK(status == 504);
-  CHECK(cell.node(node).Wait() == 0);
+  CHECK(cluster.node(node).Wait() == 0);
 }
 
 }  // namespace
--- a/testing/site_entries_test.cc
+++ b/testing/site_entries_test.cc
@@ -18,59 +18,60 @@
 
 constexpr int kNodes = 3;
 
-int64_t ForeignCalls(SiteCell& cell) {
+int64_t CountForeignCalls(SiteTestCluster& cluster) {
   int64_t calls = 0;
-  cell.WithPlatform(
+  cluster.WithPlatform(
       [&](SitePlatform& platform) { calls = platform.foreign_calls(); });
   return calls;
 }
 
-void CheckRuns(SiteCell& cell, uint64_t first, uint64_t last) {
+void CheckJobsComplete(SiteTestCluster& cluster, uint64_t first,
+                       uint64_t last) {
   for (uint64_t job = first; job <= last; ++job)
-    CHECK(cell.SubmitAnywhere(job, SiteCell::OneStep(2, 200)));
+    CHECK(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(2, 200)));
   for (uint64_t job = first; job <= last; ++job)
-    CHECK(cell.AwaitState(job, "completed"));
+    CHECK(cluster.AwaitState(job, "completed"));
 }
 
 // Ends the leader; the next one loads what lies in the store.
-void ReplaceLeader(SiteCell& cell) {
+void ReplaceLeader(SiteTestCluster& cluster) {
   int leader = -1;
-  REQUIRE(Eventually([&] { return (leader = cell.Leader()) >= 0; }));
-  cell.node(leader).Signal(SIGKILL);
-  cell.node(leader).Wait();
-  cell.ForgetNode(leader);
-  cell.StartNode(leader);
-  REQUIRE(Eventually([&] { return cell.Leader() >= 0; }));
-  REQUIRE(cell.AwaitReady(kNodes));
+  REQUIRE(Eventually([&] { return (leader = cluster.Leader()) >= 0; }));
+  cluster.node(leader).Signal(SIGKILL);
+  cluster.node(leader).Wait();
+  cluster.RemoveNode(leader);
+  cluster.StartNode(leader);
+  REQUIRE(Eventually([&] { return cluster.Leader() >= 0; }));
+  REQUIRE(cluster.AwaitReady(kNodes));
 }
 
 TEST_CASE("site entries: foreign entries of workers are passed over") {
-  SiteCell::Options options;
+  SiteTestCluster::Options options;
   options.nodes = kNodes;
-  SiteCell cell(options);
-  cell.WithPlatform([](SitePlatform& platform) {
+  SiteTestCluster cluster(options);
+  cluster.WithPlatform([](SitePlatform& platform) {
     platform.WriteForeignEntries();
-    platform.store().SpoilPages("keyed.servers");
-    platform.store().SpoilPages("keyed.op");
+    platform.store().AddUnreadableItems("keyed.servers");
+    platform.store().AddUnreadableItems("keyed.op");
   });
-  REQUIRE(cell.AwaitReady(kNodes));
-  CheckRuns(cell, 1, 4);
-  cell.WithPlatform(
+  REQUIRE(cluster.AwaitReady(kNodes));
+  CheckJobsComplete(cluster, 1, 4);
+  cluster.WithPlatform(
       [](SitePlatform& platform) { platform.WriteForeignEntries(); });
-  CheckRuns(cell, 5, 8);
-  ReplaceLeader(cell);
-  CheckRuns(cell, 9, 12);
-  CHECK(ForeignCalls(cell) == 0);
-  CHECK(cell.Faults().empty());
+  CheckJobsComplete(cluster, 5, 8);
+  ReplaceLeader(cluster);
+  CheckJobsComplete(cluster, 9, 12);
+  CHECK(CountForeignCalls(cluster) == 0);
+  CHECK(cluster.Faults().empty());
 }
 
 TEST_CASE("site entries: records of jobs that cannot be read end no load") {
-  SiteCell::Options options;
+  SiteTestCluster::Options options;
   options.nodes = kNodes;
-  SiteCell cell(options);
-  REQUIRE(cell.AwaitReady(kNodes));
-  CheckRuns(cell, 1, 2);
-  cell.WithPlatform([](SitePlatform& platform) {
+  SiteTestCluster cluster(options);
+  REQUIRE(cluster.AwaitReady(kNodes));
+  CheckJobsComplete(cluster, 1, 2);
+  cluster.WithPlatform([](SitePlatform& platform) {
     const auto put = [&platform](const std::string& key,
                                  const std::string& value) {
       platform.store().Put("keyed.keelbridge-jobs", key, value);
@@ -81,23 +82,23 @@
     put("w/i-lost", R"({"machine":[],"labels":{"a":1},"epoch":"x"})");
     put("w/i-0-0", "{");
     put("x", "y");
-    platform.store().SpoilPages("keyed.keelbridge-jobs");
+    platform.store().AddUnreadableItems("keyed.keelbridge-jobs");
   });
-  ReplaceLeader(cell);
-  CheckRuns(cell, 3, 6);
+  ReplaceLeader(cluster);
+  CheckJobsComplete(cluster, 3, 6);
   // Not denied: such a job may have been accepted.
-  const HttpOutcome unreadable = cell.Call(0, "GET", 0xab);
+  const HttpOutcome unreadable = cluster.Call(0, "GET", 0xab);
   REQUIRE(unreadable.response);
   CHECK(unreadable.response->status == 503);
-  CHECK(cell.Faults().empty());
+  CHECK(cluster.Faults().empty());
 }
 
 TEST_CASE("site entries: a configuration that makes no sense changes nothing") {
-  SiteCell::Options options;
+  SiteTestCluster::Options options;
   options.nodes = kNodes;
-  SiteCell cell(options);
-  REQUIRE(cell.AwaitReady(kNodes));
-  cell.WithPlatform([](SitePlatform& platform) {
+  SiteTestCluster cluster(options);
+  REQUIRE(cluster.AwaitReady(kNodes));
+  cluster.WithPlatform([](SitePlatform& platform) {
     for (const char* document :
          {R"({"version":50})", R"({"version":51,"routes":"x","services":[]})",
           R"({"version":52,"routes":[7],"services":[{"name":"desk"}]})",
@@ -106,13 +107,13 @@
   });
   absl::SleepFor(absl::Seconds(1));
   for (int node = 0; node < kNodes; ++node)
-    CHECK(cell.ConfigurationVersion(node) == 1);
-  CheckRuns(cell, 1, 3);
-  cell.WithPlatform(
+    CHECK(cluster.ConfigurationVersion(node) == 1);
+  CheckJobsComplete(cluster, 1, 3);
+  cluster.WithPlatform(
       [](SitePlatform& platform) { platform.PublishConfiguration(60); });
   for (int node = 0; node < kNodes; ++node)
-    CHECK(Eventually([&] { return cell.ConfigurationVersion(node) == 60; }));
-  CHECK(cell.Faults().empty());
+    CHECK(Eventually([&] { return cluster.ConfigurationVersion(node) == 60; }));
+  CHECK(cluster.Faults().empty());
 }
 
 }  // namespace
--- a/testing/site_load_main.cc
+++ b/testing/site_load_main.cc
@@ -41,14 +41,14 @@
 using keelbridge::HttpRequest;
 
 constexpr absl::Duration kCallTimeout = absl::Seconds(3);
-constexpr absl::Duration kTick = absl::Milliseconds(5);
-constexpr uint64_t kMixLength = 25;
-
-std::string Body(uint64_t number) {
-  const uint64_t draw = number % kMixLength;
-  const int tasks = draw == 0 ? 20 : draw < 3 ? 25 : 3;
-  const int cpu = draw == 0 ? 18000 : draw < 3 ? 6900 : 9900;
-  const int work_ms = draw == 0 ? 6200 : draw < 3 ? 2200 : 640;
+constexpr absl::Duration kTickInterval = absl::Milliseconds(5);
+constexpr uint64_t kMixPeriod = 25;
+
+std::string JobBody(uint64_t number) {
+  const uint64_t position = number % kMixPeriod;
+  const int tasks = position == 0 ? 20 : position < 3 ? 25 : 3;
+  const int cpu = position == 0 ? 18000 : position < 3 ? 6900 : 9900;
+  const int work_ms = position == 0 ? 6200 : position < 3 ? 2200 : 640;
   return absl::StrCat("{\"taskSpec\":\"[{\\\"cpu\\\":", cpu,
                       ",\\\"memory\\\":1024,\\\"work_ms\\\":", work_ms,
                       "}]\",\"steps\":[{\"count\":", tasks, ",\"cpu\":", cpu,
@@ -73,12 +73,12 @@
          static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-class Load {
+class LoadGenerator {
  public:
-  explicit Load(boost::asio::io_context& loop) : timer_(loop) {
+  explicit LoadGenerator(boost::asio::io_context& loop) : timer_(loop) {
     for (const std::string& node : absl::GetFlag(FLAGS_nodes)) {
       EventHttpClient::Options options;
-      options.most_connections = 64;
+      options.max_connections = 64;
       auto address = keelbridge::ParseAddress(node);
       if (!address) {
         std::cerr << address.error().message << "\n";
@@ -90,14 +90,14 @@
   }
 
   void Start() {
-    begun_ = keelbridge::SystemNow().mono;
+    start_time_ = keelbridge::SystemNow().mono;
     Tick();
   }
 
   void Print() const {
     for (const auto& [status, count] : answers_)
       std::cout << "status " << status << ": " << count << "\n";
-    std::vector<double> sorted = took_ms_;
+    std::vector<double> sorted = latencies_ms_;
     std::sort(sorted.begin(), sorted.end());
     if (sorted.empty()) return;
     std::cout << absl::StrFormat(
@@ -107,12 +107,12 @@
 
  private:
   void Tick() {
-    const absl::Duration since = keelbridge::SystemNow().mono - begun_;
+    const absl::Duration elapsed = keelbridge::SystemNow().mono - start_time_;
     const auto due = static_cast<uint64_t>(
-        absl::ToDoubleSeconds(since) * absl::GetFlag(FLAGS_jobs_per_second));
+        absl::ToDoubleSeconds(elapsed) * absl::GetFlag(FLAGS_jobs_per_second));
     while (sent_ < due) Submit(absl::GetFlag(FLAGS_first_job) + sent_++);
-    if (since > absl::GetFlag(FLAGS_length)) return;
-    timer_.expires_after(absl::ToChronoNanoseconds(kTick));
+    if (elapsed > absl::GetFlag(FLAGS_length)) return;
+    timer_.expires_after(absl::ToChronoNanoseconds(kTickInterval));
     timer_.async_wait([this](boost::system::error_code error) {
       if (!error) Tick();
     });
@@ -125,23 +125,23 @@
                                 absl::Hex(number, absl::kZeroPad16));
     request.headers.emplace_back("Host", keelbridge::testing::kSiteHost);
     request.headers.emplace_back("Content-Type", "application/json");
-    request.body = Body(number);
+    request.body = JobBody(number);
     const absl::Time sent = keelbridge::SystemNow().mono;
     nodes_[number % nodes_.size()]->Send(
         std::move(request), kCallTimeout,
         [this, sent](const HttpOutcome& outcome) {
           ++answers_[outcome.response ? outcome.response->status : 0];
-          took_ms_.push_back(
+          latencies_ms_.push_back(
               absl::ToDoubleMilliseconds(keelbridge::SystemNow().mono - sent));
         });
   }
 
   boost::asio::steady_timer timer_;
   std::vector<std::unique_ptr<EventHttpClient>> nodes_;
-  absl::Time begun_;
+  absl::Time start_time_;
   uint64_t sent_ = 0;
   std::map<int, int64_t> answers_;
-  std::vector<double> took_ms_;
+  std::vector<double> latencies_ms_;
 };
 
 }  // namespace
@@ -149,16 +149,17 @@
 int main(int argc, char** argv) {
   absl::ParseCommandLine(argc, argv);
   boost::asio::io_context loop;
-  Load load(loop);
+  LoadGenerator load(loop);
   std::map<std::string, double> before;
   for (const std::string& pid : absl::GetFlag(FLAGS_pids))
     before[pid] = ProcessorSeconds(pid);
   load.Start();
   loop.run_for(absl::ToChronoNanoseconds(absl::GetFlag(FLAGS_length)));
   const double seconds = absl::ToDoubleSeconds(absl::GetFlag(FLAGS_length));
-  for (const auto& [pid, used] : before) {
-    std::cout << absl::StrFormat("process %s: %.3f of a processor\n", pid,
-                                 (ProcessorSeconds(pid) - used) / seconds);
+  for (const auto& [pid, used_before] : before) {
+    std::cout << absl::StrFormat(
+        "process %s: %.3f of a processor\n", pid,
+        (ProcessorSeconds(pid) - used_before) / seconds);
   }
   load.Print();
   return 0;
--- a/testing/site_load_test.cc
+++ b/testing/site_load_test.cc
@@ -18,15 +18,15 @@
   queue.name = name;
   queue.pool = SiteSimulation::kPool;
   queue.priority = priority;
-  queue.most_attempts = 3;
+  queue.max_attempts = 3;
   queue.stretch = stretch;
   queue.target_latency_ms = target_ms;
   queue.advice = advice;
   return queue;
 }
 
-JobSpec Tasks(int32_t count, Resources need, int64_t estimated_ms,
-              bool checkpoints) {
+JobSpec MakeJob(int32_t count, Resources need, int64_t estimated_ms,
+                bool checkpoints) {
   JobSpec spec;
   StepSpec step;
   step.count = count;
@@ -42,7 +42,7 @@
                    absl::Duration objective) {
   int in_time = 0;
   for (const JobId id : jobs) {
-    const auto time = site.TimeOf(id);
+    const auto time = site.JobDuration(id);
     if (time && *time <= objective) ++in_time;
   }
   return static_cast<double>(in_time) / static_cast<double>(jobs.size());
@@ -56,7 +56,7 @@
 // Tasks that take half a worker and up to all of its accelerators, beside many
 // small ones that are less urgent, save their progress and could fill all
 // workers: 8 workers, 30 s, half of the workers may run a step.
-Shares LargeBesideSmall(SchedulerPolicy policy) {
+Shares RunLargeAndSmallTasks(SchedulerPolicy policy) {
   Shares sum;
   constexpr int kSeeds = 5;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -77,12 +77,12 @@
       site.After(absl::Milliseconds(1000 * i), [&site, &urgent, i] {
         const int32_t accelerators = i % 4 == 0 ? 2 : i % 4 == 1 ? 4 : 8;
         urgent.push_back(site.Submit(
-            Tasks(1, {31000, 45000, accelerators}, 3600, true), kUrgent));
+            MakeJob(1, {31000, 45000, accelerators}, 3600, true), kUrgent));
       });
       for (int k = 0; k < 2; ++k) {
         site.After(absl::Milliseconds(1000 * i + 500 * k), [&site, &patient] {
           patient.push_back(
-              site.Submit(Tasks(4, {5600, 11000, 1}, 3800, true), kPatient));
+              site.Submit(MakeJob(4, {5600, 11000, 1}, 3800, true), kPatient));
         });
       }
     }
@@ -97,22 +97,23 @@
 // Of the large tasks 0.88 were in time before, all are now; of the small ones
 // all were and are.
 TEST_CASE("site load: large tasks beside small ones are in time") {
-  SchedulerPolicy off;
-  off.make_room = false;
-  off.hold_room = false;
-  off.name_by_cost = false;
-  const Shares before = LargeBesideSmall(off);
-  const Shares after = LargeBesideSmall(SchedulerPolicy());
-  MESSAGE("large, in time: ", before.urgent, " before, ", after.urgent,
-          " after; small: ", before.patient, " and ", after.patient);
-  CHECK(after.urgent >= before.urgent + 0.06);
-  CHECK(after.urgent > 0.95);
-  CHECK(after.patient > 0.95);
+  SchedulerPolicy disabled;
+  disabled.make_room = false;
+  disabled.hold_room = false;
+  disabled.name_by_cost = false;
+  const Shares without_policy = RunLargeAndSmallTasks(disabled);
+  const Shares with_policy = RunLargeAndSmallTasks(SchedulerPolicy());
+  MESSAGE("large, in time: ", without_policy.urgent, " before, ",
+          with_policy.urgent, " after; small: ", without_policy.patient,
+          " and ", with_policy.patient);
+  CHECK(with_policy.urgent >= without_policy.urgent + 0.06);
+  CHECK(with_policy.urgent > 0.95);
+  CHECK(with_policy.patient > 0.95);
 }
 
 // Runs that yielded within 12 s on 8 full workers, with a large task each
 // second beside so many jobs of small ones that came at once.
-int64_t YieldsBeside(int small_jobs) {
+int64_t CountPreemptions(int small_jobs) {
   SiteSimulation::Options options;
   options.workers = 8;
   options.capacity = {64000, 131072, 8};
@@ -122,27 +123,27 @@
   SiteSimulation site(options);
   site.Run(absl::Seconds(1));
   for (int i = 0; i < small_jobs; ++i)
-    site.Submit(Tasks(4, {5600, 11000, 1}, 3800, true), kPatient);
+    site.Submit(MakeJob(4, {5600, 11000, 1}, 3800, true), kPatient);
   for (int i = 0; i < 10; ++i) {
     site.After(absl::Milliseconds(1000 * i), [&site] {
-      site.Submit(Tasks(1, {31000, 45000, 8}, 3600, true), kUrgent);
+      site.Submit(MakeJob(1, {31000, 45000, 8}, 3600, true), kUrgent);
     });
   }
   site.Run(absl::Seconds(12));
   CHECK(site.faults().empty());
-  return site.scheduler()->figures().yields;
+  return site.scheduler()->figures().preemptions;
 }
 
 // Beside 20 jobs runs yield, beside 200 none does: it would cost work that a
 // site which is behind cannot make up.
 TEST_CASE("site load: no run yields while the site is behind") {
-  CHECK(YieldsBeside(20) > 0);
-  CHECK(YieldsBeside(200) == 0);
+  CHECK(CountPreemptions(20) > 0);
+  CHECK(CountPreemptions(200) == 0);
 }
 
 // Short jobs whose objective leaves half a second, while some answers of
 // workers are lost, and some orders come seconds late.
-double ShortJobs(SchedulerPolicy policy, double lost, double late) {
+double RunShortJobs(SchedulerPolicy policy, double lost, double late) {
   double sum = 0;
   constexpr int kSeeds = 5;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -162,7 +163,7 @@
     for (int i = 0; i < 100; ++i) {
       site.After(absl::Milliseconds(100 * i), [&site, &jobs] {
         jobs.push_back(
-            site.Submit(Tasks(4, {3000, 8000, 0}, 560, false), kUrgent));
+            site.Submit(MakeJob(4, {3000, 8000, 0}, 560, false), kUrgent));
       });
     }
     site.Run(absl::Seconds(40));
@@ -174,13 +175,13 @@
 
 // 0.85 were in time before, 0.99 are now.
 TEST_CASE("site load: short jobs are in time although answers get lost") {
-  SchedulerPolicy off;
-  off.settle_soon = false;
-  const double before = ShortJobs(off, 0.05, 0.02);
-  const double after = ShortJobs(SchedulerPolicy(), 0.05, 0.02);
-  MESSAGE("in time: ", before, " before, ", after, " after");
-  CHECK(before < 0.9);
-  CHECK(after > 0.95);
+  SchedulerPolicy disabled;
+  disabled.settle_soon = false;
+  const double without_policy = RunShortJobs(disabled, 0.05, 0.02);
+  const double with_policy = RunShortJobs(SchedulerPolicy(), 0.05, 0.02);
+  MESSAGE("in time: ", without_policy, " before, ", with_policy, " after");
+  CHECK(without_policy < 0.9);
+  CHECK(with_policy > 0.95);
 }
 
 }  // namespace
--- a/testing/site_process_test.cc
+++ b/testing/site_process_test.cc
@@ -17,8 +17,8 @@
 namespace keelbridge::testing {
 namespace {
 
-void CheckNoFaults(SiteCell& cell) {
-  const std::vector<std::string> faults = cell.Faults();
+void CheckNoFaults(SiteTestCluster& cluster) {
+  const std::vector<std::string> faults = cluster.Faults();
   CAPTURE(absl::StrJoin(faults, "\n"));
   CHECK(faults.empty());
 }
@@ -28,21 +28,22 @@
 }
 
 TEST_CASE("site processes: jobs of steps and gangs through every node") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
   for (uint64_t job = 1; job <= 9; ++job) {
-    const std::string body =
-        job % 3 == 0 ? SiteCell::GangThenOne(4) : SiteCell::OneStep(2, 200);
-    CHECK(StatusOf(cell.Call(static_cast<int>(job % 3), "POST", job, body)) ==
-          200);
+    const std::string body = job % 3 == 0
+                                 ? SiteTestCluster::GangThenOneTaskJob(4)
+                                 : SiteTestCluster::OneStepJob(2, 200);
+    CHECK(StatusOf(cluster.Call(static_cast<int>(job % 3), "POST", job,
+                                body)) == 200);
     // The same id again, at another node, is the same job.
-    CHECK(StatusOf(cell.Call(static_cast<int>((job + 1) % 3), "POST", job,
-                             body)) == 200);
+    CHECK(StatusOf(cluster.Call(static_cast<int>((job + 1) % 3), "POST", job,
+                                body)) == 200);
   }
   for (uint64_t job = 1; job <= 9; ++job)
-    CHECK(cell.AwaitState(job, "completed"));
-  CHECK(cell.RunCount() == 6 * 2 + 3 * 5);
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed"));
+  CHECK(cluster.RunCount() == 6 * 2 + 3 * 5);
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: bad settings are named, and nothing starts") {
@@ -59,65 +60,66 @@
 }
 
 TEST_CASE("site processes: wrong calls get clear answers and cost nothing") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
-  CHECK(StatusOf(cell.Call(0, "GET", 99)) == 410);
-  CHECK(StatusOf(cell.Call(0, "DELETE", 99)) == 410);
-  CHECK(StatusOf(cell.Call(0, "POST", 5, "no json")) == 400);
-  CHECK(StatusOf(cell.Call(0, "POST", 5, "{\"steps\":[]}")) == 400);
-  CHECK(StatusOf(cell.Call(0, "POST", 5, "{\"steps\":[{\"count\":\"x\"}]}")) ==
-        400);
-  HttpRequest elsewhere{"GET", "/other/", {{"Host", kSiteHost}}, "", ""};
-  CHECK(StatusOf(cell.Raw(0, elsewhere)) == 404);
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
+  CHECK(StatusOf(cluster.Call(0, "GET", 99)) == 410);
+  CHECK(StatusOf(cluster.Call(0, "DELETE", 99)) == 410);
+  CHECK(StatusOf(cluster.Call(0, "POST", 5, "no json")) == 400);
+  CHECK(StatusOf(cluster.Call(0, "POST", 5, "{\"steps\":[]}")) == 400);
+  CHECK(StatusOf(cluster.Call(0, "POST", 5,
+                              "{\"steps\":[{\"count\":\"x\"}]}")) == 400);
+  HttpRequest unknown_path{"GET", "/other/", {{"Host", kSiteHost}}, "", ""};
+  CHECK(StatusOf(cluster.SendRequest(0, unknown_path)) == 404);
   HttpRequest bad_id{
       "GET", absl::StrCat(kSitePrefix, "zz"), {{"Host", kSiteHost}}, "", ""};
-  CHECK(StatusOf(cell.Raw(0, bad_id)) == 400);
+  CHECK(StatusOf(cluster.SendRequest(0, bad_id)) == 400);
   HttpRequest large{"POST",
                     absl::StrCat(kSitePrefix, "0000000000000005"),
                     {{"Host", kSiteHost}},
                     std::string(1 << 20, 'x'),
                     "application/json"};
-  const int status = StatusOf(cell.Raw(0, large));
+  const int status = StatusOf(cluster.SendRequest(0, large));
   CHECK((status == 413 || status == 0));
-  CHECK(cell.Ready(0));
-  CHECK(StatusOf(cell.Call(0, "GET", 5)) == 410);
+  CHECK(cluster.Ready(0));
+  CHECK(StatusOf(cluster.Call(0, "GET", 5)) == 410);
 }
 
 TEST_CASE("site processes: a traced call leaves a span a hop") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
-  const int follower = cell.Leader() == 0 ? 1 : 0;
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
+  const int follower = cluster.Leader() == 0 ? 1 : 0;
   const std::string trace = "0af7651916cd43dd8448eb211c80319c";
   HttpRequest request{
       "POST",
       absl::StrCat(kSitePrefix, "00000000000000aa"),
       {{"Host", kSiteHost},
        {"traceparent", absl::StrCat("00-", trace, "-b7ad6b7169203331-01")}},
-      SiteCell::OneStep(1, 100),
+      SiteTestCluster::OneStepJob(1, 100),
       "application/json"};
-  REQUIRE(StatusOf(cell.Raw(follower, request)) == 200);
+  REQUIRE(StatusOf(cluster.SendRequest(follower, request)) == 200);
   const auto spans = [&](int node) {
-    std::ifstream in(cell.directory() + absl::StrCat("/node-", node, ".spans"));
+    std::ifstream in(cluster.directory() +
+                     absl::StrCat("/node-", node, ".spans"));
     return std::string((std::istreambuf_iterator<char>(in)),
                        std::istreambuf_iterator<char>());
   };
   CHECK(Eventually([&] {
     return absl::StrContains(spans(follower), trace) &&
            absl::StrContains(spans(follower), "node.call") &&
-           absl::StrContains(spans(cell.Leader()), "leader.call");
+           absl::StrContains(spans(cluster.Leader()), "leader.call");
   }));
 }
 
 TEST_CASE("site processes: a cancelled job stops and is told so") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
-  REQUIRE(cell.SubmitAnywhere(1, SiteCell::OneStep(2, 20000)));
-  REQUIRE(cell.AwaitState(1, "running"));
-  CHECK(StatusOf(cell.Call(1, "DELETE", 1)) == 200);
-  CHECK(cell.State(1) == "cancelled");
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
+  REQUIRE(cluster.SubmitAnywhere(1, SiteTestCluster::OneStepJob(2, 20000)));
+  REQUIRE(cluster.AwaitState(1, "running"));
+  CHECK(StatusOf(cluster.Call(1, "DELETE", 1)) == 200);
+  CHECK(cluster.State(1) == "cancelled");
   absl::SleepFor(absl::Seconds(1));
   size_t running = 0;
-  cell.WithPlatform([&](SitePlatform& platform) {
+  cluster.WithPlatform([&](SitePlatform& platform) {
     for (const SiteRun& run : platform.runs())
       running += run.ended == absl::InfiniteFuture() ? 1 : 0;
   });
@@ -127,163 +129,167 @@
 TEST_CASE(
     "site processes: the leader is killed; nothing runs twice, nothing "
     "is lost") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
   for (uint64_t job = 1; job <= 6; ++job)
-    REQUIRE(cell.SubmitAnywhere(job, SiteCell::OneStep(2, 3000)));
-  const int leader = cell.Leader();
+    REQUIRE(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(2, 3000)));
+  const int leader = cluster.Leader();
   REQUIRE(leader >= 0);
-  cell.node(leader).Signal(SIGKILL);
-  cell.node(leader).Wait();
-  cell.ForgetNode(leader);
+  cluster.node(leader).Signal(SIGKILL);
+  cluster.node(leader).Wait();
+  cluster.RemoveNode(leader);
   for (uint64_t job = 7; job <= 9; ++job)
-    REQUIRE(cell.SubmitAnywhere(job, SiteCell::OneStep(1, 200)));
+    REQUIRE(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(1, 200)));
   for (uint64_t job = 1; job <= 9; ++job)
-    CHECK(cell.AwaitState(job, "completed", absl::Seconds(30)));
-  CHECK(cell.RunCount() == 6 * 2 + 3);
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed", absl::Seconds(30)));
+  CHECK(cluster.RunCount() == 6 * 2 + 3);
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: all nodes are killed right after a job was taken") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
-  REQUIRE(cell.SubmitAnywhere(1, SiteCell::OneStep(2, 1000)));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
+  REQUIRE(cluster.SubmitAnywhere(1, SiteTestCluster::OneStepJob(2, 1000)));
   for (int i = 0; i < 3; ++i) {
-    cell.node(i).Signal(SIGKILL);
-    cell.node(i).Wait();
+    cluster.node(i).Signal(SIGKILL);
+    cluster.node(i).Wait();
   }
-  for (int i = 0; i < 3; ++i) cell.StartNode(i);
-  REQUIRE(cell.AwaitReady(3));
-  CHECK(cell.AwaitState(1, "completed", absl::Seconds(30)));
-  CheckNoFaults(cell);
+  for (int i = 0; i < 3; ++i) cluster.StartNode(i);
+  REQUIRE(cluster.AwaitReady(3));
+  CHECK(cluster.AwaitState(1, "completed", absl::Seconds(30)));
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: the store is down; what was accepted goes on") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
   for (uint64_t job = 1; job <= 4; ++job)
-    REQUIRE(cell.SubmitAnywhere(job, SiteCell::OneStep(1, 1500)));
+    REQUIRE(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(1, 1500)));
   SiteStore::Faults down;
   down.down = true;
-  cell.WithPlatform(
+  cluster.WithPlatform(
       [&](SitePlatform& platform) { platform.store().SetFaults(down); });
   // An idle leader learns of it at its next sign of life, 1.5 s apart.
   absl::SleepFor(absl::Milliseconds(2500));
-  const HttpOutcome refused = cell.Call(0, "POST", 50, SiteCell::OneStep(1, 1));
+  const HttpOutcome refused =
+      cluster.Call(0, "POST", 50, SiteTestCluster::OneStepJob(1, 1));
   CHECK(StatusOf(refused) == 503);
   REQUIRE(refused.response.has_value());
   CHECK(!FindHeader(refused.response->headers, "Retry-After").empty());
   absl::SleepFor(absl::Milliseconds(1500));
-  cell.WithPlatform([&](SitePlatform& platform) {
+  cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(SiteStore::Faults());
   });
   for (uint64_t job = 1; job <= 4; ++job)
-    CHECK(cell.AwaitState(job, "completed"));
-  CHECK(cell.State(50) == "gone");
-  CHECK(cell.RunCount() == 4);
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed"));
+  CHECK(cluster.State(50) == "gone");
+  CHECK(cluster.RunCount() == 4);
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE(
     "site processes: what an outage gathered is kept in several appends") {
-  SiteCell::Options options;
+  SiteTestCluster::Options options;
   options.platform.workers = 30;
-  SiteCell cell(options);
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster(options);
+  REQUIRE(cluster.AwaitReady(3));
   constexpr uint64_t kJobs = 80;
   for (uint64_t job = 1; job <= kJobs; ++job)
-    CHECK(StatusOf(cell.Call(static_cast<int>(job % 3), "POST", job,
-                             SiteCell::OneStep(2, 2500, 1000))) == 200);
+    CHECK(StatusOf(cluster.Call(static_cast<int>(job % 3), "POST", job,
+                                SiteTestCluster::OneStepJob(2, 2500, 1000))) ==
+          200);
   // All of them end while the store is away: more than it takes at once.
   SiteStore::Faults down;
   down.down = true;
-  cell.WithPlatform(
+  cluster.WithPlatform(
       [&](SitePlatform& platform) { platform.store().SetFaults(down); });
   absl::SleepFor(absl::Seconds(4));
-  cell.WithPlatform([](SitePlatform& platform) {
+  cluster.WithPlatform([](SitePlatform& platform) {
     platform.store().SetFaults(SiteStore::Faults());
   });
   for (uint64_t job = 1; job <= kJobs; ++job)
-    CHECK(cell.AwaitState(job, "completed"));
-  CHECK(cell.RunCount() == 2 * kJobs);
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed"));
+  CHECK(cluster.RunCount() == 2 * kJobs);
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: answers of store and workers are lost") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
   SiteStore::Faults lossy;
   lossy.lost_answers = 0.3;
-  cell.WithPlatform([&](SitePlatform& platform) {
+  cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(lossy);
     platform.SetLostOrders(0.1);
   });
   for (uint64_t job = 1; job <= 8; ++job)
-    CHECK(cell.SubmitAnywhere(job, SiteCell::OneStep(2, 200)));
-  cell.WithPlatform([&](SitePlatform& platform) {
+    CHECK(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(2, 200)));
+  cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(SiteStore::Faults());
     platform.SetLostOrders(0);
   });
   for (uint64_t job = 1; job <= 8; ++job)
-    CHECK(cell.AwaitState(job, "completed", absl::Seconds(40)));
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed", absl::Seconds(40)));
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: a lost answer of the store costs little time") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
   SiteStore::Faults lossy;
   lossy.lost_answers = 0.4;
-  cell.WithPlatform(
+  cluster.WithPlatform(
       [&](SitePlatform& platform) { platform.store().SetFaults(lossy); });
   constexpr uint64_t kJobs = 30;
   std::vector<absl::Duration> times;
   for (uint64_t job = 1; job <= kJobs; ++job) {
-    const absl::Time begun = absl::Now();
-    REQUIRE(cell.SubmitAnywhere(job, SiteCell::OneStep(1, 50, 200)));
-    times.push_back(absl::Now() - begun);
+    const absl::Time start = absl::Now();
+    REQUIRE(
+        cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(1, 50, 200)));
+    times.push_back(absl::Now() - start);
   }
   std::sort(times.begin(), times.end());
   // Seven of ten lost no answer or one.
   CHECK(times[kJobs * 7 / 10] < absl::Milliseconds(450));
-  cell.WithPlatform([&](SitePlatform& platform) {
+  cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(SiteStore::Faults());
   });
   for (uint64_t job = 1; job <= kJobs; ++job)
-    CHECK(cell.AwaitState(job, "completed"));
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed"));
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: each node is stopped as planned, in turn") {
-  SiteCell cell({});
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster({});
+  REQUIRE(cluster.AwaitReady(3));
   for (uint64_t job = 1; job <= 3; ++job)
-    REQUIRE(cell.SubmitAnywhere(job, SiteCell::OneStep(1, 12000)));
+    REQUIRE(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(1, 12000)));
   for (int i = 0; i < 3; ++i) {
-    cell.node(i).Signal(SIGTERM);
-    CHECK(cell.node(i).Wait() == 0);
-    cell.StartNode(i);
-    REQUIRE(cell.AwaitReady(3));
+    cluster.node(i).Signal(SIGTERM);
+    CHECK(cluster.node(i).Wait() == 0);
+    cluster.StartNode(i);
+    REQUIRE(cluster.AwaitReady(3));
   }
   for (uint64_t job = 1; job <= 3; ++job)
-    CHECK(cell.AwaitState(job, "completed", absl::Seconds(30)));
-  CHECK(cell.RunCount() == 3);
-  CheckNoFaults(cell);
+    CHECK(cluster.AwaitState(job, "completed", absl::Seconds(30)));
+  CHECK(cluster.RunCount() == 3);
+  CheckNoFaults(cluster);
 }
 
 TEST_CASE("site processes: a log that nobody reads stops nothing") {
-  SiteCell::Options options;
+  SiteTestCluster::Options options;
   options.blocked_logs = true;
-  SiteCell cell(options);
-  REQUIRE(cell.AwaitReady(3));
+  SiteTestCluster cluster(options);
+  REQUIRE(cluster.AwaitReady(3));
   // More lines than a pipe and the ring hold.
   constexpr uint64_t kJobs = 400;
   for (uint64_t job = 1; job <= kJobs; ++job)
-    REQUIRE(cell.SubmitAnywhere(job, SiteCell::OneStep(1, 50, 200)));
+    REQUIRE(
+        cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(1, 50, 200)));
   for (uint64_t job = 1; job <= kJobs; ++job)
-    REQUIRE(cell.AwaitState(job, "completed"));
-  CHECK(cell.DroppedLogLines(cell.Leader()) > 0);
-  CheckNoFaults(cell);
+    REQUIRE(cluster.AwaitState(job, "completed"));
+  CHECK(cluster.DroppedLogLines(cluster.Leader()) > 0);
+  CheckNoFaults(cluster);
 }
 
 }  // namespace
--- a/testing/site_simulation_test.cc
+++ b/testing/site_simulation_test.cc
@@ -13,10 +13,10 @@
 
 // A task that lasts whose own worker is in reach: the end is heard, another
 // start is answered, or settled if it was not.
-constexpr absl::Duration kAwayWithWorker = absl::Seconds(1);
+constexpr absl::Duration kMaxDownTimeWithWorker = absl::Seconds(1);
 // Any other: an earlier leader's bound, 6 s, the lease of its own worker, 6.3
 // s, and what a second change of leader meanwhile adds.
-constexpr absl::Duration kLongestAway = absl::Seconds(20);
+constexpr absl::Duration kMaxDownTime = absl::Seconds(20);
 
 StepSpec Step(int32_t count, int32_t cpu_milli, int64_t estimated_ms) {
   StepSpec step;
@@ -40,21 +40,21 @@
   return spec;
 }
 
-JobSpec Lasting(int32_t count) {
+JobSpec LongRunning(int32_t count) {
   JobSpec spec;
   spec.steps = {Step(count, 1000, 1000)};
-  spec.steps[0].lasting = true;
+  spec.steps[0].long_running = true;
   return spec;
 }
 
-JobSpec Single(int64_t estimated_ms) {
+JobSpec SingleStep(int64_t estimated_ms) {
   JobSpec spec;
   spec.steps = {Step(2, 3000, estimated_ms)};
   return spec;
 }
 
 // All accepted jobs end, and none but by its own failures or its cancel.
-void CheckSettled(SiteSimulation& site) {
+void CheckAllJobsEnded(SiteSimulation& site) {
   CAPTURE(absl::StrJoin(site.faults(), "\n"));
   CHECK(site.faults().empty());
   for (const JobId id : site.accepted()) {
@@ -68,12 +68,12 @@
 }
 
 // Jobs of all three kinds for `seconds`.
-void Load(SiteSimulation& site, int seconds) {
+void SubmitLoad(SiteSimulation& site, int seconds) {
   for (int i = 0; i < seconds * 4; ++i) {
     site.After(absl::Milliseconds(250 * i), [&site, i] {
       site.Submit(i % 7 == 0   ? Gang()
                   : i % 3 == 0 ? TwoSteps()
-                               : Single(400 + 100 * (i % 5)));
+                               : SingleStep(400 + 100 * (i % 5)));
     });
   }
 }
@@ -82,10 +82,10 @@
   SiteSimulation::Options options;
   options.failing_runs = 0;
   SiteSimulation site(options);
-  Load(site, 10);
+  SubmitLoad(site, 10);
   site.Run(absl::Seconds(40));
   CHECK(site.accepted().size() == 40);
-  CheckSettled(site);
+  CheckAllJobsEnded(site);
   for (const JobId id : site.accepted())
     CHECK(site.StatusOf(id) == JobState::kCompleted);
 }
@@ -94,9 +94,9 @@
   SiteSimulation::Options options;
   options.advice = true;
   SiteSimulation site(options);
-  Load(site, 10);
+  SubmitLoad(site, 10);
   site.Run(absl::Seconds(60));
-  CheckSettled(site);
+  CheckAllJobsEnded(site);
   REQUIRE(site.scheduler() != nullptr);
   CHECK(site.scheduler()->figures().advice_calls > 0);
 }
@@ -107,19 +107,19 @@
     SiteSimulation::Options options;
     options.seed = seed;
     options.failing_runs = 0.3;
-    options.most_attempts = 2;
+    options.max_attempts = 2;
     SiteSimulation site(options);
-    Load(site, 6);
+    SubmitLoad(site, 6);
     for (int i = 1; i < 12; ++i) {
       site.After(absl::Milliseconds(700 * i), [&site] {
         site.ReplaceLeader(absl::Milliseconds(200), false);
       });
     }
     site.Run(absl::Seconds(40));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
     for (const JobId id : site.accepted()) {
       if (site.StatusOf(id) != JobState::kFailed) continue;
-      const std::vector<TaskId> failed = site.FailedOut();
+      const std::vector<TaskId> failed = site.ExhaustedTasks();
       const bool with_cause =
           std::any_of(failed.begin(), failed.end(),
                       [&](const TaskId& task) { return task.job == id; });
@@ -137,7 +137,7 @@
     options.seed = seed;
     options.lost_answers = 0.03;
     SiteSimulation site(options);
-    Load(site, 12);
+    SubmitLoad(site, 12);
     std::mt19937_64 random(seed);
     for (int i = 0; i < 6; ++i) {
       const auto at = absl::Milliseconds(random() % 14000);
@@ -152,7 +152,7 @@
       });
     }
     site.Run(absl::Seconds(100));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
   }
 }
 
@@ -164,14 +164,14 @@
     options.seed = seed;
     options.unlisted_workers = 0.3;
     SiteSimulation site(options);
-    Load(site, 10);
+    SubmitLoad(site, 10);
     for (int i = 1; i < 6; ++i) {
       site.After(absl::Milliseconds(1900 * i), [&site] {
         site.ReplaceLeader(absl::Milliseconds(300), false);
       });
     }
     site.Run(absl::Seconds(60));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
   }
 }
 
@@ -182,9 +182,9 @@
     options.seed = seed;
     options.late_orders = 0.05;
     SiteSimulation site(options);
-    Load(site, 10);
+    SubmitLoad(site, 10);
     site.Run(absl::Seconds(100));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
   }
 }
 
@@ -209,9 +209,9 @@
     site.Run(absl::Milliseconds(45));  // The cancels are durable.
     site.ReplaceLeader(absl::Milliseconds(5), false);
     site.Run(absl::Milliseconds(10));
-    for (int i = 0; i < 8; ++i) site.Submit(Single(300));
+    for (int i = 0; i < 8; ++i) site.Submit(SingleStep(300));
     site.Run(absl::Seconds(20));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
   }
 }
 
@@ -224,14 +224,14 @@
     options.workers = 3;
     options.failing_runs = 0;
     SiteSimulation site(options);
-    for (int i = 0; i < 6; ++i) site.Submit(Single(8000));
+    for (int i = 0; i < 6; ++i) site.Submit(SingleStep(8000));
     site.Run(absl::Seconds(1));
     site.ReplaceLeader(absl::Milliseconds(20), false);
     site.Run(absl::Milliseconds(20 + 2 * static_cast<int>(seed)));
     site.CutWorker(0, absl::Seconds(5));
     site.CutWorker(1, absl::Seconds(5));
     site.Run(absl::Seconds(60));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
   }
 }
 
@@ -249,24 +249,27 @@
     options.advice = seed % 3 == 0;
     if (options.advice) options.workers = 24;
     SiteSimulation site(options);
-    Load(site, 12);
-    std::vector<JobId> lasting;
-    lasting.reserve(4);
-    for (int i = 0; i < 4; ++i) lasting.push_back(site.Submit(Lasting(3)));
+    SubmitLoad(site, 12);
+    std::vector<JobId> long_running;
+    long_running.reserve(4);
+    for (int i = 0; i < 4; ++i)
+      long_running.push_back(site.Submit(LongRunning(3)));
     std::mt19937_64 random(seed);
     for (int i = 0; i < 9; ++i) {
       const auto at = absl::Milliseconds(500 + random() % 22000);
       const int kind = static_cast<int>(random() % 8);
       const int worker = static_cast<int>(random() % 8);
-      const auto some = absl::Milliseconds(random() % 8000);
-      site.After(at, [&site, kind, worker, some] {
+      const auto random_duration = absl::Milliseconds(random() % 8000);
+      site.After(at, [&site, kind, worker, random_duration] {
         if (kind == 0) site.ReplaceLeader(absl::Milliseconds(300), false);
         if (kind == 1) site.ReplaceLeader(absl::Milliseconds(50), true);
         if (kind == 2) site.CrashWorker(worker, absl::Seconds(3));
-        if (kind == 3) site.CutWorker(worker, some);
+        if (kind == 3) site.CutWorker(worker, random_duration);
         if (kind == 4) site.StoreDown(absl::Seconds(2));
-        if (kind == 5) site.FreezeLeader(absl::Milliseconds(500), some);
-        if (kind >= 6) site.DrainWorker(worker, some, absl::Seconds(12));
+        if (kind == 5)
+          site.FreezeLeader(absl::Milliseconds(500), random_duration);
+        if (kind >= 6)
+          site.DrainWorker(worker, random_duration, absl::Seconds(12));
         if (kind != 7) return;
         // The next leader does not reach what may still run there.
         site.After(absl::Milliseconds(150), [&site, worker] {
@@ -278,10 +281,10 @@
     site.Run(absl::Seconds(60));
     CAPTURE(absl::StrJoin(site.faults(), "\n"));
     CHECK(site.faults().empty());
-    CHECK(site.longest_away() < kLongestAway);
-    for (const JobId id : lasting) site.Cancel(id);
+    CHECK(site.max_down_time() < kMaxDownTime);
+    for (const JobId id : long_running) site.Cancel(id);
     site.Run(absl::Seconds(40));
-    CheckSettled(site);
+    CheckAllJobsEnded(site);
   }
 }
 
@@ -293,49 +296,53 @@
     SiteSimulation::Options options;
     options.seed = seed;
     SiteSimulation site(options);
-    for (int i = 0; i < 4; ++i) site.Submit(Lasting(3));
+    for (int i = 0; i < 4; ++i) site.Submit(LongRunning(3));
     std::mt19937_64 random(seed);
-    const auto some = [&random](int most) {
-      return absl::Milliseconds(random() % most);
+    const auto random_duration = [&random](int max_value_ms) {
+      return absl::Milliseconds(random() % max_value_ms);
     };
-    site.Run(absl::Seconds(4) + some(1000));
-    const int leaves = static_cast<int>(random() % 8);
-    site.DrainWorker(leaves, absl::Seconds(1) + some(3000), absl::Seconds(20));
-    if (seed % 2 == 0) site.CutWorker((leaves + 1) % 8, absl::Seconds(12));
-    if (seed % 5 == 0) site.CrashWorker((leaves + 2) % 8, absl::Seconds(2));
-    site.Run(absl::Milliseconds(500) + some(3000));
-    site.FreezeLeader(absl::Milliseconds(300) + some(500),
-                      absl::Seconds(2) + some(4000));
+    site.Run(absl::Seconds(4) + random_duration(1000));
+    const int leaving_worker = static_cast<int>(random() % 8);
+    site.DrainWorker(leaving_worker, absl::Seconds(1) + random_duration(3000),
+                     absl::Seconds(20));
+    if (seed % 2 == 0)
+      site.CutWorker((leaving_worker + 1) % 8, absl::Seconds(12));
+    if (seed % 5 == 0)
+      site.CrashWorker((leaving_worker + 2) % 8, absl::Seconds(2));
+    site.Run(absl::Milliseconds(500) + random_duration(3000));
+    site.FreezeLeader(absl::Milliseconds(300) + random_duration(500),
+                      absl::Seconds(2) + random_duration(4000));
     site.Run(absl::Seconds(25));
     CAPTURE(absl::StrJoin(site.faults(), "\n"));
     CHECK(site.faults().empty());
-    CHECK(site.longest_away_with_worker() < kAwayWithWorker);
+    CHECK(site.max_down_time_with_worker() < kMaxDownTimeWithWorker);
   }
 }
 
 // Jobs whose tasks crash what starts them, workers that shrink, leave, crash by
 // themselves and are cut off, leaders that die, live on, or stand still as a
 // suspended machine does, and a store that goes away.
-void PlayCrashingTasks(uint64_t seed) {
+void RunWithCrashingTasks(uint64_t seed) {
   CAPTURE(seed);
   SiteSimulation::Options options;
   options.seed = seed;
   options.workers = 12;
   options.failing_runs = 0;
-  options.failing_lasting_runs = 0;
+  options.failing_long_running_runs = 0;
   options.lost_answers = seed % 2 == 0 ? 0.02 : 0;
   options.advice = seed % 3 == 0;
   if (options.advice) options.workers = 24;
   SiteSimulation site(options);
-  Load(site, 15);
+  SubmitLoad(site, 15);
   std::mt19937_64 random(seed);
-  std::vector<JobId> lasting;
-  lasting.reserve(3);
-  for (int i = 0; i < 3; ++i) lasting.push_back(site.Submit(Lasting(2)));
+  std::vector<JobId> long_running;
+  long_running.reserve(3);
+  for (int i = 0; i < 3; ++i)
+    long_running.push_back(site.Submit(LongRunning(2)));
   std::vector<JobId> crashing;
   for (int i = 0; i < 3; ++i) {
     site.After(absl::Milliseconds(random() % 12000), [&site, &crashing, i] {
-      JobSpec spec = i == 0 ? Single(500) : Lasting(2);
+      JobSpec spec = i == 0 ? SingleStep(500) : LongRunning(2);
       if (i == 2) spec = Gang();
       crashing.push_back(site.SubmitCrashing(spec));
     });
@@ -344,25 +351,27 @@
     const auto at = absl::Milliseconds(500 + random() % 18000);
     const int kind = static_cast<int>(random() % 8);
     const int worker = static_cast<int>(random() % 12);
-    const auto some = absl::Milliseconds(1000 + random() % 8000);
-    site.After(at, [&site, kind, worker, some] {
+    const auto random_duration = absl::Milliseconds(1000 + random() % 8000);
+    site.After(at, [&site, kind, worker, random_duration] {
       if (kind == 0) site.ReplaceLeader(absl::Milliseconds(300), false);
-      if (kind == 1) site.FreezeLeader(absl::Milliseconds(500), some);
+      if (kind == 1)
+        site.FreezeLeader(absl::Milliseconds(500), random_duration);
       if (kind == 2) site.CrashWorker(worker, absl::Seconds(3));
-      if (kind == 3) site.CutWorker(worker, some);
+      if (kind == 3) site.CutWorker(worker, random_duration);
       if (kind == 4) site.StoreDown(absl::Seconds(2));
-      if (kind == 5) site.DrainWorker(worker, some, absl::Seconds(12));
-      if (kind >= 6) site.ShrinkWorker(worker, 0.3, some * 2);
+      if (kind == 5)
+        site.DrainWorker(worker, random_duration, absl::Seconds(12));
+      if (kind >= 6) site.ShrinkWorker(worker, 0.3, random_duration * 2);
     });
   }
   site.Run(absl::Seconds(90));
   CAPTURE(absl::StrJoin(site.faults(), "\n"));
-  for (const JobId id : lasting) {
+  for (const JobId id : long_running) {
     CHECK(site.StatusOf(id) == JobState::kRunning);
     site.Cancel(id);
   }
   site.Run(absl::Seconds(20));
-  CheckSettled(site);
+  CheckAllJobsEnded(site);
   for (const JobId id : site.accepted()) {
     CAPTURE(id);
     const bool crashes =
@@ -372,7 +381,7 @@
 }
 
 TEST_CASE("site: tasks that crash their workers beside other troubles") {
-  for (uint64_t seed = 1; seed <= 60; ++seed) PlayCrashingTasks(seed);
+  for (uint64_t seed = 1; seed <= 60; ++seed) RunWithCrashingTasks(seed);
 }
 
 // Seeds that failed once.
@@ -380,51 +389,51 @@
   // A sound task that served beside them was given up: it was charged with
   // crashes that came right after others had begun there.
   for (const uint64_t seed : {1103, 1112, 1273, 1328, 1330, 1358})
-    PlayCrashingTasks(seed);
+    RunWithCrashingTasks(seed);
   // The same by two crashes alone on its worker, one of them drawn.
-  PlayCrashingTasks(1001);
+  RunWithCrashingTasks(1001);
   // BUDGET: a gang that takes many workers looked like a wave of crashes.
-  PlayCrashingTasks(1318);
+  RunWithCrashingTasks(1318);
   // BUDGET: the store was away, and the next leader found an older account.
-  PlayCrashingTasks(2367);
+  RunWithCrashingTasks(2367);
   // BUDGET: its first crash came in a wave, and one was not known to be its
   // own.
-  PlayCrashingTasks(3422);
+  RunWithCrashingTasks(3422);
 }
 
 // Workers start again under their ids in series, again before they were
 // noticed, with orders that are carried out late, leaders that change and power
 // lost.
-// `seen_before`: one did so before there was work.
-void PlayRestarts(uint64_t seed, int troubles, double late_orders,
-                  bool seen_before = false) {
+// `restarted_before`: one did so before there was work.
+void RunWithRestarts(uint64_t seed, int fault_count, double late_orders,
+                     bool restarted_before = false) {
   CAPTURE(seed);
   SiteSimulation::Options options;
   options.seed = seed;
   options.failing_runs = 0;
-  options.failing_lasting_runs = 0;
+  options.failing_long_running_runs = 0;
   options.lost_answers = seed % 2 == 0 ? 0.03 : 0;
   options.late_orders = late_orders;
   options.advice = seed % 3 == 0;
-  options.crashed_keep_id = true;
+  options.keep_id_after_crash = true;
   if (options.advice) options.workers = 24;
   SiteSimulation site(options);
-  if (seen_before) {
+  if (restarted_before) {
     site.RestartWorker(0, absl::Milliseconds(50));
     site.Run(absl::Seconds(2));
   }
-  Load(site, 15);
-  const JobId lasting = site.Submit(Lasting(3));
+  SubmitLoad(site, 15);
+  const JobId long_running = site.Submit(LongRunning(3));
   std::mt19937_64 random(seed);
-  const auto some = [&random](int64_t most_ms) {
-    return absl::Milliseconds(50 + random() % most_ms);
+  const auto random_duration = [&random](int64_t max_ms) {
+    return absl::Milliseconds(50 + random() % max_ms);
   };
-  for (int i = 0; i < troubles; ++i) {
-    const absl::Duration at = some(18000);
+  for (int i = 0; i < fault_count; ++i) {
+    const absl::Duration at = random_duration(18000);
     const int kind = static_cast<int>(random() % 6);
     const int first = static_cast<int>(random() % 8);
-    const absl::Duration down = some(2500);
-    const absl::Duration gap = some(1200);
+    const absl::Duration down = random_duration(2500);
+    const absl::Duration gap = random_duration(1200);
     site.After(at, [&site, kind, first, down, gap] {
       const int series = kind == 5 ? 8 : 3;
       for (int worker = 0; worker < series; ++worker) {
@@ -442,48 +451,48 @@
   }
   site.Run(absl::Seconds(70));
   CAPTURE(absl::StrJoin(site.faults(), "\n"));
-  CHECK(site.StatusOf(lasting) == JobState::kRunning);
-  CHECK(site.longest_away() < kLongestAway);
-  site.Cancel(lasting);
+  CHECK(site.StatusOf(long_running) == JobState::kRunning);
+  CHECK(site.max_down_time() < kMaxDownTime);
+  site.Cancel(long_running);
   site.Run(absl::Seconds(20));
-  CheckSettled(site);
+  CheckAllJobsEnded(site);
   for (const JobId id : site.accepted()) {
-    if (id != lasting) CHECK(site.StatusOf(id) == JobState::kCompleted);
+    if (id != long_running) CHECK(site.StatusOf(id) == JobState::kCompleted);
   }
 }
 
 // Played in a test of its own, the last one.
-constexpr uint64_t kGivesUpSoundJob = 13;
+constexpr uint64_t kSoundJobGivenUpSeed = 13;
 
 TEST_CASE("site: workers that start again under their ids") {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
-    if (seed != kGivesUpSoundJob) PlayRestarts(seed, 3, 0);
+    if (seed != kSoundJobGivenUpSeed) RunWithRestarts(seed, 3, 0);
   }
 }
 
 TEST_CASE("site: orders come late as workers start again under their ids") {
-  for (uint64_t seed = 1; seed <= 10; ++seed) PlayRestarts(seed, 3, 0.03);
+  for (uint64_t seed = 1; seed <= 10; ++seed) RunWithRestarts(seed, 3, 0.03);
 }
 
 // A late order may reach a life that nobody has spoken to yet: its task waits
 // until that cannot be any more, where workers were seen to start again.
 TEST_CASE("site: no late order runs twice once workers were seen to restart") {
   for (uint64_t seed = 1; seed <= 100; ++seed)
-    PlayRestarts(seed, 3, 0.03, /*seen_before=*/true);
+    RunWithRestarts(seed, 3, 0.03, /*restarted_before=*/true);
 }
 
 // A late order may reach a life that nobody has spoken to yet.
 TEST_CASE("site: no order that comes late runs twice on a worker's next life") {
-  for (uint64_t seed = 11; seed <= 60; ++seed) PlayRestarts(seed, 3, 0.03);
+  for (uint64_t seed = 11; seed <= 60; ++seed) RunWithRestarts(seed, 3, 0.03);
 }
 
 // Some tasks lose four workers in a row by chance.
 TEST_CASE(
     "site: no sound job is given up as workers start again all the time") {
-  PlayRestarts(kGivesUpSoundJob, 3, 0);
-  for (uint64_t seed = 1; seed <= 60; ++seed) PlayRestarts(seed, 5, 0);
+  RunWithRestarts(kSoundJobGivenUpSeed, 3, 0);
+  for (uint64_t seed = 1; seed <= 60; ++seed) RunWithRestarts(seed, 5, 0);
   // A series of restarts takes the task's worker three and four times in a row.
-  for (const uint64_t seed : {106, 407, 490}) PlayRestarts(seed, 5, 0);
+  for (const uint64_t seed : {106, 407, 490}) RunWithRestarts(seed, 5, 0);
 }
 
 }  // namespace
--- a/testing/site_soak_test.cc
+++ b/testing/site_soak_test.cc
@@ -10,17 +10,17 @@
 namespace keelbridge::testing {
 namespace {
 
-SoakOptions ShortSoak() {
+SoakOptions ShortSoakOptions() {
   SoakOptions options;
   options.length = absl::Seconds(8);
   return options;
 }
 
-void CheckSeed(uint64_t seed, SoakOptions options = ShortSoak()) {
+void CheckSeed(uint64_t seed, SoakOptions options = ShortSoakOptions()) {
   options.seed = seed;
   const SoakReport report = RunSiteSoak(options);
   CAPTURE(seed);
-  CAPTURE(absl::StrJoin(report.happened, "\n"));
+  CAPTURE(absl::StrJoin(report.events, "\n"));
   CAPTURE(absl::StrJoin(report.faults, "\n"));
   CHECK(report.faults.empty());
   CHECK(report.accepted > 0);
@@ -34,26 +34,26 @@
 // Tasks that crash their workers, workers that shrink, and leaders that go in
 // between.
 TEST_CASE("soak: two short seeds of workers that crash and shrink") {
-  SoakOptions options = ShortSoak();
-  options.kinds = SoakKinds::kWorkers;
+  SoakOptions options = ShortSoakOptions();
+  options.kinds = SoakFaultSet::kWorkers;
   CheckSeed(1, options);
   CheckSeed(2, options);
 }
 
 // Workers that start again under their ids, in series, as leaders go.
 TEST_CASE("soak: two short seeds of workers that start again") {
-  SoakOptions options = ShortSoak();
-  options.kinds = SoakKinds::kRestarts;
-  options.faults_at_most = 3;
+  SoakOptions options = ShortSoakOptions();
+  options.kinds = SoakFaultSet::kRestarts;
+  options.max_faults = 3;
   CheckSeed(1, options);
   CheckSeed(2, options);
 }
 
 // Orders that come late to workers that start again.
 TEST_CASE("soak: two short seeds of orders that come late to a next life") {
-  SoakOptions options = ShortSoak();
-  options.kinds = SoakKinds::kLateRestarts;
-  options.faults_at_most = 3;
+  SoakOptions options = ShortSoakOptions();
+  options.kinds = SoakFaultSet::kLateRestarts;
+  options.max_faults = 3;
   CheckSeed(1, options);
   CheckSeed(2, options);
 }
@@ -63,8 +63,8 @@
   SoakOptions options;
   options.length = absl::Seconds(12);
   options.nodes = 6;
-  options.faults_at_most = 12;
-  options.kinds = SoakKinds::kFirst;
+  options.max_faults = 12;
+  options.kinds = SoakFaultSet::kFirst;
   // TWICE, both: a leader took a worker's life that was there for one that is
   // over, since the platform still listed the life before it.
   CheckSeed(1005, options);
@@ -72,29 +72,29 @@
 }
 
 // Seeds that found what no earlier soak could, with what is at fault.
-SoakOptions LaterSoak() {
+SoakOptions LaterFaultSetOptions() {
   SoakOptions options;
   options.length = absl::Seconds(12);
   options.nodes = 4;
-  options.faults_at_most = 5;
-  options.kinds = SoakKinds::kLater;
+  options.max_faults = 5;
+  options.kinds = SoakFaultSet::kLater;
   return options;
 }
 
 TEST_CASE("soak: seeds that failed, configuration") {
   // CONFIG: the polls of all nodes were under way when the change was written,
   // and none was answered: each node waited 22 s for its own.
-  CheckSeed(7030, LaterSoak());
+  CheckSeed(7030, LaterFaultSetOptions());
   // CONFIG: the same behind silences that healed quietly, with the history
   // forgotten: the one node that had heard lost its next poll, too.
-  CheckSeed(7021, LaterSoak());
+  CheckSeed(7021, LaterFaultSetOptions());
 }
 
 TEST_CASE("soak: seeds that failed, accepted jobs") {
   SoakOptions options;
   options.nodes = 5;
-  options.faults_at_most = 10;
-  options.kinds = SoakKinds::kFirstAndLater;
+  options.max_faults = 10;
+  options.kinds = SoakFaultSet::kFirstAndLater;
   // LOST, in 2 of 4 runs: a leader that was paused answered from its old table
   // when it went on, before it heard of the next one: its poll was lost.
   CheckSeed(9206, options);
@@ -103,7 +103,7 @@
 TEST_CASE("soak: seeds that failed, tasks that crash their workers") {
   SoakOptions options;
   options.length = absl::Seconds(12);
-  options.kinds = SoakKinds::kWorkers;
+  options.kinds = SoakFaultSet::kWorkers;
   // BUDGET: three leaders in a row were killed 0.4 s after they had started the
   // tasks, before anything showed, and left no record of them.
   CheckSeed(4, options);
--- a/testing/site_stale_knowledge_test.cc
+++ b/testing/site_stale_knowledge_test.cc
@@ -17,29 +17,29 @@
 constexpr int kNodes = 3;
 // From the end of an outage until all nodes must use the newest configuration,
 // when that was written 2 s before at least: nodes are in touch then.
-constexpr absl::Duration kInForceWithin = ConfigurationCheck::kInTouch;
-constexpr int kQueuesOfGrownSites = 2800;
+constexpr absl::Duration kApplyTimeout = ConfigurationCheck::kRecoveryTime;
+constexpr int kLargeSiteQueues = 2800;
 // 10 Mbit/s, the slowest link that nodes have.
-constexpr double kSlowestLink = 10e6 / 8;
+constexpr double kSlowestLinkBytesPerSecond = 10e6 / 8;
 
-SiteCell::Options WithProxies() {
-  SiteCell::Options options;
+SiteTestCluster::Options ProxiedOptions() {
+  SiteTestCluster::Options options;
   options.nodes = kNodes;
   options.proxies = true;
   return options;
 }
 
-bool AllUse(SiteCell& cell, int64_t version) {
+bool AllNodesUse(SiteTestCluster& cluster, int64_t version) {
   for (int i = 0; i < kNodes; ++i) {
-    if (cell.ConfigurationVersion(i) != version) return false;
+    if (cluster.ConfigurationVersion(i) != version) return false;
   }
   return true;
 }
 
-bool AwaitAllUse(SiteCell& cell, int64_t version) {
-  const absl::Time until = absl::Now() + kInForceWithin;
-  while (absl::Now() < until) {
-    if (AllUse(cell, version)) return true;
+bool AwaitAllNodesUse(SiteTestCluster& cluster, int64_t version) {
+  const absl::Time deadline = absl::Now() + kApplyTimeout;
+  while (absl::Now() < deadline) {
+    if (AllNodesUse(cluster, version)) return true;
     absl::SleepFor(absl::Milliseconds(50));
   }
   return false;
@@ -48,29 +48,30 @@
 TEST_CASE(
     "stale knowledge: a configuration that every poll of the store missed is "
     "in force soon after the store answers again") {
-  SiteCell cell(WithProxies());
-  REQUIRE(cell.AwaitReady(kNodes));
-  REQUIRE(AllUse(cell, 1));
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  REQUIRE(AllNodesUse(cluster, 1));
   for (int i = 0; i < kNodes; ++i)
-    cell.SetStoreProxy(i, FaultProxy::Mode::kSilent);
+    cluster.SetStoreProxy(i, FaultProxy::Mode::kDropAll);
   absl::SleepFor(absl::Milliseconds(300));
-  cell.WithPlatform(
+  cluster.WithPlatform(
       [](SitePlatform& platform) { platform.PublishConfiguration(2); });
   absl::SleepFor(absl::Seconds(2));
-  for (int i = 0; i < kNodes; ++i) cell.HealStoreProxyQuietly(i);
-  CHECK(AwaitAllUse(cell, 2));
+  for (int i = 0; i < kNodes; ++i) cluster.HealStoreProxyWithoutReset(i);
+  CHECK(AwaitAllNodesUse(cluster, 2));
 }
 
-// Of `queues` queues, each in a route of some 80 bytes and `more_bytes`.
-std::string LargeConfiguration(int64_t version, int queues, size_t more_bytes) {
+// Of `queues` queues, each in a route of some 80 bytes and `padding_bytes`.
+std::string LargeConfiguration(int64_t version, int queues,
+                               size_t padding_bytes) {
   std::string out =
       absl::StrCat(R"({"version":)", version,
                    R"(,"services":[{"name":"desk"}],"routes":[)"
                    R"({"name":"r-restore","host":"desk.example",)"
                    R"("pathPrefix":"/restore/","service":"desk"})");
-  const std::string more(more_bytes, 'x');
+  const std::string padding(padding_bytes, 'x');
   for (int i = 0; i < queues; ++i) {
-    absl::StrAppend(&out, R"(,{"name":"r-)", i, more,
+    absl::StrAppend(&out, R"(,{"name":"r-)", i, padding,
                     R"(","host":"desk.example","pathPrefix":"/more/)", i,
                     R"(/","service":"desk"})");
   }
@@ -80,60 +81,62 @@
 TEST_CASE(
     "stale knowledge: a large configuration that was missed comes over slow "
     "links") {
-  SiteCell cell(WithProxies());
-  REQUIRE(cell.AwaitReady(kNodes));
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
   for (int i = 0; i < kNodes; ++i)
-    cell.SetStoreProxy(i, FaultProxy::Mode::kSilent);
+    cluster.SetStoreProxy(i, FaultProxy::Mode::kDropAll);
   absl::SleepFor(absl::Milliseconds(300));
-  cell.WithPlatform([](SitePlatform& platform) {
+  cluster.WithPlatform([](SitePlatform& platform) {
     // About 100 KB: seven pieces through a proxy that holds each for 0.2 s.
     platform.store().Put("keyed.op", "config", LargeConfiguration(2, 1200, 0));
   });
   absl::SleepFor(absl::Seconds(2));
   for (int i = 0; i < kNodes; ++i) {
-    cell.HealStoreProxyQuietly(i);
-    cell.SetStoreProxy(i, FaultProxy::Mode::kDelay);
+    cluster.HealStoreProxyWithoutReset(i);
+    cluster.SetStoreProxy(i, FaultProxy::Mode::kDelay);
   }
-  CHECK(AwaitAllUse(cell, 2));
+  CHECK(AwaitAllNodesUse(cluster, 2));
 }
 
-void WriteLarge(SiteCell& cell, int64_t version) {
+void WriteLarge(SiteTestCluster& cluster, int64_t version) {
   const std::string document =
-      LargeConfiguration(version, kQueuesOfGrownSites, 170);
+      LargeConfiguration(version, kLargeSiteQueues, 170);
   CHECK(document.size() > 680'000);
-  cell.WithPlatform([&document](SitePlatform& platform) {
+  cluster.WithPlatform([&document](SitePlatform& platform) {
     platform.store().Put("keyed.op", "config", document);
   });
 }
 
 // No node reaches the store for `silence`, during which a large configuration
 // is written; then it is as if nothing had been, but for calls that hang.
-void CheckLargeAfterSilence(SiteCell& cell, int64_t version,
-                            absl::Duration silence, bool forget) {
+void CheckLargeAfterOutage(SiteTestCluster& cluster, int64_t version,
+                           absl::Duration outage, bool drop_history) {
   for (int i = 0; i < kNodes; ++i)
-    cell.SetStoreProxy(i, FaultProxy::Mode::kSilent);
+    cluster.SetStoreProxy(i, FaultProxy::Mode::kDropAll);
   absl::SleepFor(absl::Milliseconds(300));
-  WriteLarge(cell, version);
-  if (forget)
-    cell.WithPlatform(
-        [](SitePlatform& platform) { platform.store().ForgetAll(); });
-  absl::SleepFor(silence - absl::Milliseconds(300));
-  for (int i = 0; i < kNodes; ++i) cell.HealStoreProxyQuietly(i);
+  WriteLarge(cluster, version);
+  if (drop_history)
+    cluster.WithPlatform(
+        [](SitePlatform& platform) { platform.store().DropAllHistory(); });
+  absl::SleepFor(outage - absl::Milliseconds(300));
+  for (int i = 0; i < kNodes; ++i) cluster.HealStoreProxyWithoutReset(i);
   const absl::Time healed = absl::Now();
-  CAPTURE(absl::FormatDuration(silence));
-  CHECK(AwaitAllUse(cell, version));
+  CAPTURE(absl::FormatDuration(outage));
+  CHECK(AwaitAllNodesUse(cluster, version));
   MESSAGE("in force ", absl::ToInt64Milliseconds(absl::Now() - healed),
-          " ms after a silence of ", absl::ToInt64Milliseconds(silence), " ms");
+          " ms after a silence of ", absl::ToInt64Milliseconds(outage), " ms");
 }
 
-void CheckLargeAfterSilences(bool forget) {
-  SiteCell cell(WithProxies());
-  REQUIRE(cell.AwaitReady(kNodes));
-  for (int i = 0; i < kNodes; ++i) cell.SetStoreLink(i, kSlowestLink);
+void CheckLargeAfterOutages(bool drop_history) {
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  for (int i = 0; i < kNodes; ++i)
+    cluster.SetStoreLink(i, kSlowestLinkBytesPerSecond);
   int64_t version = 1;
   // A read that hangs is at another point of its time at the end of each.
   for (const int ms : {2400, 3300, 4200, 5100, 6000}) {
-    CheckLargeAfterSilence(cell, ++version, absl::Milliseconds(ms), forget);
+    CheckLargeAfterOutage(cluster, ++version, absl::Milliseconds(ms),
+                          drop_history);
     absl::SleepFor(absl::Seconds(1));
   }
 }
@@ -141,16 +144,16 @@
 TEST_CASE(
     "stale knowledge: 700 KB on the slowest link are in force 3 s after a "
     "silence of any length") {
-  CheckLargeAfterSilences(false);
+  CheckLargeAfterOutages(false);
 }
 
 TEST_CASE(
     "stale knowledge: 700 KB on the slowest link are in force 3 s after a "
     "silence in which the store forgot its history") {
-  CheckLargeAfterSilences(true);
+  CheckLargeAfterOutages(true);
 }
 
-constexpr char kTwoRoutes[] =
+constexpr char kConfigurationWithNewRoutes[] =
     R"({"version":2,"routes":[
       {"name":"r-restore","host":"desk.example","pathPrefix":"/restore/",
        "service":"desk","priority":0,"maxAttempts":3,"stretch":2.0,
@@ -163,31 +166,31 @@
        "targetLatencyMs":500}],
      "services":[{"name":"desk","admissionCheck":false}]})";
 
-int Get(SiteCell& cell, int node, const std::string& path) {
+int GetStatus(SiteTestCluster& cluster, int node, const std::string& path) {
   const HttpOutcome outcome =
-      cell.Raw(node, {"GET", path, {{"Host", kSiteHost}}, "", ""});
+      cluster.SendRequest(node, {"GET", path, {{"Host", kSiteHost}}, "", ""});
   return outcome.response ? outcome.response->status : 0;
 }
 
 TEST_CASE(
     "stale knowledge: a node that cannot confirm its configuration denies no "
     "route") {
-  SiteCell cell(WithProxies());
-  REQUIRE(cell.AwaitReady(kNodes));
-  CHECK(Get(cell, 0, "/other/") == 404);
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  CHECK(GetStatus(cluster, 0, "/other/") == 404);
   for (int i = 0; i < kNodes; ++i)
-    cell.SetStoreProxy(i, FaultProxy::Mode::kSilent);
+    cluster.SetStoreProxy(i, FaultProxy::Mode::kDropAll);
   absl::SleepFor(absl::Milliseconds(300));
-  cell.WithPlatform([](SitePlatform& platform) {
-    platform.store().Put("keyed.op", "config", kTwoRoutes);
+  cluster.WithPlatform([](SitePlatform& platform) {
+    platform.store().Put("keyed.op", "config", kConfigurationWithNewRoutes);
   });
   absl::SleepFor(absl::Seconds(3));
   for (int i = 0; i < kNodes; ++i) {
-    REQUIRE(cell.ConfigurationVersion(i) == 1);
-    CHECK(Get(cell, i, "/other/") == 503);
+    REQUIRE(cluster.ConfigurationVersion(i) == 1);
+    CHECK(GetStatus(cluster, i, "/other/") == 503);
     // A route below one that the node knows: not a bad id either.
-    CHECK(Get(cell, i, "/restore/deep/") == 503);
-    CHECK(Get(cell, i, "/restore/deep/0000000000000001") == 503);
+    CHECK(GetStatus(cluster, i, "/restore/deep/") == 503);
+    CHECK(GetStatus(cluster, i, "/restore/deep/0000000000000001") == 503);
   }
 }
 
@@ -195,54 +198,55 @@
 TEST_CASE(
     "stale knowledge: what a configuration that cannot be read may hold is not "
     "denied") {
-  SiteCell cell(WithProxies());
-  REQUIRE(cell.AwaitReady(kNodes));
-  const auto write = [&cell](const char* document) {
-    cell.WithPlatform([document](SitePlatform& platform) {
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  const auto write = [&cluster](const char* document) {
+    cluster.WithPlatform([document](SitePlatform& platform) {
       platform.store().Put("keyed.op", "config", document);
     });
   };
   write(R"({"version":2,"routes":)");
   absl::SleepFor(absl::Milliseconds(2500));
   for (int i = 0; i < kNodes; ++i) {
-    CHECK(cell.ConfigurationVersion(i) == 1);
-    CHECK(Get(cell, i, "/other/") == 503);
+    CHECK(cluster.ConfigurationVersion(i) == 1);
+    CHECK(GetStatus(cluster, i, "/other/") == 503);
   }
-  write(kTwoRoutes);
-  REQUIRE(AwaitAllUse(cell, 2));
+  write(kConfigurationWithNewRoutes);
+  REQUIRE(AwaitAllNodesUse(cluster, 2));
   absl::SleepFor(absl::Seconds(1));
-  for (int i = 0; i < kNodes; ++i) CHECK(Get(cell, i, "/none/") == 404);
+  for (int i = 0; i < kNodes; ++i)
+    CHECK(GetStatus(cluster, i, "/none/") == 404);
 }
 
 // An answer from before a standstill of this process tells nothing of now.
 TEST_CASE(
     "stale knowledge: a heartbeat's answer that lay there while the process "
     "stood still makes it not ready") {
-  SiteCell cell(WithProxies());
-  REQUIRE(cell.AwaitReady(kNodes));
-  const int leader = cell.Leader();
+  SiteTestCluster cluster(ProxiedOptions());
+  REQUIRE(cluster.AwaitReady(kNodes));
+  const int leader = cluster.Leader();
   REQUIRE(leader >= 0);
-  const int frozen = (leader + 1) % kNodes;
-  int ready_after = 0;
+  const int suspended_node = (leader + 1) % kNodes;
+  int ready_count = 0;
   // Heartbeats are under way most of the time.
-  cell.SetPeerProxy(leader, FaultProxy::Mode::kDelay);
+  cluster.SetPeerProxy(leader, FaultProxy::Mode::kDelay);
   absl::SleepFor(absl::Seconds(2));
-  REQUIRE(cell.Ready(frozen));
-  cell.node(frozen).Signal(SIGSTOP);
+  REQUIRE(cluster.Ready(suspended_node));
+  cluster.node(suspended_node).Signal(SIGSTOP);
   absl::SleepFor(absl::Seconds(1));
   for (int i = 0; i < kNodes; ++i) {
-    if (i == frozen) continue;
-    cell.node(i).Signal(SIGKILL);
-    cell.node(i).Wait();
-    cell.ForgetNode(i);
+    if (i == suspended_node) continue;
+    cluster.node(i).Signal(SIGKILL);
+    cluster.node(i).Wait();
+    cluster.RemoveNode(i);
   }
   absl::SleepFor(absl::Seconds(3));
-  cell.node(frozen).Signal(SIGCONT);
+  cluster.node(suspended_node).Signal(SIGCONT);
   for (int i = 0; i < 10; ++i) {
     absl::SleepFor(absl::Milliseconds(30));
-    if (cell.Ready(frozen)) ++ready_after;
+    if (cluster.Ready(suspended_node)) ++ready_count;
   }
-  CHECK(ready_after == 0);
+  CHECK(ready_count == 0);
 }
 
 }  // namespace
--- a/testing/soak_main.cc
+++ b/testing/soak_main.cc
@@ -21,16 +21,16 @@
 
 namespace {
 
-using keelbridge::testing::SoakKinds;
+using keelbridge::testing::SoakFaultSet;
 
-SoakKinds Kinds(const std::string& name) {
-  if (name == "first") return SoakKinds::kFirst;
-  if (name == "later") return SoakKinds::kLater;
-  if (name == "first-and-later") return SoakKinds::kFirstAndLater;
-  if (name == "workers") return SoakKinds::kWorkers;
-  if (name == "restarts") return SoakKinds::kRestarts;
-  if (name == "late-restarts") return SoakKinds::kLateRestarts;
-  return name == "silences" ? SoakKinds::kSilences : SoakKinds::kAll;
+SoakFaultSet ParseFaultSet(const std::string& name) {
+  if (name == "first") return SoakFaultSet::kFirst;
+  if (name == "later") return SoakFaultSet::kLater;
+  if (name == "first-and-later") return SoakFaultSet::kFirstAndLater;
+  if (name == "workers") return SoakFaultSet::kWorkers;
+  if (name == "restarts") return SoakFaultSet::kRestarts;
+  if (name == "late-restarts") return SoakFaultSet::kLateRestarts;
+  return name == "silences" ? SoakFaultSet::kSilences : SoakFaultSet::kAll;
 }
 
 }  // namespace
@@ -46,20 +46,20 @@
     options.length = absl::GetFlag(FLAGS_length);
     options.nodes = absl::GetFlag(FLAGS_nodes);
     options.workers = absl::GetFlag(FLAGS_workers);
-    options.faults_at_most = absl::GetFlag(FLAGS_faults);
-    options.kinds = Kinds(absl::GetFlag(FLAGS_kinds));
+    options.max_faults = absl::GetFlag(FLAGS_faults);
+    options.kinds = ParseFaultSet(absl::GetFlag(FLAGS_kinds));
     const auto report = keelbridge::testing::RunSiteSoak(options);
     std::cout << "seed " << seed << ": " << report.faults.size() << " faults, "
               << report.accepted << " accepted, " << report.refused
               << " refused, " << report.unknown << " unknown, " << report.runs
-              << " runs, " << report.happened.size() << " notes, "
-              << report.looks << " looks, slowest change "
-              << absl::ToInt64Milliseconds(report.slowest_change) << " ms"
+              << " runs, " << report.events.size() << " notes, "
+              << report.read_calls << " looks, slowest change "
+              << absl::ToInt64Milliseconds(report.max_change_delay) << " ms"
               << std::endl;
     if (!report.faults.empty()) ++failed;
     if (report.faults.empty() && !absl::GetFlag(FLAGS_notes)) continue;
     std::cout << "  logs: " << report.logs << "\n";
-    for (const std::string& what : report.happened)
+    for (const std::string& what : report.events)
       std::cout << "  " << what << "\n";
     for (const std::string& fault : report.faults)
       std::cout << "  " << fault << "\n";
--- a/testing/support/configuration_check.cc
+++ b/testing/support/configuration_check.cc
@@ -12,20 +12,23 @@
 }
 
 // The node was in trouble for a part of the call at least.
-bool Disturbed(const ConfigurationCheck::Sight& sight) {
-  return sight.before.since == absl::InfiniteFuture() ||
-         sight.before.since != sight.after.since;
+bool WasDisturbed(const ConfigurationCheck::Observation& observation) {
+  return observation.before.undisturbed_since == absl::InfiniteFuture() ||
+         observation.before.undisturbed_since !=
+             observation.after.undisturbed_since;
 }
 
 // From when on the node must serve by what was written at `written`.
-absl::Time DueAt(absl::Time written, const ConfigurationCheck::Sight& sight) {
-  return std::max(written + ConfigurationCheck::kApply,
-                  sight.before.since + ConfigurationCheck::kInTouch);
+absl::Time DueTime(absl::Time written,
+                   const ConfigurationCheck::Observation& observation) {
+  return std::max(
+      written + ConfigurationCheck::kApplyTime,
+      observation.before.undisturbed_since + ConfigurationCheck::kRecoveryTime);
 }
 
 }  // namespace
 
-void ConfigurationCheck::Written(int64_t version, absl::Time now) {
+void ConfigurationCheck::RecordWrite(int64_t version, absl::Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   written_[version] = now;
 }
@@ -35,67 +38,84 @@
   return written_.empty() ? 0 : written_.rbegin()->first;
 }
 
-bool ConfigurationCheck::ServesNewest(int node, int life) const {
+bool ConfigurationCheck::ServesNewest(int node, int incarnation) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const Best& best = best_[static_cast<size_t>(node)];
-  return best.life == life && !written_.empty() &&
-         best.version == written_.rbegin()->first;
+  const NewestServed& newest_served = newest_served_[static_cast<size_t>(node)];
+  return newest_served.incarnation == incarnation && !written_.empty() &&
+         newest_served.version == written_.rbegin()->first;
 }
 
-absl::Duration ConfigurationCheck::slowest() const {
+absl::Duration ConfigurationCheck::max_delay() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return slowest_;
 }
 
-std::string ConfigurationCheck::Seen(const Sight& sight) {
+std::string ConfigurationCheck::CheckObservation(
+    const Observation& observation) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (sight.before.life != sight.after.life) return "";
-  std::string fault = CheckBack(sight);
-  if (fault.empty()) fault = CheckLate(sight);
-  if (fault.empty()) fault = CheckRefusal(sight);
+  if (observation.before.incarnation != observation.after.incarnation)
+    return "";
+  std::string fault = CheckRegression(observation);
+  if (fault.empty()) fault = CheckLateness(observation);
+  if (fault.empty()) fault = CheckRefusal(observation);
   return fault;
 }
 
-std::string ConfigurationCheck::CheckBack(const Sight& sight) {
-  Best& best = best_[static_cast<size_t>(sight.node)];
-  if (best.life != sight.before.life) best = {sight.before.life, 0};
+std::string ConfigurationCheck::CheckRegression(
+    const Observation& observation) {
+  NewestServed& newest_served =
+      newest_served_[static_cast<size_t>(observation.node)];
+  if (newest_served.incarnation != observation.before.incarnation)
+    newest_served = {observation.before.incarnation, 0};
   // Refusing because it may be behind is not serving by an older version; see
   // `CheckRefusal`.
-  if (sight.version == 0) return "";
-  if (sight.version < best.version) {
-    return absl::StrCat("CONFIG: node ", sight.node, " went back from version ",
-                        best.version, " to ", sight.version);
+  if (observation.version == 0) return "";
+  if (observation.version < newest_served.version) {
+    return absl::StrCat("CONFIG: node ", observation.node,
+                        " went back from version ", newest_served.version,
+                        " to ", observation.version);
   }
-  const auto written = written_.find(sight.version);
-  const bool first = sight.version > best.version && written != written_.end();
-  if (first && sight.before.since < sight.asked)
+  const auto written = written_.find(observation.version);
+  const bool first =
+      observation.version > newest_served.version && written != written_.end();
+  if (first && observation.before.undisturbed_since < observation.sent_at)
     slowest_ = std::max(
-        slowest_, sight.asked - std::max(written->second, sight.before.since));
-  best.version = sight.version;
+        slowest_,
+        observation.sent_at -
+            std::max(written->second, observation.before.undisturbed_since));
+  newest_served.version = observation.version;
   return "";
 }
 
-std::string ConfigurationCheck::CheckLate(const Sight& sight) const {
-  if (sight.version == 0 || Disturbed(sight)) return "";
-  for (auto it = written_.upper_bound(sight.version); it != written_.end();
-       ++it) {
-    if (sight.asked <= DueAt(it->second, sight)) continue;
-    return absl::StrCat(
-        "CONFIG: node ", sight.node, " serves by version ", sight.version, ", ",
-        Milliseconds(sight.asked - it->second), " ms after version ", it->first,
-        " was written, undisturbed for ",
-        Milliseconds(sight.asked - sight.before.since), " ms");
+std::string ConfigurationCheck::CheckLateness(
+    const Observation& observation) const {
+  if (observation.version == 0 || WasDisturbed(observation)) return "";
+  for (auto it = written_.upper_bound(observation.version);
+       it != written_.end(); ++it) {
+    if (observation.sent_at <= DueTime(it->second, observation)) continue;
+    return absl::StrCat("CONFIG: node ", observation.node,
+                        " serves by version ", observation.version, ", ",
+                        Milliseconds(observation.sent_at - it->second),
+                        " ms after version ", it->first,
+                        " was written, undisturbed for ",
+                        Milliseconds(observation.sent_at -
+                                     observation.before.undisturbed_since),
+                        " ms");
   }
   return "";
 }
 
-std::string ConfigurationCheck::CheckRefusal(const Sight& sight) const {
-  if (sight.version != 0 || Disturbed(sight) || written_.empty()) return "";
-  if (sight.asked <= DueAt(written_.begin()->second, sight)) return "";
+std::string ConfigurationCheck::CheckRefusal(
+    const Observation& observation) const {
+  if (observation.version != 0 || WasDisturbed(observation) || written_.empty())
+    return "";
+  if (observation.sent_at <= DueTime(written_.begin()->second, observation))
+    return "";
   return absl::StrCat(
-      "CONFIG: node ", sight.node,
+      "CONFIG: node ", observation.node,
       " refuses a call since its configuration may be old, undisturbed for ",
-      Milliseconds(sight.asked - sight.before.since), " ms");
+      Milliseconds(observation.sent_at - observation.before.undisturbed_since),
+      " ms");
 }
 
 }  // namespace keelbridge::testing
--- a/testing/support/configuration_check_test.cc
+++ b/testing/support/configuration_check_test.cc
@@ -12,128 +12,137 @@
 }
 
 // A sight of an undisturbed first life that is in touch since `since`.
-ConfigurationCheck::Sight Sight(int64_t version, double asked,
-                                double since = 0) {
-  ConfigurationCheck::Sight sight;
-  sight.version = version;
-  sight.asked = At(asked);
-  sight.before.since = At(since);
-  sight.after = sight.before;
-  return sight;
+ConfigurationCheck::Observation Observation(int64_t version, double sent_at,
+                                            double undisturbed_since = 0) {
+  ConfigurationCheck::Observation observation;
+  observation.version = version;
+  observation.sent_at = At(sent_at);
+  observation.before.undisturbed_since = At(undisturbed_since);
+  observation.after = observation.before;
+  return observation;
 }
 
 TEST_CASE("configuration check: a change is due 2 s after it was written") {
   ConfigurationCheck check(1);
-  check.Written(1, At(0));
-  check.Written(2, At(10));
-  CHECK(check.Seen(Sight(1, 11.9)).empty());
-  CHECK(absl::StrContains(check.Seen(Sight(1, 12.1)), "after version 2"));
-  CHECK(check.Seen(Sight(2, 12.2)).empty());
+  check.RecordWrite(1, At(0));
+  check.RecordWrite(2, At(10));
+  CHECK(check.CheckObservation(Observation(1, 11.9)).empty());
+  CHECK(absl::StrContains(check.CheckObservation(Observation(1, 12.1)),
+                          "after version 2"));
+  CHECK(check.CheckObservation(Observation(2, 12.2)).empty());
 }
 
 TEST_CASE("configuration check: a newer change does not excuse an older one") {
   ConfigurationCheck check(1);
-  check.Written(2, At(10));
-  check.Written(3, At(11.5));
-  CHECK(absl::StrContains(check.Seen(Sight(1, 12.1)), "after version 2"));
-  CHECK(check.Seen(Sight(2, 12.2)).empty());
-  CHECK(absl::StrContains(check.Seen(Sight(2, 13.6)), "after version 3"));
+  check.RecordWrite(2, At(10));
+  check.RecordWrite(3, At(11.5));
+  CHECK(absl::StrContains(check.CheckObservation(Observation(1, 12.1)),
+                          "after version 2"));
+  CHECK(check.CheckObservation(Observation(2, 12.2)).empty());
+  CHECK(absl::StrContains(check.CheckObservation(Observation(2, 13.6)),
+                          "after version 3"));
 }
 
 TEST_CASE("configuration check: a node in touch does not refuse") {
   ConfigurationCheck check(1);
-  CHECK(check.Seen(Sight(0, 9)).empty());  // There is nothing to serve by.
-  check.Written(1, At(10));
-  CHECK(check.Seen(Sight(0, 11.9)).empty());
-  CHECK(absl::StrContains(check.Seen(Sight(0, 12.1)), "refuses"));
+  CHECK(check.CheckObservation(Observation(0, 9))
+            .empty());  // There is nothing to serve by.
+  check.RecordWrite(1, At(10));
+  CHECK(check.CheckObservation(Observation(0, 11.9)).empty());
+  CHECK(absl::StrContains(check.CheckObservation(Observation(0, 12.1)),
+                          "refuses"));
   // Once is enough, also for one that served before, and long after a change.
-  CHECK(check.Seen(Sight(1, 13)).empty());
-  const std::string fault = check.Seen(Sight(0, 24.2));
+  CHECK(check.CheckObservation(Observation(1, 13)).empty());
+  const std::string fault = check.CheckObservation(Observation(0, 24.2));
   CHECK(absl::StrContains(fault, "refuses"));
   CHECK(absl::StrContains(fault, "undisturbed for 24200 ms"));
   // It serves by no version then: it is not called late with one.
   CHECK_FALSE(absl::StrContains(fault, "version 1"));
   // A newer version is no excuse.
-  check.Written(2, At(24));
-  CHECK(absl::StrContains(check.Seen(Sight(0, 24.3)), "refuses"));
+  check.RecordWrite(2, At(24));
+  CHECK(absl::StrContains(check.CheckObservation(Observation(0, 24.3)),
+                          "refuses"));
 }
 
 TEST_CASE("configuration check: a node may refuse until it is in touch") {
   ConfigurationCheck check(1);
-  check.Written(1, At(0));
-  CHECK(check.Seen(Sight(0, 22.9, 20)).empty());
-  CHECK(absl::StrContains(check.Seen(Sight(0, 23.1, 20)), "refuses"));
-  ConfigurationCheck::Sight sight = Sight(0, 23.1, 20);
-  sight.after.since = absl::InfiniteFuture();
-  CHECK(check.Seen(sight).empty());
+  check.RecordWrite(1, At(0));
+  CHECK(check.CheckObservation(Observation(0, 22.9, 20)).empty());
+  CHECK(absl::StrContains(check.CheckObservation(Observation(0, 23.1, 20)),
+                          "refuses"));
+  ConfigurationCheck::Observation observation = Observation(0, 23.1, 20);
+  observation.after.undisturbed_since = absl::InfiniteFuture();
+  CHECK(check.CheckObservation(observation).empty());
 }
 
 TEST_CASE(
     "configuration check: an old change is due 3 s after trouble ended, and 2 "
     "s are not added") {
   ConfigurationCheck check(1);
-  check.Written(2, At(10));
-  CHECK(check.Seen(Sight(1, 22.9, 20)).empty());
-  CHECK(absl::StrContains(check.Seen(Sight(1, 23.1, 20)), "after version 2"));
+  check.RecordWrite(2, At(10));
+  CHECK(check.CheckObservation(Observation(1, 22.9, 20)).empty());
+  CHECK(absl::StrContains(check.CheckObservation(Observation(1, 23.1, 20)),
+                          "after version 2"));
 }
 
 TEST_CASE(
     "configuration check: a change soon after trouble is due at the later "
     "moment") {
   ConfigurationCheck check(1);
-  check.Written(2, At(20.5));
-  CHECK(check.Seen(Sight(1, 22.9, 20)).empty());
-  CHECK_FALSE(check.Seen(Sight(1, 23.1, 20)).empty());
-  check.Written(3, At(22));
-  CHECK(check.Seen(Sight(2, 23.9, 20)).empty());
-  CHECK_FALSE(check.Seen(Sight(2, 24.1, 20)).empty());
+  check.RecordWrite(2, At(20.5));
+  CHECK(check.CheckObservation(Observation(1, 22.9, 20)).empty());
+  CHECK_FALSE(check.CheckObservation(Observation(1, 23.1, 20)).empty());
+  check.RecordWrite(3, At(22));
+  CHECK(check.CheckObservation(Observation(2, 23.9, 20)).empty());
+  CHECK_FALSE(check.CheckObservation(Observation(2, 24.1, 20)).empty());
 }
 
 TEST_CASE("configuration check: a node disturbed meanwhile is not late") {
   ConfigurationCheck check(1);
-  check.Written(2, At(10));
-  ConfigurationCheck::Sight sight = Sight(1, 30);
-  sight.after.since = absl::InfiniteFuture();
-  CHECK(check.Seen(sight).empty());
-  sight.before.since = absl::InfiniteFuture();
-  CHECK(check.Seen(sight).empty());
+  check.RecordWrite(2, At(10));
+  ConfigurationCheck::Observation observation = Observation(1, 30);
+  observation.after.undisturbed_since = absl::InfiniteFuture();
+  CHECK(check.CheckObservation(observation).empty());
+  observation.before.undisturbed_since = absl::InfiniteFuture();
+  CHECK(check.CheckObservation(observation).empty());
 }
 
 TEST_CASE("configuration check: no life goes back, disturbed or not") {
   ConfigurationCheck check(1);
-  check.Written(1, At(0));
-  check.Written(2, At(10));
-  CHECK(check.Seen(Sight(2, 11)).empty());
-  ConfigurationCheck::Sight back = Sight(1, 12);
-  back.before.since = absl::InfiniteFuture();
+  check.RecordWrite(1, At(0));
+  check.RecordWrite(2, At(10));
+  CHECK(check.CheckObservation(Observation(2, 11)).empty());
+  ConfigurationCheck::Observation back = Observation(1, 12);
+  back.before.undisturbed_since = absl::InfiniteFuture();
   back.after = back.before;
-  CHECK(absl::StrContains(check.Seen(back), "went back"));
+  CHECK(absl::StrContains(check.CheckObservation(back), "went back"));
   // Another life may begin with an older one.
-  back.before.life = 1;
-  back.after.life = 1;
-  CHECK(check.Seen(back).empty());
+  back.before.incarnation = 1;
+  back.after.incarnation = 1;
+  CHECK(check.CheckObservation(back).empty());
 }
 
 TEST_CASE("configuration check: refusing is not going back") {
   ConfigurationCheck check(1);
-  check.Written(1, At(0));
-  CHECK(check.Seen(Sight(1, 1)).empty());
-  check.Written(2, At(6));
-  CHECK(check.Seen(Sight(2, 6.1)).empty());
-  CHECK(check.Seen(Sight(0, 6.2, 6)).empty());
+  check.RecordWrite(1, At(0));
+  CHECK(check.CheckObservation(Observation(1, 1)).empty());
+  check.RecordWrite(2, At(6));
+  CHECK(check.CheckObservation(Observation(2, 6.1)).empty());
+  CHECK(check.CheckObservation(Observation(0, 6.2, 6)).empty());
   // It still counts what this life served by before.
-  CHECK(absl::StrContains(check.Seen(Sight(1, 6.3, 6)), "went back"));
+  CHECK(absl::StrContains(check.CheckObservation(Observation(1, 6.3, 6)),
+                          "went back"));
 }
 
 TEST_CASE("configuration check: the slowest sight of a change") {
   ConfigurationCheck check(1);
-  check.Written(2, At(10));
-  CHECK(check.Seen(Sight(2, 12)).empty());
-  CHECK(check.Seen(Sight(2, 14)).empty());
-  CHECK(check.slowest() == absl::Seconds(2));
+  check.RecordWrite(2, At(10));
+  CHECK(check.CheckObservation(Observation(2, 12)).empty());
+  CHECK(check.CheckObservation(Observation(2, 14)).empty());
+  CHECK(check.max_delay() == absl::Seconds(2));
   CHECK(check.ServesNewest(0, 0));
   CHECK_FALSE(check.ServesNewest(0, 1));
-  check.Written(3, At(20));
+  check.RecordWrite(3, At(20));
   CHECK_FALSE(check.ServesNewest(0, 0));
 }
 
--- a/testing/support/crashing_site.h
+++ b/testing/support/crashing_site.h
@@ -26,17 +26,17 @@
  public:
   // `kept`: what an earlier leader left. All power was lost since, so that its
   // workers have other lives now.
-  explicit CrashingSite(int64_t epoch, int workers = 4,
-                        int32_t cpu_milli = 16000,
-                        const std::map<std::string, Record>& kept = {})
+  explicit CrashingSite(
+      int64_t epoch, int workers = 4, int32_t cpu_milli = 16000,
+      const std::map<std::string, Record>& stored_records = {})
       : driver(epoch), epoch_(epoch), cpu_milli_(cpu_milli) {
-    for (const auto& [key, record] : kept) {
-      if (const auto worker = KnownWorkerFrom(record))
-        driver.other_lives.insert(worker->worker.id);
+    for (const auto& [key, record] : stored_records) {
+      if (const auto worker = ParseKnownWorker(record))
+        driver.other_incarnations.insert(worker->worker.id);
     }
-    driver.kept = kept;
-    if (!kept.empty()) driver.TakeOver(driver);
-    for (int i = 0; i < workers; ++i) StartLife(absl::StrCat("m", i));
+    driver.stored_records = stored_records;
+    if (!stored_records.empty()) driver.TakeOver(driver);
+    for (int i = 0; i < workers; ++i) StartIncarnation(absl::StrCat("m", i));
   }
 
   void Submit(JobId id, const StepSpec& step) {
@@ -49,27 +49,28 @@
   void Run(absl::Duration until) {
     while (driver.now().mono < kBegin + until) {
       driver.RunUntil(driver.now().mono - kBegin + absl::Milliseconds(20));
-      TakeStarts();
-      TakeDue();
+      HandleStarts();
+      RunDueSteps();
     }
   }
 
   // The worker's process dies; the next life comes after `down_for`.
   void Crash(const std::string& worker) {
-    if (driver.down.count(worker) > 0 || driver.other_lives.count(worker) > 0)
+    if (driver.down.count(worker) > 0 ||
+        driver.other_incarnations.count(worker) > 0)
       return;
-    ++crashes_seen;
+    ++crash_count;
     driver.down.insert(worker);
-    const std::vector<RunningTask> lost = driver.lists[worker].running;
-    driver.lists.erase(worker);
+    const std::vector<RunningTask> lost = driver.reports[worker].running;
+    driver.reports.erase(worker);
     for (const RunningTask& run : lost) {
       if (gangs.count(run.task.job) > 0) BreakGang(run);
     }
-    most_down = std::max(most_down, driver.down.size());
+    max_down = std::max(max_down, driver.down.size());
     After(down_for, [this, worker] {
       driver.down.erase(worker);
-      driver.other_lives.insert(worker);
-      StartLife(machine_of_.at(worker));
+      driver.other_incarnations.insert(worker);
+      StartIncarnation(machine_by_worker_.at(worker));
     });
   }
 
@@ -82,12 +83,12 @@
   }
 
   void After(absl::Duration delay, std::function<void()> step) {
-    due_.emplace(driver.now().mono + delay, std::move(step));
+    scheduled_steps_.emplace(driver.now().mono + delay, std::move(step));
   }
 
   // The worker that is at the machine now.
   std::string WorkerAt(const std::string& machine) const {
-    return machine_now_.at(machine);
+    return worker_by_machine_.at(machine);
   }
 
   int StartsOf(JobId job) const {
@@ -112,36 +113,36 @@
   std::function<void(const StartOrder&, const std::string& worker)> on_start =
       [](const StartOrder&, const std::string&) {};
   std::set<JobId> gangs;  // A member that is lost breaks the others' runs.
-  int crashes_seen = 0;
-  size_t most_down = 0;  // Workers, at one time.
+  int crash_count = 0;
+  size_t max_down = 0;  // Workers, at one time.
 
  private:
   WorkerRecord RecordOf(const std::string& worker) const {
     WorkerRecord record = SchedulerDriver::RecordOf(worker, cpu_milli_);
     record.capacity.memory_mib = 1 << 20;
-    record.machine = machine_of_.at(worker);
+    record.machine = machine_by_worker_.at(worker);
     return record;
   }
 
-  void StartLife(const std::string& machine) {
+  void StartIncarnation(const std::string& machine) {
     // Lives of one machine differ, also from those under another leader.
     const std::string id =
-        absl::StrCat(machine, "-", epoch_, "-", ++lives_[machine]);
-    machine_of_[id] = machine;
-    machine_now_[machine] = id;
-    driver.lists[id];
+        absl::StrCat(machine, "-", epoch_, "-", ++incarnation_counts_[machine]);
+    machine_by_worker_[id] = machine;
+    worker_by_machine_[machine] = id;
+    driver.reports[id];
     driver.scheduler().OnWorkerRecord(RecordOf(id), driver.now());
   }
 
-  void TakeStarts() {
-    for (; taken_ < driver.starts.size(); ++taken_) {
-      const StartOrder order = driver.starts[taken_];
-      const std::string worker = driver.start_workers[taken_];
+  void HandleStarts() {
+    for (; handled_starts_ < driver.starts.size(); ++handled_starts_) {
+      const StartOrder order = driver.starts[handled_starts_];
+      const std::string worker = driver.start_workers[handled_starts_];
       on_start(order, worker);
       if (crashes(order.task)) {
         After(crash_after, [this, worker] { Crash(worker); });
       } else if (work < absl::InfiniteDuration()) {
-        After(work, [this, worker, order] { EndDone(worker, order); });
+        After(work, [this, worker, order] { CompleteRun(worker, order); });
       }
     }
   }
@@ -149,7 +150,7 @@
   // What is left of the gang's run ends.
   void BreakGang(const RunningTask& member) {
     std::vector<std::pair<std::string, RunningTask>> left;
-    for (const auto& [worker, list] : driver.lists) {
+    for (const auto& [worker, list] : driver.reports) {
       for (const RunningTask& run : list.running) {
         if (run.task.job == member.task.job && run.run == member.run)
           left.emplace_back(worker, run);
@@ -160,28 +161,30 @@
                  {++ends_[worker], run.task, run.run, RunEnd::kBroken, ""});
   }
 
-  void EndDone(const std::string& worker, const StartOrder& order) {
-    if (driver.lists.count(worker) == 0) return;
+  void CompleteRun(const std::string& worker, const StartOrder& order) {
+    if (driver.reports.count(worker) == 0) return;
     driver.End(worker,
                {++ends_[worker], order.task, order.run, RunEnd::kDone, ""});
   }
 
-  void TakeDue() {
-    while (!due_.empty() && due_.begin()->first <= driver.now().mono) {
-      const auto step = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+  void RunDueSteps() {
+    while (!scheduled_steps_.empty() &&
+           scheduled_steps_.begin()->first <= driver.now().mono) {
+      const auto step = std::move(scheduled_steps_.begin()->second);
+      scheduled_steps_.erase(scheduled_steps_.begin());
       step();
     }
   }
 
   const int64_t epoch_;
   const int32_t cpu_milli_;
-  size_t taken_ = 0;  // Of the driver's starts.
-  std::map<std::string, int> lives_;
+  size_t handled_starts_ = 0;  // Of the driver's starts.
+  std::map<std::string, int> incarnation_counts_;
   std::map<std::string, int64_t> ends_;
-  std::map<std::string, std::string> machine_of_;   // By worker.
-  std::map<std::string, std::string> machine_now_;  // By machine: its worker.
-  std::multimap<absl::Time, std::function<void()>> due_;
+  std::map<std::string, std::string> machine_by_worker_;  // By worker.
+  std::map<std::string, std::string>
+      worker_by_machine_;  // By machine: its worker.
+  std::multimap<absl::Time, std::function<void()>> scheduled_steps_;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/support/node_disturbances.h
+++ b/testing/support/node_disturbances.h
@@ -1,7 +1,7 @@
 // Since when each node of a soak has been undisturbed: its process runs, its
 // proxies pass, the store answers. Thread-safe.
 //
-//   NodeTouch touch(4);
+//   NodeDisturbances touch(4);
 //   touch.Disturb(2);
 //   touch.Restore(2);  // In touch from now on.
 
@@ -16,14 +16,14 @@
 
 namespace keelbridge::testing {
 
-class NodeTouch {
+class NodeDisturbances {
  public:
   struct State {
-    absl::Time since;  // InfiniteFuture: it is disturbed now.
-    int life = 0;      // Counts the processes that were started.
+    absl::Time undisturbed_since;  // InfiniteFuture: it is disturbed now.
+    int incarnation = 0;           // Counts the processes that were started.
   };
 
-  explicit NodeTouch(int nodes);
+  explicit NodeDisturbances(int nodes);
 
   // Disturbances of a node may overlap: each needs its own `Restore`.
   void Disturb(int node);
@@ -31,7 +31,7 @@
   void DisturbAll();
   void RestoreAll();
   // The process has ended; the one that replaces it is another life.
-  void NextLife(int node);
+  void StartNextIncarnation(int node);
   State Get(int node) const;
 
  private:
--- a/testing/support/run_checker.cc
+++ b/testing/support/run_checker.cc
@@ -7,18 +7,18 @@
 
 namespace keelbridge::testing {
 
-std::vector<std::string> CheckRuns(std::vector<RunFact> facts,
+std::vector<std::string> CheckRuns(std::vector<RunEvent> facts,
                                    const RunRules& rules) {
   // At equal times ends come first: an instant is not an overlap.
   std::stable_sort(facts.begin(), facts.end(),
-                   [](const RunFact& a, const RunFact& b) {
+                   [](const RunEvent& a, const RunEvent& b) {
                      return a.at != b.at ? a.at < b.at : !a.begins && b.begins;
                    });
   std::vector<std::string> faults;
   std::map<std::string, Resources> used;
   std::map<std::string, std::set<std::string>> running_on;
   std::map<std::string, int> starts;
-  for (const RunFact& fact : facts) {
+  for (const RunEvent& fact : facts) {
     const std::string at = absl::StrCat("at ", ToMillis(fact.at), " ms: ");
     std::string intent;
     int64_t index = 0;
@@ -41,7 +41,7 @@
                                     " while it runs on ", *hosts.begin()));
     }
     hosts.insert(absl::StrCat(fact.worker, "#", fact.attempt));
-    if (++starts[fact.task] > 1 && rules.once.count(intent) > 0) {
+    if (++starts[fact.task] > 1 && rules.non_repeatable.count(intent) > 0) {
       faults.push_back(absl::StrCat(
           at, fact.task, " must not be repeated and starts again on ",
           fact.worker));
--- a/testing/support/run_checker.h
+++ b/testing/support/run_checker.h
@@ -19,7 +19,8 @@
   std::map<std::string, Resources> totals;  // Of each worker.
   std::set<std::string>
       may_overlap;  // Intents whose tasks may run on two hosts at once.
-  std::set<std::string> once;  // Intents whose tasks must not start twice.
+  std::set<std::string>
+      non_repeatable;  // Intents whose tasks must not start twice.
   // No task may begin on a worker later than this.
   std::map<std::string, absl::Time> no_starts_after;
 };
@@ -27,7 +28,7 @@
 // Every violation, in words: more given than a worker has, a task on two hosts
 // at once, a task that must not be repeated started twice, a start on a worker
 // that had to get none.
-std::vector<std::string> CheckRuns(std::vector<RunFact> facts,
+std::vector<std::string> CheckRuns(std::vector<RunEvent> facts,
                                    const RunRules& rules);
 
 }  // namespace keelbridge::testing
--- a/testing/support/run_checker_test.cc
+++ b/testing/support/run_checker_test.cc
@@ -5,8 +5,8 @@
 namespace keelbridge::testing {
 namespace {
 
-RunFact Fact(int64_t at_ms, const std::string& worker, const std::string& task,
-             int64_t attempt, bool begins) {
+RunEvent Fact(int64_t at_ms, const std::string& worker, const std::string& task,
+              int64_t attempt, bool begins) {
   return {absl::FromUnixMillis(at_ms),
           worker,
           task,
@@ -50,11 +50,11 @@
     "run checker: refuses a second start of what must not be repeated, and a "
     "start on a leaving worker") {
   RunRules rules = Rules();
-  rules.once.insert("a");
+  rules.non_repeatable.insert("a");
   rules.no_starts_after["w2"] = absl::FromUnixMillis(7);
-  const std::vector<RunFact> facts = {Fact(1, "w1", "a/0", 1, true),
-                                      Fact(5, "w1", "a/0", 1, false),
-                                      Fact(8, "w2", "a/0", 2, true)};
+  const std::vector<RunEvent> facts = {Fact(1, "w1", "a/0", 1, true),
+                                       Fact(5, "w1", "a/0", 1, false),
+                                       Fact(8, "w2", "a/0", 2, true)};
   CHECK(CheckRuns(facts, rules).size() == 2);
 }
 
--- a/testing/support/scheduler_driver.h
+++ b/testing/support/scheduler_driver.h
@@ -32,27 +32,27 @@
 // A site of workers "a", "b", ... that answer when the test says so.
 class SchedulerDriver {
  public:
-  explicit SchedulerDriver(int64_t epoch, int most_attempts = 2,
+  explicit SchedulerDriver(int64_t epoch, int max_attempts = 2,
                            SchedulerPolicy policy = SchedulerPolicy())
-      : scheduler_(OptionsWith(policy), epoch, kBegin) {
-    UseQueue(most_attempts);
+      : scheduler_(MakeOptions(policy), epoch, kBegin) {
+    SetQueue(max_attempts);
     scheduler_.OnEarlierLeadersStopped(kBegin);
   }
 
   // A configuration with one queue, "restore".
-  void UseQueue(int most_attempts) {
+  void SetQueue(int max_attempts) {
     auto configuration = std::make_shared<SiteConfiguration>();
     configuration->version = 1;
     Queue queue;
     queue.name = "restore";
     queue.pool = "pool";
-    queue.most_attempts = most_attempts;
+    queue.max_attempts = max_attempts;
     configuration->queues.push_back(queue);
     scheduler_.SetConfiguration(configuration);
   }
 
   JobScheduler& scheduler() { return scheduler_; }
-  Now now() const { return {now_, now_ + time_of_day_is_ahead}; }
+  Now now() const { return {now_, now_ + wall_clock_offset}; }
 
   // A job of an earlier leader, and the workers that it may have given work.
   void Recover(const StepSpec& step,
@@ -71,8 +71,8 @@
   void TakeOver(const SchedulerDriver& earlier) {
     JobRecords jobs;
     std::vector<KnownWorker> workers;
-    for (const auto& [key, record] : earlier.kept) {
-      if (const auto worker = KnownWorkerFrom(record))
+    for (const auto& [key, record] : earlier.stored_records) {
+      if (const auto worker = ParseKnownWorker(record))
         workers.push_back(*worker);
       else
         jobs.Add(record);
@@ -88,7 +88,7 @@
     Queue queue;
     queue.name = "restore";
     queue.pool = "pool";
-    queue.most_attempts = 2;
+    queue.max_attempts = 2;
     queue.advice = terms;
     configuration->queues.push_back(queue);
     queue.name = "plain";
@@ -106,7 +106,7 @@
   }
 
   void AnswerHeldAdvice() {
-    for (const AskAdviceAction& ask : std::exchange(held_, {}))
+    for (const AskAdviceAction& ask : std::exchange(held_advice_, {}))
       AnswerAdvice(ask);
   }
 
@@ -125,14 +125,14 @@
 
   // The run ends on the worker.
   void End(const std::string& worker, const EndedTask& end) {
-    std::vector<RunningTask>& running = lists[worker].running;
+    std::vector<RunningTask>& running = reports[worker].running;
     running.erase(std::remove_if(running.begin(), running.end(),
                                  [&](const RunningTask& one) {
                                    return one.task == end.task &&
                                           one.run == end.run;
                                  }),
                   running.end());
-    lists[worker].ended.push_back(end);
+    reports[worker].ended.push_back(end);
   }
 
   // Ticks until `until` after the beginning; every observation of a worker in
@@ -142,63 +142,67 @@
       now_ += absl::Milliseconds(20);
       AnswerDueAdvice();
       scheduler_.Tick(now());
-      scheduler_.OnTickTook(tick_takes, now());
+      scheduler_.OnTickFinished(tick_duration, now());
       if (scheduler_.HasBatch() && !hold_batches) {
         const auto batch = scheduler_.TakeBatch();
-        Keep(batch);
+        StoreRecords(batch);
         scheduler_.OnDurable(batch.number);
       }
-      for (const Action& action : scheduler_.TakeActions()) Answer(action);
+      for (const Action& action : scheduler_.TakeActions())
+        HandleAction(action);
     }
   }
 
-  std::map<std::string, ObserveReply> lists;  // Workers in it answer.
-  std::map<std::string, Record> kept;         // The newest of each key.
-  std::vector<ExplainAction> lines;           // For the log.
+  std::map<std::string, ObserveReply> reports;   // Workers in it answer.
+  std::map<std::string, Record> stored_records;  // The newest of each key.
+  std::vector<LogAction> log_lines;              // For the log.
   std::set<std::string> good;
-  std::set<std::string> other_lives;   // Answer that another life is there.
+  std::set<std::string>
+      other_incarnations;              // Answer that another life is there.
   std::set<std::string> down;          // Nothing listens there.
-  std::set<std::string> loses_starts;  // Starts get no answer and do not run.
+  std::set<std::string> drops_starts;  // Starts get no answer and do not run.
   // By a life that is over: the life of the same worker that is there now. It
   // carries out orders that are sent to the earlier one.
-  std::map<std::string, std::string> next_lives;
+  std::map<std::string, std::string> next_incarnations;
   // Instead of `good`: by the step, its first task, and the worker.
   std::function<bool(const TaskId&, const std::string&)> is_good;
   bool hold_advice = false;
   // Advice takes as long as its terms say, one call at a time at each adviser.
   bool timed_advice = false;
-  bool hold_batches = false;  // The store takes nothing.
-  absl::Duration tick_takes;  // As the scheduler is told.
-  absl::Duration time_of_day_is_ahead;
-  std::vector<std::vector<std::string>> asks;  // Workers named, call by call.
-  std::vector<std::vector<int32_t>> hopes;     // Of each of them.
-  std::vector<StartOrder> starts;              // That were carried out.
+  bool hold_batches = false;     // The store takes nothing.
+  absl::Duration tick_duration;  // As the scheduler is told.
+  absl::Duration wall_clock_offset;
+  std::vector<std::vector<std::string>>
+      advice_calls;  // Workers named, call by call.
+  std::vector<std::vector<int32_t>> expected_uses;  // Of each of them.
+  std::vector<StartOrder> starts;                   // That were carried out.
   std::vector<std::string> start_workers;
   std::vector<StartOrder> lost_starts;
   std::vector<StopOrder> stops;
   std::vector<std::string> stop_workers;
-  std::vector<ObserveAction> looks;
-  std::vector<std::string> forgotten;  // Workers, in the order of that.
+  std::vector<ObserveAction> observations;
+  std::vector<std::string> forgotten_workers;  // Workers, in the order of that.
 
  private:
   // What an order to the worker comes to that would else be `otherwise`.
-  OrderResult ResultAt(const std::string& worker, OrderResult otherwise) const {
-    if (other_lives.count(worker) > 0) return OrderResult::kOtherLife;
+  OrderResult ResultAt(const std::string& worker, OrderResult fallback) const {
+    if (other_incarnations.count(worker) > 0)
+      return OrderResult::kOtherIncarnation;
     if (down.count(worker) > 0) return OrderResult::kNotSent;
-    return otherwise;
+    return fallback;
   }
 
-  static JobScheduler::Options OptionsWith(SchedulerPolicy policy) {
+  static JobScheduler::Options MakeOptions(SchedulerPolicy policy) {
     JobScheduler::Options options;
     options.policy = policy;
     return options;
   }
-  void Keep(const JobScheduler::Batch& batch) {
+  void StoreRecords(const JobScheduler::Batch& batch) {
     for (const Record& record : batch.records) {
       if (record.value)
-        kept[record.key] = record;
+        stored_records[record.key] = record;
       else
-        kept.erase(record.key);
+        stored_records.erase(record.key);
     }
   }
 
@@ -213,58 +217,62 @@
     scheduler_.OnAdvice(ask, reply, now());
   }
 
-  void AnswerLater(const AskAdviceAction& ask) {
-    const double takes_ms = advice_terms_.base_ms +
-                            advice_terms_.per_worker_ms *
-                                static_cast<double>(ask.request.workers.size());
-    absl::Time& free = adviser_free_[ask.adviser];
-    free = std::max(free, now_) + absl::Milliseconds(takes_ms);
-    due_.emplace(free, ask);
+  void ScheduleAdvice(const AskAdviceAction& ask) {
+    const double duration_ms =
+        advice_terms_.base_ms +
+        advice_terms_.per_worker_ms *
+            static_cast<double>(ask.request.workers.size());
+    absl::Time& free_at = adviser_free_at_[ask.adviser];
+    free_at = std::max(free_at, now_) + absl::Milliseconds(duration_ms);
+    scheduled_advice_.emplace(free_at, ask);
   }
 
   void AnswerDueAdvice() {
-    while (!due_.empty() && due_.begin()->first <= now_) {
-      const AskAdviceAction ask = due_.begin()->second;
-      due_.erase(due_.begin());
+    while (!scheduled_advice_.empty() &&
+           scheduled_advice_.begin()->first <= now_) {
+      const AskAdviceAction ask = scheduled_advice_.begin()->second;
+      scheduled_advice_.erase(scheduled_advice_.begin());
       AnswerAdvice(ask);
     }
   }
 
-  void Answer(const Action& action) {
-    if (const auto* look = std::get_if<ObserveAction>(&action)) {
-      const auto list = lists.find(look->worker.id);
+  void HandleAction(const Action& action) {
+    if (const auto* observe = std::get_if<ObserveAction>(&action)) {
+      const auto list = reports.find(observe->worker.id);
       ObserveReply reply;
-      if (list != lists.end()) {
+      if (list != reports.end()) {
         reply = list->second;
         reply.order.result = OrderResult::kDone;
         reply.order.clock_ms = absl::ToInt64Milliseconds(now_ - kBegin) + 1000;
       }
-      reply.order.result = ResultAt(look->worker.id, reply.order.result);
-      const auto next = next_lives.find(look->worker.id);
-      if (next != next_lives.end()) {
+      reply.order.result = ResultAt(observe->worker.id, reply.order.result);
+      const auto next = next_incarnations.find(observe->worker.id);
+      if (next != next_incarnations.end()) {
         reply = ObserveReply();
-        reply.order.result = OrderResult::kOtherLife;
-        reply.order.life = next->second;
+        reply.order.result = OrderResult::kOtherIncarnation;
+        reply.order.incarnation = next->second;
       }
       int64_t& fence =
-          fences_[next == next_lives.end() ? look->worker.id : next->second];
-      if (look->order.fence < fence) reply.order.result = OrderResult::kFenced;
-      fence = std::max(fence, look->order.fence);
-      looks.push_back(*look);
-      scheduler_.OnObserveReply(*look, reply, now_ - absl::Milliseconds(1),
+          fences_[next == next_incarnations.end() ? observe->worker.id
+                                                  : next->second];
+      if (observe->order.fence < fence)
+        reply.order.result = OrderResult::kFenced;
+      fence = std::max(fence, observe->order.fence);
+      observations.push_back(*observe);
+      scheduler_.OnObserveReply(*observe, reply, now_ - absl::Milliseconds(1),
                                 now());
     } else if (const auto* ask = std::get_if<AskAdviceAction>(&action)) {
-      asks.push_back(ask->request.workers);
-      hopes.push_back(ask->hoped_milli);
+      advice_calls.push_back(ask->request.workers);
+      expected_uses.push_back(ask->expected_cpu_milli);
       if (hold_advice)
-        held_.push_back(*ask);
+        held_advice_.push_back(*ask);
       else if (timed_advice)
-        AnswerLater(*ask);
+        ScheduleAdvice(*ask);
       else
         AnswerAdvice(*ask);
     } else if (const auto* start = std::get_if<StartAction>(&action)) {
       OrderReply reply;
-      const bool lost = loses_starts.count(start->worker.id) > 0;
+      const bool lost = drops_starts.count(start->worker.id) > 0;
       reply.result = ResultAt(
           start->worker.id, lost ? OrderResult::kUnknown : OrderResult::kDone);
       scheduler_.OnStartReply(*start, reply, now());
@@ -272,13 +280,13 @@
       if (reply.result != OrderResult::kDone) return;
       starts.push_back(start->order);
       start_workers.push_back(start->worker.id);
-      const auto next = next_lives.find(start->worker.id);
-      lists[next == next_lives.end() ? start->worker.id : next->second]
+      const auto next = next_incarnations.find(start->worker.id);
+      reports[next == next_incarnations.end() ? start->worker.id : next->second]
           .running.push_back({start->order.task, start->order.run, "", 0});
-    } else if (const auto* line = std::get_if<ExplainAction>(&action)) {
-      lines.push_back(*line);
+    } else if (const auto* line = std::get_if<LogAction>(&action)) {
+      log_lines.push_back(*line);
     } else if (const auto* gone = std::get_if<ForgetWorkerAction>(&action)) {
-      forgotten.push_back(gone->worker_id);
+      forgotten_workers.push_back(gone->worker_id);
     } else if (const auto* stop = std::get_if<StopAction>(&action)) {
       stops.push_back(stop->order);
       stop_workers.push_back(stop->worker.id);
@@ -289,9 +297,9 @@
   }
 
   AdviceTerms advice_terms_;
-  std::vector<AskAdviceAction> held_;
-  std::multimap<absl::Time, AskAdviceAction> due_;
-  std::map<std::string, absl::Time> adviser_free_;
+  std::vector<AskAdviceAction> held_advice_;
+  std::multimap<absl::Time, AskAdviceAction> scheduled_advice_;
+  std::map<std::string, absl::Time> adviser_free_at_;
   std::map<std::string, int64_t> fences_;  // By life: the highest it has seen.
   absl::Time now_ = kBegin;
   JobScheduler scheduler_;
@@ -306,9 +314,9 @@
 
 inline const TaskId kTask{kJob, 0, 0, 0};
 
-inline StepSpec LastingTask() {
+inline StepSpec LongRunningTask() {
   StepSpec step = OneTask();
-  step.lasting = true;
+  step.long_running = true;
   return step;
 }
 
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -10,27 +10,27 @@
 namespace {
 
 // Before a run from a checkpoint goes on.
-constexpr absl::Duration kRestore = absl::Milliseconds(600);
+constexpr absl::Duration kRestoreDuration = absl::Milliseconds(600);
 constexpr absl::Duration kStep = absl::Milliseconds(5);
 constexpr absl::Duration kOrderTimeout = absl::Milliseconds(500);
 constexpr absl::Duration kAppendRetry = absl::Milliseconds(60);
-constexpr absl::Duration kGangPatience = absl::Seconds(3);
-constexpr absl::Duration kRecordLingers = absl::Seconds(3);
-constexpr absl::Duration kAskEarlierEvery = absl::Milliseconds(300);
+constexpr absl::Duration kGangTimeout = absl::Seconds(3);
+constexpr absl::Duration kRecordRemovalDelay = absl::Seconds(3);
+constexpr absl::Duration kAskEarlierPeriod = absl::Milliseconds(300);
 // A leader that stood still for longer starts nothing until the store takes an
 // append of it.
-constexpr absl::Duration kStandstill = absl::Milliseconds(1500);
+constexpr absl::Duration kMaxSuspension = absl::Milliseconds(1500);
 // Of a task that crashes its worker: how long after its start, and when the
 // next life comes.
 constexpr absl::Duration kCrashAfter = absl::Milliseconds(10);
-constexpr absl::Duration kCrashedFor = absl::Seconds(3);
+constexpr absl::Duration kCrashDownTime = absl::Seconds(3);
 // After so many crashes so many starts are taken for an endless repeat.
-constexpr int kCrashesCounted = 3;
-constexpr int kStartsTooMany = 3;
+constexpr int kExcusedCrashes = 3;
+constexpr int kEndlessRepeatStarts = 3;
 // A capacity that has shrunk counts after this, and is told of within a beat.
-constexpr absl::Duration kCapacityCounts = absl::Milliseconds(3500);
-constexpr absl::Duration kBeat = absl::Milliseconds(500);
-constexpr absl::Duration kLongestLastingWork = absl::Seconds(8);
+constexpr absl::Duration kCapacityGrace = absl::Milliseconds(3500);
+constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(500);
+constexpr absl::Duration kMaxLongRunningWork = absl::Seconds(8);
 
 std::shared_ptr<SiteConfiguration> MakeConfiguration(
     const SiteSimulation::Options& options) {
@@ -42,7 +42,7 @@
   Queue queue;
   queue.name = SiteSimulation::kQueue;
   queue.pool = SiteSimulation::kPool;
-  queue.most_attempts = options.most_attempts;
+  queue.max_attempts = options.max_attempts;
   queue.stretch = 2;
   queue.target_latency_ms = 1000;
   queue.advice.needed = options.advice;
@@ -60,11 +60,11 @@
       random_(options.seed),
       workers_(static_cast<size_t>(options.workers)),
       configuration_(MakeConfiguration(options)) {
-  for (int i = 0; i < options_.workers; ++i) StartLife(i);
+  for (int i = 0; i < options_.workers; ++i) StartIncarnation(i);
   StartLeader();
 }
 
-Now SiteSimulation::At() const { return Now{now_, now_}; }
+Now SiteSimulation::CurrentTime() const { return Now{now_, now_}; }
 
 absl::Duration SiteSimulation::Delay() {
   return absl::Milliseconds(0.5 + 3 * Draw());
@@ -79,87 +79,94 @@
   queue_.emplace(now_ + delay, std::move(step));
 }
 
-void SiteSimulation::StartLife(int index, bool again) {
+void SiteSimulation::StartIncarnation(int index, bool keep_id) {
   WorkerSlot& slot = workers_[static_cast<size_t>(index)];
-  if (!again) slot.name = absl::StrCat("i-", index, "-", slot.names++);
-  slot.born_ms = std::max(slot.born_ms + 1, absl::ToUnixMillis(now_));
+  if (!keep_id) slot.name = absl::StrCat("i-", index, "-", slot.name_count++);
+  slot.start_time_ms =
+      std::max(slot.start_time_ms + 1, absl::ToUnixMillis(now_));
   SiteWorker::Options options;
-  options.record.id = WorkerLifeId({slot.name, slot.born_ms});
+  options.record.id = WorkerIncarnationId({slot.name, slot.start_time_ms});
   options.record.machine = absl::StrCat("m-", index);
   options.record.pool = kPool;
   options.record.zone = absl::StrCat("zone-", index % 3);
   options.record.capacity = options_.capacity;
-  slot.counted = options_.capacity;
+  slot.capacity_limit = options_.capacity;
   options.stop_time = absl::Milliseconds(200);
   options.clock_rate = 0.98 + 0.02 * Draw();
-  slot.life = std::make_unique<SiteWorker>(
-      options, [this](const StartOrder& order) { return PlanOf(order); },
-      [this](const SiteRun& run, bool begins) { Journal(run, begins); }, now_);
+  slot.incarnation = std::make_unique<SiteWorker>(
+      options, [this](const StartOrder& order) { return MakeRunPlan(order); },
+      [this](const SiteRun& run, bool begins) { RecordRun(run, begins); },
+      now_);
   // The platform lists a life once it has written its record.
-  const std::string id = slot.life->record().id;
-  After(again ? kBeat * Draw() : absl::ZeroDuration(), [this, index, id] {
-    const SiteWorker& life = *workers_[static_cast<size_t>(index)].life;
-    if (current_ != nullptr && life.record().id == id && life.alive())
-      current_->scheduler->OnWorkerRecord(life.record(), At());
-  });
+  const std::string id = slot.incarnation->record().id;
+  After(keep_id ? kHeartbeatInterval * Draw() : absl::ZeroDuration(),
+        [this, index, id] {
+          const SiteWorker& incarnation =
+              *workers_[static_cast<size_t>(index)].incarnation;
+          if (current_ != nullptr && incarnation.record().id == id &&
+              incarnation.alive())
+            current_->scheduler->OnWorkerRecord(incarnation.record(),
+                                                CurrentTime());
+        });
 }
 
-SiteRunPlan SiteSimulation::PlanOf(const StartOrder& order) {
+SiteRunPlan SiteSimulation::MakeRunPlan(const StartOrder& order) {
   const StepSpec& step =
       jobs_[order.task.job].spec.steps[static_cast<size_t>(order.task.step)];
-  const double off = options_.estimate_error;
+  const double deviation = options_.estimate_error;
   SiteRunPlan plan;
   plan.need = step.need;
-  plan.work =
-      absl::Milliseconds(step.estimated_ms) * (1 - off + 2 * off * Draw());
+  plan.work = absl::Milliseconds(step.estimated_ms) *
+              (1 - deviation + 2 * deviation * Draw());
   plan.fails = Draw() < options_.failing_runs;
   plan.gang = step.gang ? step.count : 0;
-  plan.saves = step.checkpoints;
-  plan.done = std::min(SavedWork(order.checkpoint), plan.work);
-  if (!order.checkpoint.empty()) plan.before = kRestore;
-  plan.work += plan.before - plan.done;
-  if (step.lasting) {
-    plan.fails = Draw() < options_.failing_lasting_runs;
-    plan.work = plan.fails ? kLongestLastingWork * Draw() : absl::Hours(1);
+  plan.writes_checkpoints = step.checkpoints;
+  plan.done = std::min(CheckpointedWork(order.checkpoint), plan.work);
+  if (!order.checkpoint.empty()) plan.restore_time = kRestoreDuration;
+  plan.work += plan.restore_time - plan.done;
+  if (step.long_running) {
+    plan.fails = Draw() < options_.failing_long_running_runs;
+    plan.work = plan.fails ? kMaxLongRunningWork * Draw() : absl::Hours(1);
   }
   return plan;
 }
 
-SiteWorker* SiteSimulation::Find(const std::string& worker_id, bool* cut) {
+SiteWorker* SiteSimulation::FindWorker(const std::string& worker_id,
+                                       bool* cut) {
   for (WorkerSlot& slot : workers_) {
-    if (slot.life->record().id != worker_id) continue;
+    if (slot.incarnation->record().id != worker_id) continue;
     *cut = slot.cut_until > now_;
-    return slot.life.get();
+    return slot.incarnation.get();
   }
   return nullptr;
 }
 
-SiteWorker* SiteSimulation::FindReached(const std::string& worker_id,
-                                        bool* cut) {
-  const std::string name = ParseWorkerLife(worker_id).name;
+SiteWorker* SiteSimulation::FindReachableWorker(const std::string& worker_id,
+                                                bool* cut) {
+  const std::string name = ParseWorkerIncarnation(worker_id).name;
   for (WorkerSlot& slot : workers_) {
     if (slot.name != name) continue;
     *cut = slot.cut_until > now_;
-    return slot.life.get();
+    return slot.incarnation.get();
   }
   return nullptr;
 }
 
-TaskId SiteSimulation::AccountOf(const TaskId& task) {
+TaskId SiteSimulation::FailureKey(const TaskId& task) {
   const StepSpec& step =
       jobs_[task.job].spec.steps[static_cast<size_t>(task.step)];
-  TaskId account = task;
-  if (step.gang) account.index = 0;
-  return account;
+  TaskId failure_key = task;
+  if (step.gang) failure_key.index = 0;
+  return failure_key;
 }
 
-void SiteSimulation::JudgeStart(const SiteRun& run) {
+void SiteSimulation::CheckStart(const SiteRun& run) {
   const std::string name =
       absl::StrCat(TaskIdText(run.task), " run ", run.run, " on ", run.worker);
   const JobFacts& facts = jobs_[run.task.job];
   Resources used;
   for (const WorkerSlot& slot : workers_) {
-    for (const auto& [key, other] : slot.life->running()) {
+    for (const auto& [key, other] : slot.incarnation->running()) {
       const bool here = other.worker == run.worker;
       if (here) used += other.need;
       const bool same = key.first == run.task;
@@ -168,8 +175,8 @@
                            " runs on ", other.worker));
     }
   }
-  const WorkerSlot* slot = SlotOf(run.worker);
-  if (!run.late && slot != nullptr && !used.FitsIn(slot->counted))
+  const WorkerSlot* slot = FindSlot(run.worker);
+  if (!run.late && slot != nullptr && !used.FitsIn(slot->capacity_limit))
     Fault(
         absl::StrCat("LIMIT: ", name, " takes the worker to ", used.cpu_milli));
   if (done_.count(run.task) > 0) {
@@ -177,67 +184,69 @@
     // again.
     bool excused = false;
     for (const WorkerSlot& slot : workers_) {
-      for (const EndedTask& end : slot.life->unnoted()) {
-        if (end.task == run.task && slot.life->LeaseLapsed(now_))
+      for (const EndedTask& end : slot.incarnation->unacknowledged_ends()) {
+        if (end.task == run.task && slot.incarnation->LeaseLapsed(now_))
           excused = true;
       }
     }
     if (!excused) Fault(absl::StrCat("TWICE: ", name, " after it was done"));
   }
-  const std::set<int32_t>& failed = failed_[AccountOf(run.task)];
+  const std::set<int32_t>& failed = failed_[FailureKey(run.task)];
   const bool lasts =
-      facts.spec.steps[static_cast<size_t>(run.task.step)].lasting;
-  if (!lasts && static_cast<int>(failed.size()) >= options_.most_attempts &&
+      facts.spec.steps[static_cast<size_t>(run.task.step)].long_running;
+  if (!lasts && static_cast<int>(failed.size()) >= options_.max_attempts &&
       failed.count(run.run) == 0)
     Fault(absl::StrCat("BUDGET: ", name, " after ", failed.size(),
                        " failed runs"));
   const StepSpec& step = facts.spec.steps[static_cast<size_t>(run.task.step)];
-  for (const int32_t before : step.after) {
-    const int32_t count = facts.spec.steps[static_cast<size_t>(before)].count;
+  for (const int32_t restore_time : step.after) {
+    const int32_t count =
+        facts.spec.steps[static_cast<size_t>(restore_time)].count;
     for (int32_t i = 0; i < count; ++i) {
-      if (ever_done_.count({run.task.job, run.task.round, before, i}) == 0)
-        Fault(absl::StrCat("ORDER: ", name, " before step ", before));
+      if (ever_done_.count({run.task.job, run.task.round, restore_time, i}) ==
+          0)
+        Fault(absl::StrCat("ORDER: ", name, " before step ", restore_time));
     }
   }
 }
 
-SiteSimulation::WorkerSlot* SiteSimulation::SlotOf(
+SiteSimulation::WorkerSlot* SiteSimulation::FindSlot(
     const std::string& worker_id) {
   for (WorkerSlot& slot : workers_) {
-    if (slot.life->record().id == worker_id) return &slot;
+    if (slot.incarnation->record().id == worker_id) return &slot;
   }
   return nullptr;
 }
 
-void SiteSimulation::JudgeCrashing(const SiteRun& run) {
+void SiteSimulation::CheckCrashingRun(const SiteRun& run) {
   Crashes& crashes = crashes_[run.task];
-  if (crashes.workers >= kCrashesCounted && !run.late &&
-      ++crashes.starts_after >= kStartsTooMany)
+  if (crashes.workers >= kExcusedCrashes && !run.late &&
+      ++crashes.starts_after >= kEndlessRepeatStarts)
     Fault(absl::StrCat("BUDGET: ", TaskIdText(run.task), " run ", run.run,
                        " after ", crashes.workers, " crashes"));
   After(kCrashAfter, [this, run] {
-    WorkerSlot* slot = SlotOf(run.worker);
-    if (slot == nullptr || !slot->life->alive() ||
-        slot->life->running().count({run.task, run.run}) == 0)
+    WorkerSlot* slot = FindSlot(run.worker);
+    if (slot == nullptr || !slot->incarnation->alive() ||
+        slot->incarnation->running().count({run.task, run.run}) == 0)
       return;
     ++crashes_[run.task].workers;
-    EndLife(static_cast<int>(slot - workers_.data()), kCrashedFor,
-            options_.crashed_keep_id);
+    EndIncarnation(static_cast<int>(slot - workers_.data()), kCrashDownTime,
+                   options_.keep_id_after_crash);
   });
 }
 
-void SiteSimulation::Journal(const SiteRun& run, bool begins) {
+void SiteSimulation::RecordRun(const SiteRun& run, bool begins) {
   if (begins) {
     runs_.push_back(run);
-    JudgeStart(run);
-    if (jobs_[run.task.job].crashes) JudgeCrashing(run);
+    CheckStart(run);
+    if (jobs_[run.task.job].crashes) CheckCrashingRun(run);
     return;
   }
   if (run.end == RunEnd::kDone) {
     done_.insert(run.task);
     ever_done_.insert(run.task);
   }
-  if (run.end == RunEnd::kFailed) failed_[AccountOf(run.task)].insert(run.run);
+  if (run.end == RunEnd::kFailed) failed_[FailureKey(run.task)].insert(run.run);
 }
 
 void SiteSimulation::AdvanceWorkers() {
@@ -249,8 +258,8 @@
   };
   std::map<std::pair<TaskId, int32_t>, Gang> gangs;
   for (WorkerSlot& slot : workers_) {
-    slot.life->Advance(now_);
-    for (const auto& [key, run] : slot.life->running()) {
+    slot.incarnation->Advance(now_);
+    for (const auto& [key, run] : slot.incarnation->running()) {
       const StepSpec& step =
           jobs_[key.first.job].spec.steps[static_cast<size_t>(key.first.step)];
       if (!step.gang) continue;
@@ -271,11 +280,11 @@
     if (whole && !was_whole)
       gang_done_at_[key] = now_ + absl::Milliseconds(step.estimated_ms);
     const bool broken =
-        !whole && (was_whole || now_ - gang.first > kGangPatience);
+        !whole && (was_whole || now_ - gang.first > kGangTimeout);
     const bool done = whole && was_whole && now_ >= gang_done_at_[key];
     for (WorkerSlot& slot : workers_) {
-      if (broken) slot.life->BreakGang(key.first, key.second, now_);
-      if (done) slot.life->CompleteGang(key.first, key.second, now_);
+      if (broken) slot.incarnation->BreakGang(key.first, key.second, now_);
+      if (done) slot.incarnation->CompleteGang(key.first, key.second, now_);
     }
   }
 }
@@ -295,16 +304,16 @@
   std::vector<KnownWorker> known;
   for (const auto& [key, value] : store_) {
     const Record record{key, value, -1};
-    if (auto worker = KnownWorkerFrom(record))
+    if (auto worker = ParseKnownWorker(record))
       known.push_back(*worker);
     else
       records.Add(record);
   }
-  if (leader->epoch > 1) leader->scheduler->OnFenced(now_);
-  leader->scheduler->Load(records.Build(), known, At());
-  for (const auto& [epoch, at] : leaders_seen_)
+  if (leader->epoch > 1) leader->scheduler->OnEarlierLeadersFenced(now_);
+  leader->scheduler->Load(records.Build(), known, CurrentTime());
+  for (const auto& [epoch, at] : leader_start_times_)
     leader->scheduler->OnEarlierLeaderSeen(epoch, at);
-  leaders_seen_.emplace(leader->epoch, now_);
+  leader_start_times_.emplace(leader->epoch, now_);
   leader->scheduler->SetConfiguration(configuration_);
   std::vector<std::string> nodes;
   nodes.reserve(static_cast<size_t>(options_.nodes));
@@ -312,24 +321,24 @@
     nodes.push_back(absl::StrCat("node-", i));
   leader->scheduler->SetAdvisers(nodes, nodes.front());
   for (WorkerSlot& slot : workers_) {
-    const WorkerRecord record = slot.life->record();
+    const WorkerRecord record = slot.incarnation->record();
     if (Draw() >= options_.unlisted_workers) {
-      leader->scheduler->OnWorkerRecord(record, At());
+      leader->scheduler->OnWorkerRecord(record, CurrentTime());
       continue;
     }
     After(absl::Seconds(3), [this, leader, record] {
       bool cut = false;
-      if (!leader->dead && Find(record.id, &cut) != nullptr)
-        leader->scheduler->OnWorkerRecord(record, At());
+      if (!leader->dead && FindWorker(record.id, &cut) != nullptr)
+        leader->scheduler->OnWorkerRecord(record, CurrentTime());
     });
   }
   current_ = leader;
   leaders_.push_back(leader);
-  AskEarlierLeaders(leader);
+  PollEarlierLeaders(leader);
   Tick(leader);
 }
 
-void SiteSimulation::AskEarlierLeaders(const std::shared_ptr<Leader>& leader) {
+void SiteSimulation::PollEarlierLeaders(const std::shared_ptr<Leader>& leader) {
   if (leader->dead) return;
   absl::Time last_order = leader->epoch == 1 ? now_ : absl::InfinitePast();
   bool all = true;
@@ -344,11 +353,11 @@
     last_order = std::max(last_order, other->last_order);
   }
   if (all) return leader->scheduler->OnEarlierLeadersStopped(last_order);
-  After(kAskEarlierEvery, [this, leader] { AskEarlierLeaders(leader); });
+  After(kAskEarlierPeriod, [this, leader] { PollEarlierLeaders(leader); });
 }
 
-void SiteSimulation::ByLeader(const std::shared_ptr<Leader>& leader,
-                              const std::function<void()>& step) {
+void SiteSimulation::RunOnLeader(const std::shared_ptr<Leader>& leader,
+                                 const std::function<void()>& step) {
   if (leader->dead) return;
   if (leader->frozen_until <= now_) return step();
   After(leader->frozen_until - now_, [leader, step] {
@@ -361,14 +370,14 @@
   if (leader->frozen_until > now_) {
     // What it decided before it froze leaves it late.
     return After(leader->frozen_until - now_, [this, leader] {
-      CarryOut(leader);
+      ExecuteActions(leader);
       leader->scheduler->SetSuspended(leader->frozen_until - leader->frozen_at >
-                                      kStandstill);
+                                      kMaxSuspension);
       Tick(leader);
     });
   }
-  leader->scheduler->Tick(At());
-  CarryOut(leader);
+  leader->scheduler->Tick(CurrentTime());
+  ExecuteActions(leader);
   Append(leader);
   if (leader->scheduler->fenced()) leader->dead = true;
   After(absl::Milliseconds(20), [this, leader] { Tick(leader); });
@@ -397,13 +406,13 @@
         store_.erase(record.key);
     }
     After(options_.store_delay, [this, leader, batch] {
-      ByLeader(leader, [leader, batch] {
+      RunOnLeader(leader, [leader, batch] {
         leader->appending = false;
         leader->scheduler->OnDurable(batch->number);
-        auto it = leader->waiting.begin();
-        while (it != leader->waiting.end() && it->first <= batch->number) {
+        auto it = leader->on_durable.begin();
+        while (it != leader->on_durable.end() && it->first <= batch->number) {
           for (const auto& done : it->second) done();
-          it = leader->waiting.erase(it);
+          it = leader->on_durable.erase(it);
         }
       });
     });
@@ -415,52 +424,52 @@
 void SiteSimulation::Send(
     const std::shared_ptr<Leader>& leader, const std::string& worker,
     const Order& order,
-    std::function<Reply(SiteWorker&, const Order&, bool late)> act,
+    std::function<Reply(SiteWorker&, const Order&, bool late)> handle,
     std::function<void(const Reply&)> done, Reply lost,
-    std::function<Reply(SiteWorker*)> other_life) {
+    std::function<Reply(SiteWorker*)> other_incarnation) {
   const bool late = Draw() < options_.late_orders;
   const bool answer_lost = late || Draw() < options_.lost_answers;
   const absl::Duration there = late ? absl::Seconds(2 + 10 * Draw()) : Delay();
   if (answer_lost)
     After(kOrderTimeout, [this, leader, done, lost] {
-      ByLeader(leader, [done, lost] { done(lost); });
+      RunOnLeader(leader, [done, lost] { done(lost); });
     });
-  After(there, [this, leader, worker, order, act, done, lost, other_life, late,
-                answer_lost] {
+  After(there, [this, leader, worker, order, handle, done, lost,
+                other_incarnation, late, answer_lost] {
     bool cut = false;
-    SiteWorker* found = FindReached(worker, &cut);
+    SiteWorker* found = FindReachableWorker(worker, &cut);
     const bool down = found != nullptr && !found->alive();
-    if (cut || (down && starts_again_.count(worker) > 0)) {
+    if (cut || (down && restarting_.count(worker) > 0)) {
       if (!answer_lost)
         After(kOrderTimeout, [this, leader, done, lost] {
-          ByLeader(leader, [done, lost] { done(lost); });
+          RunOnLeader(leader, [done, lost] { done(lost); });
         });
       return;
     }
-    const bool meant = found != nullptr && found->record().id == worker;
-    const Reply reply = found == nullptr || down ? other_life(nullptr)
-                        : meant || !std::is_same_v<Order, ObserveOrder>
-                            ? act(*found, order, late)
-                            : other_life(found);
+    const bool is_addressee = found != nullptr && found->record().id == worker;
+    const Reply reply = found == nullptr || down ? other_incarnation(nullptr)
+                        : is_addressee || !std::is_same_v<Order, ObserveOrder>
+                            ? handle(*found, order, late)
+                            : other_incarnation(found);
     if (answer_lost) return;
     After(Delay(), [this, leader, done, reply] {
-      ByLeader(leader, [done, reply] { done(reply); });
+      RunOnLeader(leader, [done, reply] { done(reply); });
     });
   });
 }
 
-void SiteSimulation::CarryOut(const std::shared_ptr<Leader>& leader) {
+void SiteSimulation::ExecuteActions(const std::shared_ptr<Leader>& leader) {
   const OrderReply lost{OrderResult::kUnknown, -1, "lost", ""};
   const auto gone = [](SiteWorker*) {
-    return OrderReply{OrderResult::kOtherLife, -1, "gone", ""};
+    return OrderReply{OrderResult::kOtherIncarnation, -1, "gone", ""};
   };
   for (const Action& action : leader->scheduler->TakeActions()) {
     if (const auto* start = std::get_if<StartAction>(&action)) {
       leader->last_order = now_;
-      const auto lasting = lasting_.find(start->order.task);
-      if (lasting != lasting_.end()) {
-        lasting->second = Away();
-        lasting->second.worker = start->worker.id;
+      const auto long_running = long_running_tasks_.find(start->order.task);
+      if (long_running != long_running_tasks_.end()) {
+        long_running->second = DownTime();
+        long_running->second.worker = start->worker.id;
       }
       Send<StartOrder, OrderReply>(
           leader, start->worker.id, start->order,
@@ -468,7 +477,7 @@
             return w.Start(o, now_, late);
           },
           [this, leader, start = *start](const OrderReply& reply) {
-            leader->scheduler->OnStartReply(start, reply, At());
+            leader->scheduler->OnStartReply(start, reply, CurrentTime());
           },
           lost, gone);
     } else if (const auto* stop = std::get_if<StopAction>(&action)) {
@@ -478,37 +487,38 @@
             return w.Stop(o, now_);
           },
           [this, leader, stop = *stop](const OrderReply& reply) {
-            leader->scheduler->OnStopReply(stop, reply, At());
+            leader->scheduler->OnStopReply(stop, reply, CurrentTime());
           },
           lost, gone);
-    } else if (const auto* look = std::get_if<ObserveAction>(&action)) {
+    } else if (const auto* observe = std::get_if<ObserveAction>(&action)) {
       const absl::Time sent = now_;
-      if (look->order.lease_until_ms > 0) leader->last_order = sent;
-      ObserveReply look_lost;
-      look_lost.order = lost;
+      if (observe->order.lease_until_ms > 0) leader->last_order = sent;
+      ObserveReply lost_observation;
+      lost_observation.order = lost;
       // As the adapter has it: a look that finds another life drops none of its
       // ends, and tells which life that is.
-      const auto look_gone = [this, gone,
-                              order = look->order](SiteWorker* next) {
-        ObserveReply reply;
-        reply.order = gone(next);
-        if (next == nullptr) return reply;
-        ObserveOrder first = order;
-        first.ends_noted = 0;
-        const ObserveReply seen = next->Observe(first, now_);
-        if (seen.order.result == OrderResult::kFenced) return seen;
-        reply.order.life = next->record().id;
-        return reply;
-      };
+      const auto observation_elsewhere =
+          [this, gone, order = observe->order](SiteWorker* next) {
+            ObserveReply reply;
+            reply.order = gone(next);
+            if (next == nullptr) return reply;
+            ObserveOrder first = order;
+            first.ends_acknowledged = 0;
+            const ObserveReply seen = next->Observe(first, now_);
+            if (seen.order.result == OrderResult::kFenced) return seen;
+            reply.order.incarnation = next->record().id;
+            return reply;
+          };
       Send<ObserveOrder, ObserveReply>(
-          leader, look->worker.id, look->order,
+          leader, observe->worker.id, observe->order,
           [this](SiteWorker& w, const ObserveOrder& o, bool) {
             return w.Observe(o, now_);
           },
-          [this, leader, look = *look, sent](const ObserveReply& reply) {
-            leader->scheduler->OnObserveReply(look, reply, sent, At());
+          [this, leader, observe = *observe, sent](const ObserveReply& reply) {
+            leader->scheduler->OnObserveReply(observe, reply, sent,
+                                              CurrentTime());
           },
-          look_lost, look_gone);
+          lost_observation, observation_elsewhere);
     } else if (const auto* ask = std::get_if<AskAdviceAction>(&action)) {
       AdviceReply reply;
       reply.answered = true;
@@ -520,11 +530,11 @@
       const Queue* queue =
           configuration_->FindQueueByName(jobs_[ask->request.step.job].queue);
       const double named = static_cast<double>(ask->request.workers.size());
-      const absl::Duration took = absl::Milliseconds(
+      const absl::Duration duration = absl::Milliseconds(
           10 + queue->advice.base_ms + queue->advice.per_worker_ms * named);
-      After(took, [this, leader, ask = *ask, reply] {
-        ByLeader(leader, [this, leader, ask, reply] {
-          leader->scheduler->OnAdvice(ask, reply, At());
+      After(duration, [this, leader, ask = *ask, reply] {
+        RunOnLeader(leader, [this, leader, ask, reply] {
+          leader->scheduler->OnAdvice(ask, reply, CurrentTime());
         });
       });
     }
@@ -538,8 +548,8 @@
   jobs_[id].submitted = now_;
   const std::vector<StepSpec>& steps = jobs_[id].spec.steps;
   for (size_t s = 0; s < steps.size(); ++s) {
-    for (int32_t i = 0; steps[s].lasting && i < steps[s].count; ++i)
-      lasting_[{id, 0, static_cast<int32_t>(s), i}];
+    for (int32_t i = 0; steps[s].long_running && i < steps[s].count; ++i)
+      long_running_tasks_[{id, 0, static_cast<int32_t>(s), i}];
   }
   const auto attempt = std::make_shared<std::function<void()>>();
   *attempt = [this, id, attempt] {
@@ -549,13 +559,13 @@
       After(absl::Milliseconds(100), [attempt] { (*attempt)(); });
       return;
     }
-    const int64_t batch =
-        leader->scheduler->Submit(id, jobs_[id].queue, jobs_[id].spec, At());
+    const int64_t batch = leader->scheduler->Submit(
+        id, jobs_[id].queue, jobs_[id].spec, CurrentTime());
     if (batch == 0) {
       accepted_.insert(id);
       return;
     }
-    leader->waiting[batch].push_back([this, id] { accepted_.insert(id); });
+    leader->on_durable[batch].push_back([this, id] { accepted_.insert(id); });
     After(absl::Seconds(1), [attempt] { (*attempt)(); });
   };
   (*attempt)();
@@ -570,13 +580,14 @@
 
 void SiteSimulation::Cancel(JobId id) {
   if (current_ == nullptr || current_->dead) return;
-  if (current_->scheduler->Cancel(id, At())) jobs_[id].cancelled = true;
+  if (current_->scheduler->Cancel(id, CurrentTime()))
+    jobs_[id].cancelled = true;
 }
 
-void SiteSimulation::ReplaceLeader(absl::Duration pause, bool old_one_lives) {
+void SiteSimulation::ReplaceLeader(absl::Duration pause, bool keep_old_leader) {
   if (current_ == nullptr) return;
   const auto old = current_;
-  if (!old_one_lives) old->dead = true;
+  if (!keep_old_leader) old->dead = true;
   current_ = nullptr;
   After(pause, [this] { StartLeader(); });
 }
@@ -584,7 +595,7 @@
 void SiteSimulation::FreezeLeader(absl::Duration pause, absl::Duration frozen) {
   if (current_ == nullptr || current_->dead) return;
   const auto old = current_;
-  old->scheduler->Tick(At());
+  old->scheduler->Tick(CurrentTime());
   old->frozen_at = now_;
   old->frozen_until = now_ + frozen;
   current_ = nullptr;
@@ -592,42 +603,47 @@
 }
 
 void SiteSimulation::CrashWorker(int index, absl::Duration down) {
-  EndLife(index, down, /*again=*/false);
+  EndIncarnation(index, down, /*again=*/false);
 }
 
 void SiteSimulation::RestartWorker(int index, absl::Duration down) {
-  EndLife(index, down, /*again=*/true);
+  EndIncarnation(index, down, /*again=*/true);
 }
 
-void SiteSimulation::EndLife(int index, absl::Duration down, bool again) {
-  SiteWorker& life = *workers_[static_cast<size_t>(index)].life;
-  if (!life.alive()) return;
+void SiteSimulation::EndIncarnation(int index, absl::Duration down,
+                                    bool keep_id) {
+  SiteWorker& incarnation = *workers_[static_cast<size_t>(index)].incarnation;
+  if (!incarnation.alive()) return;
   // What only it knew is forgotten.
-  life.Advance(now_);
-  for (const EndedTask& end : life.unnoted()) {
+  incarnation.Advance(now_);
+  for (const EndedTask& end : incarnation.unacknowledged_ends()) {
     if (end.end == RunEnd::kDone) done_.erase(end.task);
-    if (end.end == RunEnd::kFailed) failed_[AccountOf(end.task)].erase(end.run);
+    if (end.end == RunEnd::kFailed)
+      failed_[FailureKey(end.task)].erase(end.run);
   }
-  life.Crash(now_);
-  if (again) starts_again_.insert(life.record().id);
-  After(down, [this, index, again] { StartLife(index, again); });
+  incarnation.Crash(now_);
+  if (keep_id) restarting_.insert(incarnation.record().id);
+  After(down, [this, index, keep_id] { StartIncarnation(index, keep_id); });
 }
 
 void SiteSimulation::DrainWorker(int index, absl::Duration drain,
                                  absl::Duration down) {
   const auto slot = static_cast<size_t>(index);
-  if (!workers_[slot].life->alive()) return;
-  workers_[slot].life->record().draining = true;
-  workers_[slot].life->record().leaves_in_ms = absl::ToInt64Milliseconds(drain);
+  if (!workers_[slot].incarnation->alive()) return;
+  workers_[slot].incarnation->record().draining = true;
+  workers_[slot].incarnation->record().leaves_in_ms =
+      absl::ToInt64Milliseconds(drain);
   if (current_ != nullptr)
-    current_->scheduler->OnWorkerRecord(workers_[slot].life->record(), At());
-  const std::string id = workers_[slot].life->record().id;
+    current_->scheduler->OnWorkerRecord(workers_[slot].incarnation->record(),
+                                        CurrentTime());
+  const std::string id = workers_[slot].incarnation->record().id;
   After(drain, [this, index, id, slot, down] {
-    if (workers_[slot].life->record().id != id || !workers_[slot].life->alive())
+    if (workers_[slot].incarnation->record().id != id ||
+        !workers_[slot].incarnation->alive())
       return;
     CrashWorker(index, down);
     CutWorker(index, down);
-    After(kRecordLingers, [this, id] {
+    After(kRecordRemovalDelay, [this, id] {
       if (current_ != nullptr) current_->scheduler->OnWorkerRemoved(id);
     });
   });
@@ -635,35 +651,37 @@
 
 void SiteSimulation::SetCapacity(int index, const Resources& capacity) {
   const WorkerSlot& slot = workers_[static_cast<size_t>(index)];
-  slot.life->record().capacity = capacity;
-  const std::string id = slot.life->record().id;
-  After(kBeat * Draw(), [this, index, id] {
-    const SiteWorker& life = *workers_[static_cast<size_t>(index)].life;
-    if (current_ != nullptr && life.record().id == id && life.alive())
-      current_->scheduler->OnWorkerRecord(life.record(), At());
+  slot.incarnation->record().capacity = capacity;
+  const std::string id = slot.incarnation->record().id;
+  After(kHeartbeatInterval * Draw(), [this, index, id] {
+    const SiteWorker& incarnation =
+        *workers_[static_cast<size_t>(index)].incarnation;
+    if (current_ != nullptr && incarnation.record().id == id &&
+        incarnation.alive())
+      current_->scheduler->OnWorkerRecord(incarnation.record(), CurrentTime());
   });
 }
 
 void SiteSimulation::ShrinkWorker(int index, double share,
                                   absl::Duration time) {
   WorkerSlot& slot = workers_[static_cast<size_t>(index)];
-  if (!slot.life->alive()) return;
+  if (!slot.incarnation->alive()) return;
   Resources small = options_.capacity;
   small.cpu_milli = static_cast<int32_t>(small.cpu_milli * share);
   small.memory_mib = static_cast<int32_t>(small.memory_mib * share);
   SetCapacity(index, small);
-  const std::string id = slot.life->record().id;
-  const auto same_life = [this, index, id] {
-    return workers_[static_cast<size_t>(index)].life->record().id == id;
+  const std::string id = slot.incarnation->record().id;
+  const auto same_incarnation = [this, index, id] {
+    return workers_[static_cast<size_t>(index)].incarnation->record().id == id;
   };
-  After(kCapacityCounts, [this, index, small, same_life] {
+  After(kCapacityGrace, [this, index, small, same_incarnation] {
     WorkerSlot& shrunk = workers_[static_cast<size_t>(index)];
-    if (same_life() && shrunk.life->record().capacity == small)
-      shrunk.counted = small;
+    if (same_incarnation() && shrunk.incarnation->record().capacity == small)
+      shrunk.capacity_limit = small;
   });
-  After(time, [this, index, same_life] {
-    if (!same_life()) return;
-    workers_[static_cast<size_t>(index)].counted = options_.capacity;
+  After(time, [this, index, same_incarnation] {
+    if (!same_incarnation()) return;
+    workers_[static_cast<size_t>(index)].capacity_limit = options_.capacity;
     SetCapacity(index, options_.capacity);
   });
 }
@@ -688,23 +706,24 @@
     }
     now_ = next;
     AdvanceWorkers();
-    NoteEndedJobs();
-    NoteAway();
+    RecordEndedJobs();
+    RecordDownTime();
   }
 }
 
-void SiteSimulation::NoteAway() {
-  for (auto& [task, away] : lasting_) {
+void SiteSimulation::RecordDownTime() {
+  for (auto& [task, down_time] : long_running_tasks_) {
     const bool accepted = accepted_.count(task.job) > 0;
     if (!accepted || jobs_[task.job].cancelled) continue;
     bool runs = false;
     bool cut = true;
-    const SiteWorker* last = Find(away.worker, &cut);
+    const SiteWorker* last = FindWorker(down_time.worker, &cut);
     const bool there =
         last != nullptr && last->alive() && !cut && !last->record().draining;
-    away.was_there = away.was_there && (there || away.worker.empty());
+    down_time.worker_stayed_up =
+        down_time.worker_stayed_up && (there || down_time.worker.empty());
     for (const WorkerSlot& slot : workers_) {
-      const auto& running = slot.life->running();
+      const auto& running = slot.incarnation->running();
       runs = runs || std::any_of(running.begin(), running.end(),
                                  [&, t = task](const auto& one) {
                                    return one.first.first == t;
@@ -713,17 +732,18 @@
     const bool led =
         current_ != nullptr && !current_->dead && now_ >= store_down_until_;
     if (runs || !led) {
-      if (runs) away.time = away.with_worker = absl::ZeroDuration();
+      if (runs) down_time.time = down_time.with_worker = absl::ZeroDuration();
       continue;
     }
-    away.time += kStep;
-    away_ = std::max(away_, away.time);
-    if (away.was_there) away.with_worker += kStep;
-    away_with_worker_ = std::max(away_with_worker_, away.with_worker);
+    down_time.time += kStep;
+    max_down_time_ = std::max(max_down_time_, down_time.time);
+    if (down_time.worker_stayed_up) down_time.with_worker += kStep;
+    max_down_time_with_worker_ =
+        std::max(max_down_time_with_worker_, down_time.with_worker);
   }
 }
 
-void SiteSimulation::NoteEndedJobs() {
+void SiteSimulation::RecordEndedJobs() {
   for (auto& [id, facts] : jobs_) {
     if (facts.ended <= now_) continue;
     const auto state = StatusOf(id);
@@ -733,7 +753,7 @@
   }
 }
 
-std::optional<absl::Duration> SiteSimulation::TimeOf(JobId id) const {
+std::optional<absl::Duration> SiteSimulation::JobDuration(JobId id) const {
   const JobFacts& facts = jobs_.at(id);
   if (facts.ended == absl::InfiniteFuture()) return std::nullopt;
   return facts.ended - facts.submitted;
@@ -743,19 +763,19 @@
   return current_ == nullptr ? std::nullopt : current_->scheduler->Status(id);
 }
 
-std::vector<TaskId> SiteSimulation::FailedOut() const {
+std::vector<TaskId> SiteSimulation::ExhaustedTasks() const {
   std::vector<TaskId> out;
   for (const auto& [task, runs] : failed_) {
-    if (static_cast<int>(runs.size()) >= options_.most_attempts)
+    if (static_cast<int>(runs.size()) >= options_.max_attempts)
       out.push_back(task);
   }
   return out;
 }
 
-size_t SiteSimulation::RunningOf(JobId id) const {
+size_t SiteSimulation::CountRunning(JobId id) const {
   size_t count = 0;
   for (const WorkerSlot& slot : workers_) {
-    for (const auto& [key, run] : slot.life->running()) {
+    for (const auto& [key, run] : slot.incarnation->running()) {
       if (key.first.job == id) ++count;
     }
   }
--- a/testing/support/site_simulation.h
+++ b/testing/support/site_simulation.h
@@ -33,14 +33,14 @@
     double failing_runs = 0.02;
     // Of runs that last, which otherwise end with their worker or a stop: the
     // share that fails, within 8 s.
-    double failing_lasting_runs = 0.5;
+    double failing_long_running_runs = 0.5;
     // Share of the workers that the platform's list misses for 3 s when a
     // leader begins.
     double unlisted_workers = 0;
     // Workers that tasks crash start again under the id that they had.
-    bool crashed_keep_id = false;
+    bool keep_id_after_crash = false;
     bool advice = false;  // Half of the workers may run a step.
-    int most_attempts = 3;
+    int max_attempts = 3;
     absl::Duration store_delay = absl::Milliseconds(5);
     // Queues instead of the one that jobs otherwise go to.
     std::vector<Queue> queues;
@@ -60,7 +60,7 @@
   void Cancel(JobId id);
   // The leader's process is gone; another takes over after `pause`. Batches on
   // their way land or do not, as the seed draws.
-  void ReplaceLeader(absl::Duration pause, bool old_one_lives);
+  void ReplaceLeader(absl::Duration pause, bool keep_old_leader);
   // Its process stands still, as a rule between what it decided and its orders;
   // another takes over after `pause`. It goes on where it was after `frozen`,
   // and hears then that it was replaced, or a little later.
@@ -87,17 +87,19 @@
   // Broken promises, in words.
   const std::vector<std::string>& faults() const { return faults_; }
   const std::vector<SiteRun>& runs() const { return runs_; }
-  size_t RunningOf(JobId id) const;
+  size_t CountRunning(JobId id) const;
   // From the job's submission to its end; none: it has not ended.
-  std::optional<absl::Duration> TimeOf(JobId id) const;
+  std::optional<absl::Duration> JobDuration(JobId id) const;
   // Tasks of which as many runs failed as a job bears.
-  std::vector<TaskId> FailedOut() const;
+  std::vector<TaskId> ExhaustedTasks() const;
   bool LeaderActive() const { return current_ != nullptr; }
   // The longest time for which a task that lasts did not run though a leader
   // was at work and the worker that it was last sent to was in reach and
   // stayed, and the longest at all.
-  absl::Duration longest_away_with_worker() const { return away_with_worker_; }
-  absl::Duration longest_away() const { return away_; }
+  absl::Duration max_down_time_with_worker() const {
+    return max_down_time_with_worker_;
+  }
+  absl::Duration max_down_time() const { return max_down_time_; }
   JobScheduler* scheduler() {
     return current_ == nullptr ? nullptr : current_->scheduler.get();
   }
@@ -112,22 +114,23 @@
     absl::Time frozen_at = absl::InfinitePast();
     absl::Time frozen_until = absl::InfinitePast();
     absl::Time last_order = absl::InfinitePast();
-    std::map<int64_t, std::vector<std::function<void()>>> waiting;  // By batch.
+    std::map<int64_t, std::vector<std::function<void()>>>
+        on_durable;  // By batch.
   };
   struct WorkerSlot {
-    std::unique_ptr<SiteWorker> life;
+    std::unique_ptr<SiteWorker> incarnation;
     std::string name;
-    int names = 0;  // That it has had.
-    int64_t born_ms = 0;
+    int name_count = 0;  // That it has had.
+    int64_t start_time_ms = 0;
     absl::Time cut_until = absl::InfinitePast();
     // The most that may run there: a capacity that has shrunk counts only once
     // leaders had time to hear of it.
-    Resources counted;
+    Resources capacity_limit;
   };
   // Of a task that lasts.
-  struct Away {
+  struct DownTime {
     std::string worker;  // That it was last sent to.
-    bool was_there = true;
+    bool worker_stayed_up = true;
     absl::Duration time;
     absl::Duration with_worker;
   };
@@ -140,43 +143,43 @@
     absl::Time ended = absl::InfiniteFuture();
   };
 
-  Now At() const;
+  Now CurrentTime() const;
   double Draw() { return std::uniform_real_distribution<>(0, 1)(random_); }
   absl::Duration Delay();
   void StartLeader();
   void Tick(const std::shared_ptr<Leader>& leader);
-  void CarryOut(const std::shared_ptr<Leader>& leader);
+  void ExecuteActions(const std::shared_ptr<Leader>& leader);
   void Append(const std::shared_ptr<Leader>& leader);
   // Under a new id, unless it starts again.
-  void StartLife(int index, bool again = false);
-  void EndLife(int index, absl::Duration down, bool again);
+  void StartIncarnation(int index, bool keep_id = false);
+  void EndIncarnation(int index, absl::Duration down, bool keep_id);
   // The life that calls to `worker_id` reach: it, or a later one of that name.
-  SiteWorker* FindReached(const std::string& worker_id, bool* cut);
-  SiteWorker* Find(const std::string& worker_id, bool* cut);
-  void Journal(const SiteRun& run, bool begins);
-  void JudgeStart(const SiteRun& run);
-  void JudgeCrashing(const SiteRun& run);
-  WorkerSlot* SlotOf(const std::string& worker_id);
+  SiteWorker* FindReachableWorker(const std::string& worker_id, bool* cut);
+  SiteWorker* FindWorker(const std::string& worker_id, bool* cut);
+  void RecordRun(const SiteRun& run, bool begins);
+  void CheckStart(const SiteRun& run);
+  void CheckCrashingRun(const SiteRun& run);
+  WorkerSlot* FindSlot(const std::string& worker_id);
   void SetCapacity(int index, const Resources& capacity);
-  TaskId AccountOf(const TaskId& task);
+  TaskId FailureKey(const TaskId& task);
   void AdvanceWorkers();
-  void NoteEndedJobs();
-  void NoteAway();
+  void RecordEndedJobs();
+  void RecordDownTime();
   // Again and again until all leaders before `leader` are dead. One that was
   // frozen hears of `leader` when it wakes, and ends; one that never froze is
   // told nothing.
-  void AskEarlierLeaders(const std::shared_ptr<Leader>& leader);
+  void PollEarlierLeaders(const std::shared_ptr<Leader>& leader);
   // Has `step` done by the leader once it is not frozen, unless it is dead.
-  void ByLeader(const std::shared_ptr<Leader>& leader,
-                const std::function<void()>& step);
-  SiteRunPlan PlanOf(const StartOrder& order);
+  void RunOnLeader(const std::shared_ptr<Leader>& leader,
+                   const std::function<void()>& step);
+  SiteRunPlan MakeRunPlan(const StartOrder& order);
   void Fault(const std::string& text);
   template <typename Order, typename Reply>
   void Send(const std::shared_ptr<Leader>& leader, const std::string& worker,
             const Order& order,
-            std::function<Reply(SiteWorker&, const Order&, bool late)> act,
+            std::function<Reply(SiteWorker&, const Order&, bool late)> handle,
             std::function<void(const Reply&)> done, Reply lost,
-            std::function<Reply(SiteWorker*)> other_life);
+            std::function<Reply(SiteWorker*)> other_incarnation);
 
   const Options options_;
   std::mt19937_64 random_;
@@ -186,12 +189,12 @@
   int64_t store_epoch_ = 0;
   absl::Time store_down_until_ = absl::InfinitePast();
   std::shared_ptr<Leader> current_;
-  std::vector<std::shared_ptr<Leader>> leaders_;  // All, by epoch.
-  std::map<int64_t, absl::Time> leaders_seen_;    // By epoch: since when.
+  std::vector<std::shared_ptr<Leader>> leaders_;      // All, by epoch.
+  std::map<int64_t, absl::Time> leader_start_times_;  // By epoch: since when.
   std::vector<WorkerSlot> workers_;
   // Lives that ended, and whose worker starts again: calls to it get no answer
   // until it does.
-  std::set<std::string> starts_again_;
+  std::set<std::string> restarting_;
   std::map<JobId, JobFacts> jobs_;
   std::set<JobId> accepted_;
   std::shared_ptr<SiteConfiguration> configuration_;
@@ -205,9 +208,9 @@
   std::set<TaskId> done_;  // But for ends that died with their worker.
   std::set<TaskId> ever_done_;
   std::map<std::pair<TaskId, int32_t>, absl::Time> gang_done_at_;
-  std::map<TaskId, Away> lasting_;
-  absl::Duration away_;
-  absl::Duration away_with_worker_;
+  std::map<TaskId, DownTime> long_running_tasks_;
+  absl::Duration max_down_time_;
+  absl::Duration max_down_time_with_worker_;
   std::vector<std::string> faults_;
   JobId next_job_ = 1;
 };
