--- a/testing/support/site_soak.cc
+++ b/testing/support/site_soak.cc
@@ -20,51 +20,52 @@
 namespace {
 
 // One waits for a node that does not answer while the others go on.
-constexpr uint64_t kCallers = 6;
-constexpr absl::Duration kSubmitEvery = absl::Milliseconds(720);  // Each.
+constexpr uint64_t kClients = 6;
+constexpr absl::Duration kSubmitInterval = absl::Milliseconds(720);  // Each.
 // After the last trouble, so that a change that is never heard of is seen.
-constexpr absl::Duration kWatchMargin = absl::Seconds(1);
+constexpr absl::Duration kMonitorMargin = absl::Seconds(1);
 
-constexpr absl::Duration kLookPause = absl::Milliseconds(50);
+constexpr absl::Duration kPollInterval = absl::Milliseconds(50);
 
 class Soak {
  public:
   explicit Soak(const SoakOptions& options)
       : options_(options),
-        cell_(CellOptions(options)),
-        touch_(options.nodes),
+        cluster_(ClusterOptions(options)),
+        node_disturbances_(options.nodes),
         configurations_(options.nodes) {}
 
   SoakReport Run() {
-    report_.logs = cell_.directory();
-    if (!cell_.AwaitReady(options_.nodes)) {
+    report_.logs = cluster_.directory();
+    if (!cluster_.AwaitReady(options_.nodes)) {
       record_.Fault("the nodes were not ready in time");
       return Finish();
     }
     record_.Begin();
-    configurations_.Written(1, absl::Now());
-    SoakWatch watch(cell_, touch_, configurations_, jobs_, record_,
-                    options_.nodes, options_.seed);
-    std::vector<std::thread> callers;
-    for (uint64_t i = 0; i < kCallers; ++i)
-      callers.emplace_back([this, i] { CallForLength(i); });
-    SoakTroubles(cell_, touch_, configurations_, jobs_, record_, options_)
-        .Play();
-    for (std::thread& caller : callers) caller.join();
-    const absl::Time watched_until = absl::Now() +
-                                     ConfigurationCheck::kInTouch +
-                                     ConfigurationCheck::kApply + kWatchMargin;
+    configurations_.RecordWrite(1, absl::Now());
+    SoakMonitor monitor(cluster_, node_disturbances_, configurations_, jobs_,
+                        record_, options_.nodes, options_.seed);
+    std::vector<std::thread> clients;
+    for (uint64_t i = 0; i < kClients; ++i)
+      clients.emplace_back([this, i] { RunClient(i); });
+    SoakFaultInjector(cluster_, node_disturbances_, configurations_, jobs_,
+                      record_, options_)
+        .InjectFaults();
+    for (std::thread& client : clients) client.join();
+    const absl::Time monitor_until =
+        absl::Now() + ConfigurationCheck::kRecoveryTime +
+        ConfigurationCheck::kApplyTime + kMonitorMargin;
     Settle();
-    AwaitNewestConfiguration(watched_until);
-    watch.Stop();
-    AskEveryNode(watch);
-    report_.looks = watch.looks();
+    AwaitNewestConfiguration(monitor_until);
+    monitor.Stop();
+    CheckJobsAtEveryNode(monitor);
+    report_.read_calls = monitor.read_calls();
     return Finish();
   }
 
  private:
-  static SiteCell::Options CellOptions(const SoakOptions& options) {
-    SiteCell::Options out;
+  static SiteTestCluster::Options ClusterOptions(const SoakOptions& options) {
+    SiteTestCluster::Options out;
     out.nodes = options.nodes;
     out.proxies = true;
     out.platform.workers = options.workers;
@@ -73,39 +74,40 @@
   }
 
   // Submits and cancels jobs through nodes in turn; each caller has own ids.
-  void CallForLength(uint64_t caller) {
-    std::mt19937_64 random(options_.seed + 1 + caller * 1000003);
-    absl::SleepFor(kSubmitEvery * caller / kCallers);
-    uint64_t next = 1 + caller;
+  void RunClient(uint64_t client) {
+    std::mt19937_64 random(options_.seed + 1 + client * 1000003);
+    absl::SleepFor(kSubmitInterval * client / kClients);
+    uint64_t next = 1 + client;
     while (absl::Now() < record_.begin() + options_.length) {
       const uint64_t job = next;
-      next += kCallers;
+      next += kClients;
       const int node = static_cast<int>(random() % options_.nodes);
-      const std::string body = random() % 4 == 0
-                                   ? SiteCell::GangThenOne(3)
-                                   : SiteCell::OneStep(2, 300 + random() % 600);
+      const std::string body =
+          random() % 4 == 0
+              ? SiteTestCluster::GangThenOneTaskJob(3)
+              : SiteTestCluster::OneStepJob(2, 300 + random() % 600);
       Submit(job, node, body);
       if (random() % 12 == 0) Cancel(1 + random() % job, node);
-      absl::SleepFor(kSubmitEvery);
+      absl::SleepFor(kSubmitInterval);
     }
   }
 
   void Submit(uint64_t job, int node, const std::string& body) {
     for (int attempt = 0; attempt < 3; ++attempt) {
       const HttpOutcome outcome =
-          cell_.Call((node + attempt) % options_.nodes, "POST", job, body);
+          cluster_.Call((node + attempt) % options_.nodes, "POST", job, body);
       const int status = outcome.response ? outcome.response->status : 0;
-      if (status == 200) return jobs_.Accepted(job);
+      if (status == 200) return jobs_.RecordAccepted(job);
       if (status == 503 || status == 429)
-        jobs_.Refused(job);
+        jobs_.RecordRefused(job);
       else
-        jobs_.Unknown(job);
+        jobs_.RecordUnknown(job);
     }
   }
 
   void Cancel(uint64_t job, int node) {
     if (!jobs_.BeginCancel(job)) return;
-    const HttpOutcome outcome = cell_.Call(node, "DELETE", job);
+    const HttpOutcome outcome = cluster_.Call(node, "DELETE", job);
     const int status = outcome.response ? outcome.response->status : 0;
     if (status == 410 || status == 404)
       record_.Fault(absl::StrCat("LOST: job ", JobIdText(job), " is answered ",
@@ -113,7 +115,7 @@
                                  " when it is cancelled"));
   }
 
-  static bool EndedRightly(const SoakJob& known, const std::string& state) {
+  static bool HasExpectedState(const SoakJob& known, const std::string& state) {
     if (known.crashes) return state == "failed";
     return state == "completed" || (known.cancel_sent && state == "cancelled");
   }
@@ -126,11 +128,11 @@
       if (!known.accepted) continue;
       std::string state;
       while (absl::Now() < until) {
-        state = cell_.State(job);
-        if (EndedRightly(known, state) || state == "gone") break;
-        absl::SleepFor(kLookPause);
+        state = cluster_.State(job);
+        if (HasExpectedState(known, state) || state == "gone") break;
+        absl::SleepFor(kPollInterval);
       }
-      if (!EndedRightly(known, state))
+      if (!HasExpectedState(known, state))
         record_.Fault(absl::StrCat("LOST: job ", JobIdText(job), " is \"",
                                    state, "\" at the end"));
     }
@@ -138,17 +140,19 @@
 
   void AwaitNewestConfiguration(absl::Time until) {
     const auto serves = [this](int node) {
-      return configurations_.ServesNewest(node, touch_.Get(node).life);
+      return configurations_.ServesNewest(
+          node, node_disturbances_.Get(node).incarnation);
     };
     for (int node = 0; node < options_.nodes; ++node) {
-      while (!serves(node) && absl::Now() < until) absl::SleepFor(kLookPause);
+      while (!serves(node) && absl::Now() < until)
+        absl::SleepFor(kPollInterval);
     }
   }
 
-  void AskEveryNode(SoakWatch& watch) {
+  void CheckJobsAtEveryNode(SoakMonitor& monitor) {
     for (const auto& [job, known] : jobs_.All()) {
       for (int node = 0; node < options_.nodes; ++node) {
-        if (jobs_.MustBeKnown(job)) watch.LookAtJobAtLast(node, job);
+        if (jobs_.MustBeKnown(job)) monitor.CheckJobAtEnd(node, job);
       }
     }
   }
@@ -156,8 +160,8 @@
   SoakReport Finish() {
     std::set<uint64_t> ran;
     report_.faults = record_.faults();
-    report_.happened = record_.notes();
-    cell_.WithPlatform([&](SitePlatform& platform) {
+    report_.events = record_.events();
+    cluster_.WithPlatform([&](SitePlatform& platform) {
       for (const std::string& fault : platform.faults())
         report_.faults.push_back(fault);
       for (const SiteRun& run : platform.runs()) ran.insert(run.task.job);
@@ -173,13 +177,13 @@
         report_.faults.push_back(
             absl::StrCat("REFUSED: job ", JobIdText(job), " ran"));
     }
-    report_.slowest_change = configurations_.slowest();
+    report_.max_change_delay = configurations_.max_delay();
     return report_;
   }
 
   const SoakOptions options_;
-  SiteCell cell_;
-  NodeTouch touch_;
+  SiteTestCluster cluster_;
+  NodeDisturbances node_disturbances_;
   ConfigurationCheck configurations_;
   SoakJobs jobs_;
   SoakRecord record_;
--- a/testing/support/site_soak.h
+++ b/testing/support/site_soak.h
@@ -18,7 +18,7 @@
 namespace keelbridge::testing {
 
 // Among which kinds of trouble a soak draws.
-enum class SoakKinds {
+enum class SoakFaultSet {
   kAll,    // But for the last.
   kFirst,  // The first 18: there were no others when some seeds failed.
   kLater,  // The 9 that came next.
@@ -35,20 +35,20 @@
   int workers = 6;
   absl::Duration length = absl::Seconds(15);  // Faults are drawn for so long.
   absl::Duration settle = absl::Seconds(60);  // Then everything must end.
-  int faults_at_most = 6;
-  SoakKinds kinds = SoakKinds::kAll;
+  int max_faults = 6;
+  SoakFaultSet kinds = SoakFaultSet::kAll;
 };
 
 struct SoakReport {
-  std::vector<std::string> faults;    // Broken promises, in words.
-  std::vector<std::string> happened;  // What was done, with times.
+  std::vector<std::string> faults;  // Broken promises, in words.
+  std::vector<std::string> events;  // What was done, with times.
   size_t accepted = 0;
   size_t refused = 0;
   size_t unknown = 0;  // Calls without a certain answer.
   size_t runs = 0;
-  size_t looks = 0;               // Calls that only looked.
-  absl::Duration slowest_change;  // See ConfigurationCheck.
-  std::string logs;               // The folder with the nodes' logs.
+  size_t read_calls = 0;            // Calls that only looked.
+  absl::Duration max_change_delay;  // See ConfigurationCheck.
+  std::string logs;                 // The folder with the nodes' logs.
 };
 
 SoakReport RunSiteSoak(const SoakOptions& options);
--- a/testing/support/site_test_cluster.cc
+++ b/testing/support/site_test_cluster.cc
@@ -24,8 +24,8 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr absl::Duration kPatience = absl::Seconds(20);
-constexpr absl::Duration kPause = absl::Milliseconds(50);
+constexpr absl::Duration kAwaitTimeout = absl::Seconds(20);
+constexpr absl::Duration kPollInterval = absl::Milliseconds(50);
 // Nodes end a connection that is idle for 15 s.
 constexpr absl::Duration kClientIdle = absl::Seconds(10);
 // Nodes listen on x.x.x.10 and on. Where nodes reach the first one before they
@@ -38,18 +38,21 @@
 constexpr int kClientPort = 7581;
 constexpr int kReadyPort = 7582;
 constexpr int kMetricsPort = 7583;
-constexpr int kLinesTold = 3;  // Of each node's log, when a cell is not ready.
+constexpr int kPrintedLogLines =
+    3;  // Of each node's log, when a cell is not ready.
 
 // Hosts of a cell's own. A port that is free when it is chosen may be taken
 // before a node listens on it, by another cell or by any connection that is
 // opened meanwhile; here nobody else opens any.
-std::string OwnSubnet() {
-  static std::atomic<uint32_t> cells{0};
-  constexpr uint32_t kCellsOfProcess = 8;
-  const uint32_t cell = static_cast<uint32_t>(::getpid()) * kCellsOfProcess +
-                        cells++ % kCellsOfProcess;
+std::string UniqueSubnet() {
+  static std::atomic<uint32_t> clusters{0};
+  constexpr uint32_t kClustersPerProcess = 8;
+  const uint32_t cluster =
+      static_cast<uint32_t>(::getpid()) * kClustersPerProcess +
+      clusters++ % kClustersPerProcess;
   // 127.0 to 127.15 are left to all others.
-  return absl::StrCat("127.", 16 + cell / 256 % 240, ".", cell % 256, ".");
+  return absl::StrCat("127.", 16 + cluster / 256 % 240, ".", cluster % 256,
+                      ".");
 }
 
 HttpOutcome CallAddress(const std::string& address, const HttpRequest& request,
@@ -60,9 +63,9 @@
 
 }  // namespace
 
-SiteCell::SiteCell(Options options)
+SiteTestCluster::SiteTestCluster(Options options)
     : options_(options),
-      subnet_(OwnSubnet()),
+      subnet_(UniqueSubnet()),
       work_(boost::asio::make_work_guard(loop_)),
       nodes_(static_cast<size_t>(options.nodes)) {
   char path[] = "/tmp/keelbridge-site-XXXXXX";
@@ -79,12 +82,12 @@
   if (options_.proxies) AddSeedProxy();
   for (int i = 0; i < options_.nodes; ++i) {
     const std::string ip = HostOf(i);
-    Node& node = nodes_[At(i)];
+    Node& node = nodes_[Index(i)];
     node.client_address = absl::StrCat(ip, ":", kClientPort);
     node.ready_address = absl::StrCat(ip, ":", kReadyPort);
     node.metrics_address = absl::StrCat(ip, ":", kMetricsPort);
     node.peer_address = absl::StrCat(ip, ":", kPeerPort);
-    node.kept_client = std::make_unique<HttpClient>(
+    node.persistent_client = std::make_unique<HttpClient>(
         ParseAddress(node.client_address).value(), HttpClient::Options());
     node.settings_path = absl::StrCat(directory_, "/node-", i, ".json");
     WriteSettings(i);
@@ -92,7 +95,7 @@
   }
 }
 
-void SiteCell::AddPeerProxy(const std::string& ip) {
+void SiteTestCluster::AddPeerProxy(const std::string& ip) {
   std::promise<void> added;
   boost::asio::post(loop_, [&] {
     peer_proxies_.push_back(
@@ -102,7 +105,7 @@
   added.get_future().wait();
 }
 
-void SiteCell::AddSeedProxy() {
+void SiteTestCluster::AddSeedProxy() {
   WithPlatform([&](SitePlatform&) {
     seed_proxy_ =
         std::make_unique<FaultProxy>(loop_, peer_proxies_[0]->address(),
@@ -110,15 +113,17 @@
   });
 }
 
-std::string SiteCell::Host(int number) const {
+std::string SiteTestCluster::Host(int number) const {
   return absl::StrCat(subnet_, number);
 }
 
-std::string SiteCell::HostOf(int node) const { return Host(kFirstHost + node); }
+std::string SiteTestCluster::HostOf(int node) const {
+  return Host(kFirstHost + node);
+}
 
-SiteCell::~SiteCell() {
+SiteTestCluster::~SiteTestCluster() {
   nodes_.clear();
-  for (const int pipe : pipes_) ::close(pipe);
+  for (const int pipe : log_pipes_) ::close(pipe);
   // The loop first: what waits in it refers to the platform.
   loop_.stop();
   thread_.join();
@@ -128,8 +133,8 @@
   platform_.reset();
 }
 
-void SiteCell::WriteSettings(int index) {
-  const Node& node = nodes_[At(index)];
+void SiteTestCluster::WriteSettings(int index) {
+  const Node& node = nodes_[Index(index)];
   Json::Value settings(Json::objectValue);
   settings["name"] = absl::StrCat("node-", index);
   settings["zone"] = absl::StrCat("zone-", ZoneOf(index));
@@ -137,10 +142,12 @@
   settings["ready_listen"] = node.ready_address;
   settings["peer_listen"] = node.peer_address;
   if (options_.proxies)
-    settings["peer_announce"] = peer_proxies_[At(index)]->address().ToString();
+    settings["peer_announce"] =
+        peer_proxies_[Index(index)]->address().ToString();
   settings["metrics_listen"] = node.metrics_address;
-  const Address store = options_.proxies ? store_proxies_[At(index)]->address()
-                                         : platform_->store_address();
+  const Address store = options_.proxies
+                            ? store_proxies_[Index(index)]->address()
+                            : platform_->store_address();
   settings["store"] = store.ToString();
   settings["advice"] = platform_->advice_address().ToString();
   // The first node needs no other way to itself.
@@ -149,41 +156,41 @@
   settings["seeds"].append(seed + ":1");
   settings["trace_file"] = absl::StrCat(directory_, "/node-", index, ".spans");
   settings["stop_grace_s"] = 6;
-  settings["store_append_bytes"] = Json::Int64(SiteStore::kMostAppendBytes);
+  settings["store_append_bytes"] = Json::Int64(SiteStore::kMaxAppendBytes);
   std::ofstream(node.settings_path) << ToJsonText(settings);
 }
 
-void SiteCell::StartNode(int index) {
-  Node& node = nodes_[At(index)];
+void SiteTestCluster::StartNode(int index) {
+  Node& node = nodes_[Index(index)];
   const std::string log = absl::StrCat(directory_, "/node-", index, ".log");
   if (options_.blocked_logs && ::mkfifo(log.c_str(), 0600) == 0)
-    pipes_.push_back(::open(log.c_str(), O_RDWR | O_NONBLOCK));
+    log_pipes_.push_back(::open(log.c_str(), O_RDWR | O_NONBLOCK));
   node.process = std::make_unique<ChildProcess>(
       "keelbridge-node",
       std::vector<std::string>{absl::StrCat("--settings=", node.settings_path)},
       log);
 }
 
-bool SiteCell::Ready(int index) {
+bool SiteTestCluster::Ready(int index) {
   const HttpOutcome outcome =
-      CallAddress(nodes_[At(index)].ready_address,
+      CallAddress(nodes_[Index(index)].ready_address,
                   {"GET", "/ready", {}, "", ""}, absl::Milliseconds(500));
   return outcome.response && outcome.response->status == 200;
 }
 
-bool SiteCell::AwaitReady(int count) {
-  const absl::Time until = absl::Now() + kPatience;
+bool SiteTestCluster::AwaitReady(int count) {
+  const absl::Time until = absl::Now() + kAwaitTimeout;
   while (absl::Now() < until) {
     int ready = 0;
     for (int i = 0; i < options_.nodes; ++i) ready += Ready(i) ? 1 : 0;
     if (ready >= count) return true;
-    absl::SleepFor(kPause);
+    absl::SleepFor(kPollInterval);
   }
-  TellWhyNotReady();
+  PrintNodeStates();
   return false;
 }
 
-void SiteCell::TellWhyNotReady() {
+void SiteTestCluster::PrintNodeStates() {
   for (int i = 0; i < options_.nodes; ++i) {
     std::cerr << "node " << i << (Alive(i) ? " runs, " : " has ended, ")
               << (Ready(i) ? "ready\n" : "not ready\n");
@@ -191,17 +198,17 @@
     std::deque<std::string> last;
     for (std::string line; std::getline(log, line);) {
       last.push_back(line);
-      if (last.size() > kLinesTold) last.pop_front();
+      if (last.size() > kPrintedLogLines) last.pop_front();
     }
     for (const std::string& line : last) std::cerr << "  " << line << "\n";
   }
 }
 
-int SiteCell::Leader() {
+int SiteTestCluster::Leader() {
   for (int i = 0; i < options_.nodes; ++i) {
     if (!Alive(i)) continue;
     const HttpOutcome outcome =
-        CallAddress(nodes_[At(i)].metrics_address,
+        CallAddress(nodes_[Index(i)].metrics_address,
                     {"GET", "/metrics", {}, "", ""}, absl::Milliseconds(500));
     if (outcome.response &&
         absl::StrContains(outcome.response->body, "keelbridge_node_leads 1"))
@@ -210,9 +217,9 @@
   return -1;
 }
 
-int64_t SiteCell::Gauge(int index, const std::string& name) {
+int64_t SiteTestCluster::Gauge(int index, const std::string& name) {
   const HttpOutcome outcome =
-      CallAddress(nodes_[At(index)].metrics_address,
+      CallAddress(nodes_[Index(index)].metrics_address,
                   {"GET", "/metrics", {}, "", ""}, absl::Milliseconds(500));
   if (!outcome.response) return -1;
   const std::string line = absl::StrCat("\n", name, " ");
@@ -223,49 +230,49 @@
   return absl::SimpleAtoi(rest.substr(0, rest.find('\n')), &value) ? value : -1;
 }
 
-int64_t SiteCell::DroppedLogLines(int index) {
+int64_t SiteTestCluster::DroppedLogLines(int index) {
   return Gauge(index, "keelbridge_node_log_lines_dropped");
 }
 
-int64_t SiteCell::ConfigurationVersion(int index) {
+int64_t SiteTestCluster::ConfigurationVersion(int index) {
   return Gauge(index, "keelbridge_node_configuration_version");
 }
 
-std::unique_ptr<HttpClient> SiteCell::NewClient(int index) const {
+std::unique_ptr<HttpClient> SiteTestCluster::NewClient(int index) const {
   HttpClient::Options options;
   options.idle_expiry = kClientIdle;
   return std::make_unique<HttpClient>(
-      ParseAddress(nodes_[At(index)].client_address).value(), options);
+      ParseAddress(nodes_[Index(index)].client_address).value(), options);
 }
 
-HttpOutcome SiteCell::Raw(int index, const HttpRequest& request,
-                          absl::Duration timeout) {
-  return nodes_[At(index)].kept_client->Send(request, timeout);
+HttpOutcome SiteTestCluster::SendRequest(int index, const HttpRequest& request,
+                                         absl::Duration timeout) {
+  return nodes_[Index(index)].persistent_client->Send(request, timeout);
 }
 
-HttpOutcome SiteCell::Call(int index, const std::string& method, uint64_t job,
-                           const std::string& body) {
+HttpOutcome SiteTestCluster::Call(int index, const std::string& method,
+                                  uint64_t job, const std::string& body) {
   HttpRequest request{method,
                       absl::StrCat(kSitePrefix, JobIdText(job)),
                       {{"Host", kSiteHost}},
                       body,
                       "application/json"};
-  return Raw(index, request);
+  return SendRequest(index, request);
 }
 
-bool SiteCell::SubmitAnywhere(uint64_t job, const std::string& body) {
-  const absl::Time until = absl::Now() + kPatience;
+bool SiteTestCluster::SubmitAnywhere(uint64_t job, const std::string& body) {
+  const absl::Time until = absl::Now() + kAwaitTimeout;
   for (int turn = 0; absl::Now() < until; ++turn) {
     const int index = turn % options_.nodes;
     if (!Alive(index)) continue;
     const HttpOutcome outcome = Call(index, "POST", job, body);
     if (outcome.response && outcome.response->status == 200) return true;
-    absl::SleepFor(kPause);
+    absl::SleepFor(kPollInterval);
   }
   return false;
 }
 
-std::string SiteCell::State(uint64_t job) {
+std::string SiteTestCluster::State(uint64_t job) {
   for (int i = 0; i < options_.nodes; ++i) {
     if (!Alive(i)) continue;
     const HttpOutcome outcome = Call(i, "GET", job);
@@ -279,61 +286,65 @@
   return "";
 }
 
-bool SiteCell::AwaitState(uint64_t job, const std::string& state,
-                          absl::Duration patience) {
-  const absl::Time until = absl::Now() + patience;
+bool SiteTestCluster::AwaitState(uint64_t job, const std::string& state,
+                                 absl::Duration max_wait) {
+  const absl::Time until = absl::Now() + max_wait;
   while (absl::Now() < until) {
     if (State(job) == state) return true;
-    absl::SleepFor(kPause);
+    absl::SleepFor(kPollInterval);
   }
   return false;
 }
 
-void SiteCell::SetStoreProxy(int node, FaultProxy::Mode mode) {
-  WithPlatform([&](SitePlatform&) { store_proxies_[At(node)]->SetMode(mode); });
+void SiteTestCluster::SetStoreProxy(int node, FaultProxy::Mode mode) {
+  WithPlatform(
+      [&](SitePlatform&) { store_proxies_[Index(node)]->SetMode(mode); });
 }
 
-void SiteCell::SetPeerProxy(int node, FaultProxy::Mode mode) {
+void SiteTestCluster::SetPeerProxy(int node, FaultProxy::Mode mode) {
   boost::asio::post(
-      loop_, [this, node, mode] { peer_proxies_[At(node)]->SetMode(mode); });
+      loop_, [this, node, mode] { peer_proxies_[Index(node)]->SetMode(mode); });
 }
 
-void SiteCell::HealStoreProxyQuietly(int node) {
-  WithPlatform([&](SitePlatform&) { store_proxies_[At(node)]->HealQuietly(); });
+void SiteTestCluster::HealStoreProxyWithoutReset(int node) {
+  WithPlatform(
+      [&](SitePlatform&) { store_proxies_[Index(node)]->ResumeForwarding(); });
 }
 
-void SiteCell::HealPeerProxyQuietly(int node) {
-  WithPlatform([&](SitePlatform&) { peer_proxies_[At(node)]->HealQuietly(); });
+void SiteTestCluster::HealPeerProxyWithoutReset(int node) {
+  WithPlatform(
+      [&](SitePlatform&) { peer_proxies_[Index(node)]->ResumeForwarding(); });
 }
 
-void SiteCell::SilenceOpenOf(int node) {
+void SiteTestCluster::SilenceOpenConnectionsOf(int node) {
   WithPlatform([&](SitePlatform&) {
-    store_proxies_[At(node)]->SilenceOpen();
-    peer_proxies_[At(node)]->SilenceOpen();
+    store_proxies_[Index(node)]->SilenceOpenConnections();
+    peer_proxies_[Index(node)]->SilenceOpenConnections();
   });
 }
 
-void SiteCell::SilenceAllOpen() {
+void SiteTestCluster::SilenceAllOpenConnections() {
   WithPlatform([&](SitePlatform& platform) {
-    for (const auto& proxy : store_proxies_) proxy->SilenceOpen();
-    for (const auto& proxy : peer_proxies_) proxy->SilenceOpen();
-    seed_proxy_->SilenceOpen();
-    platform.SilenceOpenToWorkers();
+    for (const auto& proxy : store_proxies_) proxy->SilenceOpenConnections();
+    for (const auto& proxy : peer_proxies_) proxy->SilenceOpenConnections();
+    seed_proxy_->SilenceOpenConnections();
+    platform.SilenceOpenWorkerConnections();
   });
 }
 
-void SiteCell::SetStoreLink(int node, double bytes_per_second) {
+void SiteTestCluster::SetStoreLink(int node, double bytes_per_second) {
   WithPlatform([&](SitePlatform&) {
-    store_proxies_[At(node)]->SetAnswerRate(bytes_per_second);
+    store_proxies_[Index(node)]->SetResponseRate(bytes_per_second);
   });
 }
 
-void SiteCell::SetWorkerProxy(int worker, FaultProxy::Mode mode) {
+void SiteTestCluster::SetWorkerProxy(int worker, FaultProxy::Mode mode) {
   WithPlatform(
       [&](SitePlatform& platform) { platform.SetWorkerProxy(worker, mode); });
 }
 
-void SiteCell::WithPlatform(const std::function<void(SitePlatform&)>& step) {
+void SiteTestCluster::WithPlatform(
+    const std::function<void(SitePlatform&)>& step) {
   std::promise<void> done;
   boost::asio::post(loop_, [&] {
     step(*platform_);
@@ -342,19 +353,19 @@
   done.get_future().wait();
 }
 
-std::vector<std::string> SiteCell::Faults() {
+std::vector<std::string> SiteTestCluster::Faults() {
   std::vector<std::string> out;
   WithPlatform([&](SitePlatform& platform) { out = platform.faults(); });
   return out;
 }
 
-size_t SiteCell::RunCount() {
+size_t SiteTestCluster::RunCount() {
   size_t out = 0;
   WithPlatform([&](SitePlatform& platform) { out = platform.runs().size(); });
   return out;
 }
 
-std::string SiteCell::OneStep(int tasks, int work_ms, int cpu) {
+std::string SiteTestCluster::OneStepJob(int tasks, int work_ms, int cpu) {
   const std::string plan =
       absl::StrCat("[{\\\"cpu\\\":", cpu,
                    ",\\\"memory\\\":1024,\\\"work_ms\\\":", work_ms, "}]");
@@ -364,14 +375,14 @@
                       "}]}");
 }
 
-std::string SiteCell::CrashingTasks(int tasks) {
+std::string SiteTestCluster::CrashingTasksJob(int tasks) {
   return absl::StrCat(
       "{\"taskSpec\":\"[{\\\"cpu\\\":2000,\\\"memory\\\":1024,\\\"work_ms\\\":"
       "5000,\\\"crashes\\\":true}]\",\"steps\":[{\"count\":",
       tasks, ",\"cpu\":2000,\"memoryRequestMb\":1024,\"estimatedMs\":500}]}");
 }
 
-std::string SiteCell::GangThenOne(int members) {
+std::string SiteTestCluster::GangThenOneTaskJob(int members) {
   const std::string plan = absl::StrCat(
       "[{\\\"cpu\\\":3000,\\\"memory\\\":1024,\\\"work_ms\\\":400,"
       "\\\"gang\\\":",
--- a/testing/support/site_test_cluster.h
+++ b/testing/support/site_test_cluster.h
@@ -1,9 +1,9 @@
 // A small site of real processes on loopback: nodes of this build, the platform
 // stand-in in a thread of the test, and a client.
 //
-//   SiteCell cell({.nodes = 3});
+//   SiteTestCluster cell({.nodes = 3});
 //   REQUIRE(cell.AwaitReady(3));
-//   CHECK(cell.SubmitAnywhere(1, SiteCell::OneStep(2, 300)));
+//   CHECK(cell.SubmitAnywhere(1, SiteTestCluster::OneStepJob(2, 300)));
 //   CHECK(cell.AwaitState(1, "completed"));
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SITE_TEST_CLUSTER_H_
@@ -24,7 +24,7 @@
 
 namespace keelbridge::testing {
 
-class SiteCell {
+class SiteTestCluster {
  public:
   struct Options {
     int nodes = 3;
@@ -34,15 +34,17 @@
     SitePlatform::Options platform;
   };
 
-  explicit SiteCell(Options options);
-  ~SiteCell();
-  SiteCell(const SiteCell&) = delete;
-  SiteCell& operator=(const SiteCell&) = delete;
+  explicit SiteTestCluster(Options options);
+  ~SiteTestCluster();
+  SiteTestCluster(const SiteTestCluster&) = delete;
+  SiteTestCluster& operator=(const SiteTestCluster&) = delete;
 
   void StartNode(int index);
-  ChildProcess& node(int index) { return *nodes_[At(index)].process; }
-  void ForgetNode(int index) { nodes_[At(index)].process.reset(); }
-  bool Alive(int index) const { return nodes_[At(index)].process != nullptr; }
+  ChildProcess& node(int index) { return *nodes_[Index(index)].process; }
+  void RemoveNode(int index) { nodes_[Index(index)].process.reset(); }
+  bool Alive(int index) const {
+    return nodes_[Index(index)].process != nullptr;
+  }
   // The node that leads, by its metrics; -1: none says so.
   int Leader();
   int64_t DroppedLogLines(int index);
@@ -60,22 +62,22 @@
   // The state as any node tells it; empty when none does.
   std::string State(uint64_t job);
   bool AwaitState(uint64_t job, const std::string& state,
-                  absl::Duration patience = absl::Seconds(20));
+                  absl::Duration max_wait = absl::Seconds(20));
   // A further client of a node, whose connections stay open while it is idle.
   std::unique_ptr<HttpClient> NewClient(int index) const;
-  HttpOutcome Raw(int index, const HttpRequest& request,
-                  absl::Duration timeout = absl::Seconds(3));
+  HttpOutcome SendRequest(int index, const HttpRequest& request,
+                          absl::Duration timeout = absl::Seconds(3));
 
   // With `proxies`: harms what passes.
   void SetStoreProxy(int node, FaultProxy::Mode mode);
   void SetWorkerProxy(int worker, FaultProxy::Mode mode);
   void SetPeerProxy(int node, FaultProxy::Mode mode);
-  void HealStoreProxyQuietly(int node);
-  void HealPeerProxyQuietly(int node);
+  void HealStoreProxyWithoutReset(int node);
+  void HealPeerProxyWithoutReset(int node);
   // The connections that are open now go silent for good, new ones pass: those
   // of `node` to the store and of its peers to it; all, also those to workers.
-  void SilenceOpenOf(int node);
-  void SilenceAllOpen();
+  void SilenceOpenConnectionsOf(int node);
+  void SilenceAllOpenConnections();
   // Of all that the store answers a node; see `FaultProxy`.
   void SetStoreLink(int node, double bytes_per_second);
   int ZoneOf(int node) const { return node % kZones; }
@@ -88,10 +90,10 @@
   const std::string& directory() const { return directory_; }
 
   // Bodies of jobs.
-  static std::string OneStep(int tasks, int work_ms, int cpu = 2000);
-  static std::string GangThenOne(int members);
+  static std::string OneStepJob(int tasks, int work_ms, int cpu = 2000);
+  static std::string GangThenOneTaskJob(int members);
   // Tasks that crash each worker that starts them.
-  static std::string CrashingTasks(int tasks);
+  static std::string CrashingTasksJob(int tasks);
 
  private:
   struct Node {
@@ -102,14 +104,14 @@
     std::string metrics_address;
     std::string settings_path;
     // Callers keep their connections to a node as long as it does.
-    std::unique_ptr<HttpClient> kept_client;
+    std::unique_ptr<HttpClient> persistent_client;
   };
   // The address of a host of this cell, and of the one that a node runs on.
   std::string Host(int number) const;
   std::string HostOf(int node) const;
   // What each node last logged, on standard error.
-  void TellWhyNotReady();
-  size_t At(int index) const { return static_cast<size_t>(index); }
+  void PrintNodeStates();
+  size_t Index(int index) const { return static_cast<size_t>(index); }
   // A gauge of a node's metrics, by its whole name; -1: none.
   int64_t Gauge(int index, const std::string& name);
   void WriteSettings(int index);
@@ -128,7 +130,7 @@
   std::vector<std::unique_ptr<FaultProxy>> peer_proxies_;   // By node.
   std::unique_ptr<FaultProxy> seed_proxy_;
   std::vector<Node> nodes_;
-  std::vector<int> pipes_;  // Held open, never read.
+  std::vector<int> log_pipes_;  // Held open, never read.
 };
 
 }  // namespace keelbridge::testing
--- a/testing/support/soak_fault_injector.h
+++ b/testing/support/soak_fault_injector.h
@@ -1,7 +1,7 @@
 // The troubles of a soak: drawn from its seed, in series and over each other,
 // and what they do to the site.
 //
-//   SoakTroubles troubles(cell, touch, configurations, record, options);
+//   SoakFaultInjector troubles(cell, touch, configurations, record, options);
 //   troubles.Play();  // Takes about `options.length`.
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_FAULT_INJECTOR_H_
@@ -24,7 +24,7 @@
 
 // Each lasts about 3 s, but for those that are over at once and those of which
 // something else is said.
-enum class Trouble {
+enum class FaultKind {
   kKillNode,
   kStopNode,
   kPauseNode,
@@ -43,104 +43,118 @@
   kRollingStop,
   kKillAll,
   kNewConfiguration,
-  kFirstKinds,  // So many were there when the first failing seeds were drawn.
+  kFirstKindsEnd,  // So many were there when the first failing seeds were
+                   // drawn.
 
   // These last 1 to 5 s. What is silent heals quietly: no connection ends, and
   // those on which something was dropped say nothing more.
-  kSilentPolls = kFirstKinds,  // A change is written; polls get no answer.
-  kDeafPolls,  // Polls hear nothing of a change for a second, then are cut.
-  kChangeBehindSilence,  // Some nodes do not reach the store when it changes.
-  kForgottenHistory,     // The same, and the store forgets its history.
-  kQuietStoreLoss,       // Between one node and the store.
+  kUnansweredPolls =
+      kFirstKindsEnd,  // A change is written; polls get no answer.
+  kPollsMissChange,    // Polls hear nothing of a change for a second, then are
+                       // cut.
+  kChangeDuringSilence,  // Some nodes do not reach the store when it changes.
+  kDroppedHistory,       // The same, and the store forgets its history.
+  kStorePathSilent,      // Between one node and the store.
   kLateAppends,          // Done seconds after their answer was lost.
   kLeaderPaused,
   kLeaderCut,    // No store for the leader, and no peer reaches it.
-  kLeaderAlone,  // The same, and it reaches no peer: no peer reaches another.
-  kSecondKinds,  // So many were there when the next failing seeds were drawn.
+  kAllPeersCut,  // The same, and it reaches no peer: no peer reaches another.
+  kSecondKindsEnd,  // So many were there when the next failing seeds were
+                    // drawn.
 
   // What is open goes silent for good, without an end; new connections pass.
   // Like a reset, it is over at once.
-  kNodeGoesSilent = kSecondKinds,  // One node's ways to the store and of peers.
-  kAllGoSilent,                    // All ways of all nodes, to workers too.
-  kChangeAfterAllGoSilent,         // The same, and soon a change is written.
-  kThirdKinds,  // So many were there when the next failing seeds were drawn.
-
-  kCrashingJob = kThirdKinds,  // Its tasks crash each worker that starts them.
-  kWorkerShrinks,              // To a third, for 1 to 5 s and three more.
-  kCrashesAndLeaderGoes,       // A crashing job, and soon the leader is killed.
-  kCrashesAndAllPaused,  // The same, and all nodes stand still for a while.
-  kFourthKinds,  // So many were there when the next failing seeds were drawn.
+  kNodeConnectionsSilent =
+      kSecondKindsEnd,    // One node's ways to the store and of peers.
+  kAllConnectionsSilent,  // All ways of all nodes, to workers too.
+  kChangeAfterAllSilent,  // The same, and soon a change is written.
+  kThirdKindsEnd,  // So many were there when the next failing seeds were drawn.
+
+  kCrashingJob =
+      kThirdKindsEnd,       // Its tasks crash each worker that starts them.
+  kWorkerShrinks,           // To a third, for 1 to 5 s and three more.
+  kCrashesAndLeaderKilled,  // A crashing job, and soon the leader is killed.
+  kCrashesAndAllPaused,     // The same, and all nodes stand still for a while.
+  kFourthKindsEnd,  // So many were there when the next failing seeds were
+                    // drawn.
 
   // Workers start again under the ids that they had: one, three in turn and the
   // first again, the same with the leader killed in between, and with all nodes
   // and workers losing power.
-  kWorkerRestarts = kFourthKinds,
+  kWorkerRestarts = kFourthKindsEnd,
   kWorkersRestartInSeries,
-  kRestartsAndLeaderGoes,
-  kPowerLost,
-  kFifthKinds,
+  kRestartsAndLeaderKilled,
+  kPowerLoss,
+  kFifthKindsEnd,
 
   // Three in turn as well, and orders are carried out late.
-  kRestartsAndLateOrders = kFifthKinds,
+  kRestartsAndLateOrders = kFifthKindsEnd,
   kCount,
 };
 
-class SoakTroubles {
+class SoakFaultInjector {
  public:
   // What is passed must outlive this.
-  SoakTroubles(SiteCell& cell, NodeTouch& touch,
-               ConfigurationCheck& configurations, SoakJobs& jobs,
-               SoakRecord& record, const SoakOptions& options);
+  SoakFaultInjector(SiteTestCluster& cluster,
+                    NodeDisturbances& node_disturbances,
+                    ConfigurationCheck& configurations, SoakJobs& jobs,
+                    SoakRecord& record, const SoakOptions& options);
 
   // Returns once all troubles are over.
-  void Play();
+  void InjectFaults();
 
  private:
-  using Open = std::vector<std::thread>;  // Troubles that are not over.
-
-  void Begin(Trouble trouble, int node, int worker, Open* open);
-  void BeginLater(Trouble trouble, int node, Open* open);
-  void BeginWithWorkers(Trouble trouble, int node, int worker, Open* open);
-  static void Later(Open* open, absl::Duration delay,
-                    std::function<void()> step);
-
-  void Restart(int node, int signal, const char* what, Open* open);
-  void Pause(int node, absl::Duration time, Open* open);
-  void HarmStorePath(int node, FaultProxy::Mode mode, const char* what,
-                     Open* open);
-  void HarmPeerPath(const std::vector<int>& nodes, FaultProxy::Mode mode,
-                    const char* what, Open* open);
-  void CutZone(int zone, Open* open);
-  void SilenceStoreQuietly(int node, absl::Duration time, Open* open);
-  void SilencePeersQuietly(int node, absl::Duration time, Open* open);
-
-  void StoreFault(Open* open);
+  using FaultThreads = std::vector<std::thread>;  // Troubles that are not over.
+
+  void BeginFirstKinds(FaultKind kind, int node, int worker,
+                       FaultThreads* fault_threads);
+  void BeginLaterKinds(FaultKind kind, int node, FaultThreads* fault_threads);
+  void BeginWorkerKinds(FaultKind kind, int node, int worker,
+                        FaultThreads* fault_threads);
+  static void RunAfter(FaultThreads* fault_threads, absl::Duration delay,
+                       std::function<void()> step);
+
+  void Restart(int node, int signal, const char* what,
+               FaultThreads* fault_threads);
+  void Pause(int node, absl::Duration time, FaultThreads* fault_threads);
+  void DisruptStorePath(int node, FaultProxy::Mode mode, const char* what,
+                        FaultThreads* fault_threads);
+  void DisruptPeerPath(const std::vector<int>& nodes, FaultProxy::Mode mode,
+                       const char* what, FaultThreads* fault_threads);
+  void CutZone(int zone, FaultThreads* fault_threads);
+  void SilenceStorePath(int node, absl::Duration time,
+                        FaultThreads* fault_threads);
+  void SilencePeerPath(int node, absl::Duration time,
+                       FaultThreads* fault_threads);
+
+  void StoreFault(FaultThreads* fault_threads);
   void SetStoreFaults(SiteStore::Faults faults);
   void SetLostOrders(double share);
-  void SilentPolls(absl::Duration time, Open* open);
-  void DeafPolls(Open* open);
-  void LateAppends(absl::Duration time, Open* open);
-  void ChangeBehindSilence(int node, bool forget, absl::Duration time,
-                           Open* open);
-  void NodeGoesSilent(int node);
-  void AllGoSilent();
+  void UnansweredPolls(absl::Duration time, FaultThreads* fault_threads);
+  void PollsMissChange(FaultThreads* fault_threads);
+  void LateAppends(absl::Duration time, FaultThreads* fault_threads);
+  void ChangeDuringSilence(int node, bool drop_history, absl::Duration time,
+                           FaultThreads* fault_threads);
+  void SilenceNodeConnections(int node);
+  void SilenceAllConnections();
   void NewConfiguration();
   void CrashingJob(int node);
   void ShrinkWorker(int worker, absl::Duration time);
-  void BeginRestarts(Trouble trouble, int node, int worker, Open* open);
+  void BeginRestartKinds(FaultKind kind, int node, int worker,
+                         FaultThreads* fault_threads);
   void RestartWorker(int worker, absl::Duration down);
   void RestartInSeries(int first, absl::Duration down);
   void SetLateOrders(double share);
 
-  std::vector<int> Others(int node) const;
+  std::vector<int> OtherNodes(int node) const;
   // The node that leads; `otherwise` when none says so.
-  int LeaderOr(int otherwise);
-  Trouble DrawTrouble();
-  absl::Duration DrawTime();
-  static size_t At(int node) { return static_cast<size_t>(node); }
+  int LeaderOr(int fallback);
+  FaultKind DrawFaultKind();
+  absl::Duration DrawDuration();
+  static size_t IndexOf(int node) { return static_cast<size_t>(node); }
 
-  SiteCell& cell_;
-  NodeTouch& touch_;
+  SiteTestCluster& cluster_;
+  NodeDisturbances& node_disturbances_;
   ConfigurationCheck& configurations_;
   SoakJobs& jobs_;
   SoakRecord& record_;
--- a/testing/support/soak_jobs.cc
+++ b/testing/support/soak_jobs.cc
@@ -9,16 +9,16 @@
 namespace {
 
 // This many of the jobs that were accepted last count as accepted lately.
-constexpr size_t kLately = 12;
-constexpr size_t kNewest = 3;
+constexpr size_t kRecentJobs = 12;
+constexpr size_t kNewestJobs = 3;
 // One draw in this many is among all jobs.
-constexpr uint64_t kAnyOneIn = 3;
+constexpr uint64_t kAllJobsDrawPeriod = 3;
 // Nodes keep a job for 120 s after its end; none is asked for that long.
-constexpr absl::Duration kKept = absl::Seconds(110);
+constexpr absl::Duration kJobRetention = absl::Seconds(110);
 
 }  // namespace
 
-void SoakJobs::Accepted(uint64_t job) {
+void SoakJobs::RecordAccepted(uint64_t job) {
   const std::lock_guard<std::mutex> lock(mutex_);
   SoakJob& known = jobs_[job];
   if (known.accepted) return;
@@ -27,17 +27,17 @@
   accepted_.push_back(job);
 }
 
-void SoakJobs::Refused(uint64_t job) {
+void SoakJobs::RecordRefused(uint64_t job) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_[job].refused = true;
 }
 
-void SoakJobs::Unknown(uint64_t job) {
+void SoakJobs::RecordUnknown(uint64_t job) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_[job].unknown = true;
 }
 
-void SoakJobs::Crashes(uint64_t job) {
+void SoakJobs::RecordCrashing(uint64_t job) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_[job].crashes = true;
 }
@@ -51,16 +51,17 @@
 }
 
 std::optional<uint64_t> SoakJobs::Draw(std::mt19937_64& random) const {
-  const bool any = random() % kAnyOneIn == 0;
-  return DrawAmong(any ? std::numeric_limits<size_t>::max() : kLately, random);
+  const bool any = random() % kAllJobsDrawPeriod == 0;
+  return DrawFromLast(any ? std::numeric_limits<size_t>::max() : kRecentJobs,
+                      random);
 }
 
 std::optional<uint64_t> SoakJobs::DrawNewest(std::mt19937_64& random) const {
-  return DrawAmong(kNewest, random);
+  return DrawFromLast(kNewestJobs, random);
 }
 
-std::optional<uint64_t> SoakJobs::DrawAmong(size_t last,
-                                            std::mt19937_64& random) const {
+std::optional<uint64_t> SoakJobs::DrawFromLast(size_t last,
+                                               std::mt19937_64& random) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (accepted_.empty()) return std::nullopt;
   const size_t among = std::min(accepted_.size(), last);
@@ -75,7 +76,7 @@
   if (found == jobs_.end()) return false;
   const SoakJob& known = found->second;
   return known.accepted && !known.cancel_sent &&
-         absl::Now() - known.accepted_at < kKept;
+         absl::Now() - known.accepted_at < kJobRetention;
 }
 
 SoakJob SoakJobs::Get(uint64_t job) const {
--- a/testing/support/soak_jobs.h
+++ b/testing/support/soak_jobs.h
@@ -29,11 +29,11 @@
 
 class SoakJobs {
  public:
-  void Accepted(uint64_t job);
-  void Refused(uint64_t job);
-  void Unknown(uint64_t job);
+  void RecordAccepted(uint64_t job);
+  void RecordRefused(uint64_t job);
+  void RecordUnknown(uint64_t job);
   // The job's tasks will crash their workers. Call before it is handed in.
-  void Crashes(uint64_t job);
+  void RecordCrashing(uint64_t job);
   // False when the job is not known to be accepted.
   bool BeginCancel(uint64_t job);
 
@@ -48,7 +48,8 @@
   std::map<uint64_t, SoakJob> All() const;
 
  private:
-  std::optional<uint64_t> DrawAmong(size_t last, std::mt19937_64& random) const;
+  std::optional<uint64_t> DrawFromLast(size_t last,
+                                       std::mt19937_64& random) const;
 
   mutable std::mutex mutex_;
   std::map<uint64_t, SoakJob> jobs_;
--- a/testing/support/soak_monitor.cc
+++ b/testing/support/soak_monitor.cc
@@ -12,25 +12,26 @@
 // Who asks one node for jobs. Each has a connection of its own: a node that
 // goes on after a pause answers first what came by connections that were open
 // before.
-struct JobCaller {
-  absl::Duration patience;  // For one answer.
-  absl::Duration pause;     // Between two calls, at most.
-  bool newest = false;      // Asks only for the last jobs that were accepted.
+struct JobClientOptions {
+  absl::Duration timeout;  // For one answer.
+  absl::Duration pause;    // Between two calls, at most.
+  bool newest = false;     // Asks only for the last jobs that were accepted.
 };
 
 namespace {
 
-constexpr absl::Duration kLookEvery = absl::Milliseconds(40);
-constexpr JobCaller kBusy[] = {
-    {absl::Milliseconds(500), kLookEvery},
-    {absl::Milliseconds(1300), kLookEvery},
-    {absl::Seconds(4), kLookEvery},
+constexpr absl::Duration kCheckInterval = absl::Milliseconds(40);
+constexpr JobClientOptions kFrequentClients[] = {
+    {absl::Milliseconds(500), kCheckInterval},
+    {absl::Milliseconds(1300), kCheckInterval},
+    {absl::Seconds(4), kCheckInterval},
 };
 // Most likely idle when a pause begins, and calling before it ends.
-constexpr JobCaller kSeldom = {absl::Seconds(4), absl::Seconds(4), true};
-constexpr int kSeldomCallers = 10;
-constexpr absl::Duration kLastPatience = absl::Seconds(4);
-constexpr absl::Duration kVersionPatience = absl::Milliseconds(800);
+constexpr JobClientOptions kInfrequentClient = {absl::Seconds(4),
+                                                absl::Seconds(4), true};
+constexpr int kInfrequentClientCount = 10;
+constexpr absl::Duration kFinalCheckTimeout = absl::Seconds(4);
+constexpr absl::Duration kVersionCallTimeout = absl::Milliseconds(800);
 
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
@@ -39,108 +40,114 @@
 
 }  // namespace
 
-SoakWatch::SoakWatch(SiteCell& cell, NodeTouch& touch,
-                     ConfigurationCheck& configurations, SoakJobs& jobs,
-                     SoakRecord& record, int nodes, uint64_t seed)
-    : cell_(cell),
-      touch_(touch),
+SoakMonitor::SoakMonitor(SiteTestCluster& cluster,
+                         NodeDisturbances& node_disturbances,
+                         ConfigurationCheck& configurations, SoakJobs& jobs,
+                         SoakRecord& record, int nodes, uint64_t seed)
+    : cluster_(cluster),
+      node_disturbances_(node_disturbances),
       configurations_(configurations),
       jobs_(jobs),
       record_(record) {
   for (int node = 0; node < nodes; ++node) {
-    threads_.emplace_back([this, node] { WatchConfiguration(node); });
-    uint64_t own = seed * 1000 + static_cast<uint64_t>(node) * 20;
-    for (const JobCaller& caller : kBusy) AddJobCaller(node, ++own, caller);
-    for (int i = 0; i < kSeldomCallers; ++i) AddJobCaller(node, ++own, kSeldom);
+    threads_.emplace_back([this, node] { MonitorConfiguration(node); });
+    uint64_t client_seed = seed * 1000 + static_cast<uint64_t>(node) * 20;
+    for (const JobClientOptions& options : kFrequentClients)
+      AddJobClient(node, ++client_seed, options);
+    for (int i = 0; i < kInfrequentClientCount; ++i)
+      AddJobClient(node, ++client_seed, kInfrequentClient);
   }
 }
 
-void SoakWatch::Stop() {
+void SoakMonitor::Stop() {
   stopped_ = true;
   for (std::thread& thread : threads_) thread.join();
   threads_.clear();
 }
 
-void SoakWatch::AddJobCaller(int node, uint64_t seed, const JobCaller& caller) {
-  threads_.emplace_back([this, node, seed, caller] {
+void SoakMonitor::AddJobClient(int node, uint64_t seed,
+                               const JobClientOptions& options) {
+  threads_.emplace_back([this, node, seed, options] {
     std::mt19937_64 random(seed);
-    const std::unique_ptr<HttpClient> client = cell_.NewClient(node);
+    const std::unique_ptr<HttpClient> client = cluster_.NewClient(node);
     while (!stopped_) {
       const std::optional<uint64_t> job =
-          caller.newest ? jobs_.DrawNewest(random) : jobs_.Draw(random);
-      if (job) LookAtJob(*client, node, *job, caller.patience);
+          options.newest ? jobs_.DrawNewest(random) : jobs_.Draw(random);
+      if (job) CheckJob(*client, node, *job, options.timeout);
       const double share = static_cast<double>(random() % 100) / 100.0;
-      Sleep(std::max(caller.pause * share, kLookEvery));
+      Sleep(std::max(options.pause * share, kCheckInterval));
     }
   });
 }
 
-void SoakWatch::Sleep(absl::Duration time) const {
+void SoakMonitor::Sleep(absl::Duration time) const {
   const absl::Time until = absl::Now() + time;
-  while (!stopped_ && absl::Now() < until) absl::SleepFor(kLookEvery);
+  while (!stopped_ && absl::Now() < until) absl::SleepFor(kCheckInterval);
 }
 
-void SoakWatch::LookAtJobAtLast(int node, uint64_t job) {
-  const std::unique_ptr<HttpClient> client = cell_.NewClient(node);
-  LookAtJob(*client, node, job, kLastPatience);
+void SoakMonitor::CheckJobAtEnd(int node, uint64_t job) {
+  const std::unique_ptr<HttpClient> client = cluster_.NewClient(node);
+  CheckJob(*client, node, job, kFinalCheckTimeout);
 }
 
-void SoakWatch::LookAtJob(HttpClient& client, int node, uint64_t job,
-                          absl::Duration patience) {
-  const absl::Time asked = absl::Now();
+void SoakMonitor::CheckJob(HttpClient& client, int node, uint64_t job,
+                           absl::Duration timeout) {
+  const absl::Time sent_at = absl::Now();
   const HttpOutcome outcome =
       client.Send({"GET",
                    absl::StrCat(kSitePrefix, JobIdText(job)),
                    {{"Host", kSiteHost}},
                    "",
                    ""},
-                  patience);
-  ++looks_;
+                  timeout);
+  ++read_calls_;
   const int status = outcome.response ? outcome.response->status : 0;
   if (status != kGone && status != kNotFound) return;
   if (!jobs_.MustBeKnown(job)) return;
   const absl::Time accepted = jobs_.Get(job).accepted_at;
   record_.Fault(
       absl::StrCat("LOST ", job, " at ", node),
-      absl::StrCat("LOST: job ", JobIdText(job), ", accepted at ",
-                   absl::ToInt64Milliseconds(accepted - record_.begin()),
-                   " ms, is answered ", status, " by node ", node,
-                   ", asked at ",
-                   absl::ToInt64Milliseconds(asked - record_.begin()), " ms"));
+      absl::StrCat(
+          "LOST: job ", JobIdText(job), ", accepted at ",
+          absl::ToInt64Milliseconds(accepted - record_.begin()),
+          " ms, is answered ", status, " by node ", node, ", asked at ",
+          absl::ToInt64Milliseconds(sent_at - record_.begin()), " ms"));
 }
 
-void SoakWatch::WatchConfiguration(int node) {
+void SoakMonitor::MonitorConfiguration(int node) {
   while (!stopped_) {
-    LookAtConfiguration(node);
-    absl::SleepFor(kLookEvery);
+    CheckConfiguration(node);
+    absl::SleepFor(kCheckInterval);
   }
 }
 
-void SoakWatch::LookAtConfiguration(int node) {
-  ConfigurationCheck::Sight sight;
-  sight.node = node;
-  sight.before = touch_.Get(node);
-  sight.asked = absl::Now();
-  const auto version = VersionServed(node, configurations_.newest());
-  ++looks_;
+void SoakMonitor::CheckConfiguration(int node) {
+  ConfigurationCheck::Observation observation;
+  observation.node = node;
+  observation.before = node_disturbances_.Get(node);
+  observation.sent_at = absl::Now();
+  const auto version = FindServedVersion(node, configurations_.newest());
+  ++read_calls_;
   if (!version) return;
-  sight.version = *version;
-  sight.after = touch_.Get(node);
-  const std::string fault = configurations_.Seen(sight);
+  observation.version = *version;
+  observation.after = node_disturbances_.Get(node);
+  const std::string fault = configurations_.CheckObservation(observation);
   // Once for each version that a life is late with.
   if (!fault.empty())
-    record_.Fault(absl::StrCat("CONFIG ", node, " life ", sight.before.life,
-                               " newest ", configurations_.newest()),
-                  fault);
+    record_.Fault(
+        absl::StrCat("CONFIG ", node, " life ", observation.before.incarnation,
+                     " newest ", configurations_.newest()),
+        fault);
 }
 
-std::optional<int64_t> SoakWatch::VersionServed(int node, int64_t newest) {
+std::optional<int64_t> SoakMonitor::FindServedVersion(int node,
+                                                      int64_t newest) {
   for (int64_t version = newest; version > 0; --version) {
     // No job has this id: a node that knows the queue refuses it by itself.
-    const HttpOutcome outcome = cell_.Raw(
+    const HttpOutcome outcome = cluster_.SendRequest(
         node,
         {"GET", VersionPrefix(version) + "none", {{"Host", kSiteHost}}, "", ""},
-        kVersionPatience);
+        kVersionCallTimeout);
     const int status = outcome.response ? outcome.response->status : 0;
     if (status == kBadRequest) return version;
     // It has no configuration, or one that may be old.
--- a/testing/support/soak_monitor.h
+++ b/testing/support/soak_monitor.h
@@ -4,7 +4,7 @@
 // - by which configuration it serves: see ConfigurationCheck;
 // - that it never answers 410 or 404 for an accepted job that nobody cancelled.
 //
-//   SoakWatch watch(cell, touch, configurations, jobs, record, seed);
+//   SoakMonitor watch(cell, touch, configurations, jobs, record, seed);
 //   ...
 //   watch.Stop();
 
@@ -27,42 +27,42 @@
 namespace keelbridge::testing {
 
 // Who asks a node for jobs: how patiently, and how often.
-struct JobCaller;
+struct JobClientOptions;
 
-class SoakWatch {
+class SoakMonitor {
  public:
   // What is passed must outlive this.
-  SoakWatch(SiteCell& cell, NodeTouch& touch,
-            ConfigurationCheck& configurations, SoakJobs& jobs,
-            SoakRecord& record, int nodes, uint64_t seed);
-  ~SoakWatch() { Stop(); }
-  SoakWatch(const SoakWatch&) = delete;
-  SoakWatch& operator=(const SoakWatch&) = delete;
+  SoakMonitor(SiteTestCluster& cluster, NodeDisturbances& node_disturbances,
+              ConfigurationCheck& configurations, SoakJobs& jobs,
+              SoakRecord& record, int nodes, uint64_t seed);
+  ~SoakMonitor() { Stop(); }
+  SoakMonitor(const SoakMonitor&) = delete;
+  SoakMonitor& operator=(const SoakMonitor&) = delete;
 
   void Stop();
   // Asks `node` for `job`, with patience; one that is called unknown is a
   // fault.
-  void LookAtJobAtLast(int node, uint64_t job);
-  size_t looks() const { return looks_; }
+  void CheckJobAtEnd(int node, uint64_t job);
+  size_t read_calls() const { return read_calls_; }
 
  private:
-  void AddJobCaller(int node, uint64_t seed, const JobCaller& caller);
-  void LookAtJob(HttpClient& client, int node, uint64_t job,
-                 absl::Duration patience);
+  void AddJobClient(int node, uint64_t seed, const JobClientOptions& options);
+  void CheckJob(HttpClient& client, int node, uint64_t job,
+                absl::Duration timeout);
   // For `time`, or until it is stopped.
   void Sleep(absl::Duration time) const;
-  void WatchConfiguration(int node);
-  void LookAtConfiguration(int node);
+  void MonitorConfiguration(int node);
+  void CheckConfiguration(int node);
   // 0: by none; nullopt: no answer tells.
-  std::optional<int64_t> VersionServed(int node, int64_t newest);
+  std::optional<int64_t> FindServedVersion(int node, int64_t newest);
 
-  SiteCell& cell_;
-  NodeTouch& touch_;
+  SiteTestCluster& cluster_;
+  NodeDisturbances& node_disturbances_;
   ConfigurationCheck& configurations_;
   SoakJobs& jobs_;
   SoakRecord& record_;
   std::atomic<bool> stopped_{false};
-  std::atomic<size_t> looks_{0};
+  std::atomic<size_t> read_calls_{0};
   std::vector<std::thread> threads_;
 };
 
--- a/testing/support/soak_record.cc
+++ b/testing/support/soak_record.cc
@@ -6,28 +6,28 @@
 
 void SoakRecord::Begin() {
   begin_ = absl::Now();
-  Note(absl::StrCat("begins at ", absl::FormatTime(begin_)));
+  RecordEvent(absl::StrCat("begins at ", absl::FormatTime(begin_)));
 }
 
-std::string SoakRecord::Timed(const std::string& what) const {
+std::string SoakRecord::WithTime(const std::string& what) const {
   return absl::StrCat(absl::ToInt64Milliseconds(absl::Now() - begin_), " ms ",
                       what);
 }
 
-void SoakRecord::Note(const std::string& what) {
+void SoakRecord::RecordEvent(const std::string& what) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  notes_.push_back(Timed(what));
+  events_.push_back(WithTime(what));
 }
 
 void SoakRecord::Fault(const std::string& key, const std::string& what) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!keys_.insert(key).second) return;
-  faults_.push_back(Timed(what));
+  faults_.push_back(WithTime(what));
 }
 
-std::vector<std::string> SoakRecord::notes() const {
+std::vector<std::string> SoakRecord::events() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return notes_;
+  return events_;
 }
 
 std::vector<std::string> SoakRecord::faults() const {
--- a/testing/support/soak_record.h
+++ b/testing/support/soak_record.h
@@ -24,20 +24,20 @@
   void Begin();
   absl::Time begin() const { return begin_; }
 
-  void Note(const std::string& what);
+  void RecordEvent(const std::string& what);
   // The first fault of each `key` is kept: one cause is told of once.
   void Fault(const std::string& what) { Fault(what, what); }
   void Fault(const std::string& key, const std::string& what);
 
-  std::vector<std::string> notes() const;
+  std::vector<std::string> events() const;
   std::vector<std::string> faults() const;
 
  private:
-  std::string Timed(const std::string& what) const;
+  std::string WithTime(const std::string& what) const;
 
   absl::Time begin_ = absl::Now();
   mutable std::mutex mutex_;
-  std::vector<std::string> notes_;
+  std::vector<std::string> events_;
   std::vector<std::string> faults_;
   std::set<std::string> keys_;
 };
--- a/testing/support/soak_state_test.cc
+++ b/testing/support/soak_state_test.cc
@@ -13,34 +13,34 @@
 namespace {
 
 TEST_CASE("node touch: a node is in touch once every disturbance is over") {
-  NodeTouch touch(2);
-  touch.Disturb(0);
-  touch.DisturbAll();
-  touch.Restore(0);
-  CHECK(touch.Get(0).since == absl::InfiniteFuture());
+  NodeDisturbances node_disturbances(2);
+  node_disturbances.Disturb(0);
+  node_disturbances.DisturbAll();
+  node_disturbances.Restore(0);
+  CHECK(node_disturbances.Get(0).undisturbed_since == absl::InfiniteFuture());
   const absl::Time before = absl::Now();
-  touch.RestoreAll();
-  CHECK(touch.Get(0).since >= before);
-  CHECK(touch.Get(1).since <= absl::Now());
+  node_disturbances.RestoreAll();
+  CHECK(node_disturbances.Get(0).undisturbed_since >= before);
+  CHECK(node_disturbances.Get(1).undisturbed_since <= absl::Now());
 }
 
 TEST_CASE("node touch: another process is another life") {
-  NodeTouch touch(2);
-  touch.NextLife(1);
-  CHECK(touch.Get(0).life == 0);
-  CHECK(touch.Get(1).life == 1);
+  NodeDisturbances node_disturbances(2);
+  node_disturbances.StartNextIncarnation(1);
+  CHECK(node_disturbances.Get(0).incarnation == 0);
+  CHECK(node_disturbances.Get(1).incarnation == 1);
 }
 
 TEST_CASE("soak jobs: only what was accepted and not cancelled must be known") {
   SoakJobs jobs;
   std::mt19937_64 random(1);
-  jobs.Refused(1);
-  jobs.Unknown(2);
+  jobs.RecordRefused(1);
+  jobs.RecordUnknown(2);
   CHECK_FALSE(jobs.Draw(random));
   CHECK_FALSE(jobs.MustBeKnown(1));
   CHECK_FALSE(jobs.MustBeKnown(2));
   CHECK_FALSE(jobs.BeginCancel(2));
-  jobs.Accepted(2);
+  jobs.RecordAccepted(2);
   CHECK(jobs.MustBeKnown(2));
   CHECK(jobs.Draw(random) == 2);
   CHECK(jobs.BeginCancel(2));
--- a/testing/support/wide_site.h
+++ b/testing/support/wide_site.h
@@ -51,7 +51,7 @@
           SchedulerDriver::RecordOf(absl::StrCat("w", 1000 + i), kWorkerMilli);
       record.capacity.memory_mib = kWorkerMib;
       driver_.scheduler().OnWorkerRecord(record, driver_.now());
-      driver_.lists[record.id];
+      driver_.reports[record.id];
     }
     capacity_milli_ = static_cast<int64_t>(workers) * kWorkerMilli;
     driver_.RunUntil(absl::Milliseconds(100));
@@ -72,7 +72,7 @@
     spec.steps[0].gang = work.gang;
     spec.steps[0].count = work.count;
     spec.steps[0].estimated_ms = work.estimated_ms;
-    work_[id] = work;
+    work_by_job_[id] = work;
     driver_.scheduler().Submit(id, queue, spec, driver_.now());
   }
 
@@ -86,15 +86,15 @@
     while (driver_.now().mono < kBegin + until) {
       driver_.RunUntil(driver_.now().mono - kBegin + absl::Milliseconds(100));
       EndDueRuns();
-      for (; seen_ < driver_.starts.size(); ++seen_) {
-        const StartOrder& start = driver_.starts[seen_];
-        const Work& work = work_.at(start.task.job);
+      for (; handled_starts_ < driver_.starts.size(); ++handled_starts_) {
+        const StartOrder& start = driver_.starts[handled_starts_];
+        const Work& work = work_by_job_.at(start.task.job);
         ++started_[start.task.job];
         started_at_.try_emplace(start.task.job, driver_.now().mono - kBegin);
-        used_[driver_.start_workers[seen_]] += work.need;
+        used_[driver_.start_workers[handled_starts_]] += work.need;
         used_milli_ += work.need.cpu_milli;
-        ends_.emplace(driver_.now().mono + absl::Milliseconds(work.work_ms),
-                      seen_);
+        run_ends_.emplace(driver_.now().mono + absl::Milliseconds(work.work_ms),
+                          handled_starts_);
       }
     }
   }
@@ -121,16 +121,16 @@
            static_cast<double>(capacity_milli_);
   }
   // Tasks of the job that fit now on the workers that may run it.
-  int64_t FitsNow(JobId job) const {
-    const Resources need = work_.at(job).need;
+  int64_t CountFitting(JobId job) const {
+    const Resources need = work_by_job_.at(job).need;
     int64_t fits = 0;
-    for (const auto& [worker, list] : driver_.lists) {
+    for (const auto& [worker, list] : driver_.reports) {
       if (!IsGood(TaskId{job, 0, 0, 0}, worker)) continue;
-      Resources room{kWorkerMilli, kWorkerMib, 0};
+      Resources free{kWorkerMilli, kWorkerMib, 0};
       const auto used = used_.find(worker);
-      if (used != used_.end()) room = room - used->second;
-      fits += std::min(room.cpu_milli / std::max(1, need.cpu_milli),
-                       room.memory_mib / std::max(1, need.memory_mib));
+      if (used != used_.end()) free = free - used->second;
+      fits += std::min(free.cpu_milli / std::max(1, need.cpu_milli),
+                       free.memory_mib / std::max(1, need.memory_mib));
     }
     return fits;
   }
@@ -138,27 +138,28 @@
 
  private:
   void EndDueRuns() {
-    while (!ends_.empty() && ends_.begin()->first <= driver_.now().mono) {
-      const size_t at = ends_.begin()->second;
-      ends_.erase(ends_.begin());
+    while (!run_ends_.empty() &&
+           run_ends_.begin()->first <= driver_.now().mono) {
+      const size_t at = run_ends_.begin()->second;
+      run_ends_.erase(run_ends_.begin());
       const StartOrder& start = driver_.starts[at];
       const std::string& worker = driver_.start_workers[at];
-      const Resources need = work_.at(start.task.job).need;
+      const Resources need = work_by_job_.at(start.task.job).need;
       used_[worker] -= need;
       used_milli_ -= need.cpu_milli;
-      driver_.End(worker, {++ends_on_[worker], start.task, start.run,
+      driver_.End(worker, {++end_counts_[worker], start.task, start.run,
                            RunEnd::kDone, ""});
     }
   }
 
   SchedulerDriver driver_;
   int64_t capacity_milli_ = 0;
-  size_t seen_ = 0;
-  std::map<JobId, Work> work_;
+  size_t handled_starts_ = 0;
+  std::map<JobId, Work> work_by_job_;
   std::map<JobId, int> started_;
   std::map<JobId, absl::Duration> started_at_;
-  std::multimap<absl::Time, size_t> ends_;
-  std::map<std::string, int64_t> ends_on_;
+  std::multimap<absl::Time, size_t> run_ends_;
+  std::map<std::string, int64_t> end_counts_;
   std::map<std::string, Resources> used_;
   int64_t used_milli_ = 0;
 };
--- a/testing/support/zone_harness.cc
+++ b/testing/support/zone_harness.cc
@@ -12,8 +12,8 @@
 
 constexpr char kZone[] = "z";
 constexpr absl::Duration kReplyTimeout = absl::Seconds(1);
-constexpr absl::Duration kReadEvery = absl::Milliseconds(200);
-constexpr size_t kMostRead = 1000;
+constexpr absl::Duration kReadInterval = absl::Milliseconds(200);
+constexpr size_t kMaxReadEntries = 1000;
 
 }  // namespace
 
@@ -28,10 +28,10 @@
     worker.check_not_after = options_.mechanisms.not_after;
     worker.check_epoch = options_.mechanisms.epochs;
     Worker& slot = workers_.emplace_back();
-    slot.wall_error = absl::Milliseconds(error(random_));
+    slot.wall_clock_error = absl::Milliseconds(error(random_));
     slot.fake = std::make_unique<FakeWorker>(
         worker, next_incarnation_++, now_ - absl::Hours(1),
-        [this](const RunFact& fact) {
+        [this](const RunEvent& fact) {
           facts_.push_back(fact);
           Trace(absl::StrCat(fact.worker, fact.begins ? " begins " : " ends ",
                              fact.task, "#", fact.attempt, " ", fact.how));
@@ -39,7 +39,7 @@
   }
   nodes_.resize(static_cast<size_t>(options_.schedulers));
   for (int i = 0; i < options_.schedulers; ++i) {
-    nodes_[i].wall_error = absl::Milliseconds(error(random_));
+    nodes_[i].wall_clock_error = absl::Milliseconds(error(random_));
     Start(i);
   }
 }
@@ -74,9 +74,9 @@
   options.snapshot_every = options_.snapshot_every;
   node.incarnation = options.incarnation;
   node.paused = false;
-  node.waiting.clear();
-  node.core = std::make_unique<ZoneScheduler>(options);
-  node.core->OnConfiguration(MakeConfiguration());
+  node.queued_events.clear();
+  node.zone_scheduler = std::make_unique<ZoneScheduler>(options);
+  node.zone_scheduler->OnConfiguration(MakeConfiguration());
 }
 
 void ZoneHarness::Trace(const std::string& line) const {
@@ -85,7 +85,7 @@
 
 void ZoneHarness::Kill(int i) {
   Trace(absl::StrCat("kill s", i));
-  nodes_[i].core.reset();
+  nodes_[i].zone_scheduler.reset();
   nodes_[i].incarnation = 0;
 }
 
@@ -93,14 +93,15 @@
   policy_ = policy;
   ++version_;
   for (Node& node : nodes_) {
-    if (node.core) node.core->OnConfiguration(MakeConfiguration());
+    if (node.zone_scheduler)
+      node.zone_scheduler->OnConfiguration(MakeConfiguration());
   }
 }
 
 void ZoneHarness::HandOver(int i) {
   const std::vector<Action> actions =
-      nodes_[i].core->HandOver(NodeNow(nodes_[i]));
-  for (const Action& action : actions) CarryOut(i, action);
+      nodes_[i].zone_scheduler->HandOver(NodeNow(nodes_[i]));
+  for (const Action& action : actions) ExecuteAction(i, action);
   Kill(i);
 }
 
@@ -117,7 +118,7 @@
   Trace(absl::StrCat("resume s", i));
   Node& node = nodes_[i];
   node.paused = false;
-  for (const auto& event : std::exchange(node.waiting, {})) event();
+  for (const auto& event : std::exchange(node.queued_events, {})) event();
 }
 
 void ZoneHarness::PauseWorker(int i) {
@@ -129,9 +130,9 @@
   Trace(absl::StrCat("resume w", i));
   workers_[i].paused = false;
   // They came over several connections, so in any order.
-  auto waiting = std::exchange(workers_[i].waiting, {});
-  std::shuffle(waiting.begin(), waiting.end(), random_);
-  for (const auto& event : waiting) event();
+  auto queued_events = std::exchange(workers_[i].queued_events, {});
+  std::shuffle(queued_events.begin(), queued_events.end(), random_);
+  for (const auto& event : queued_events) event();
 }
 
 void ZoneHarness::RestartWorker(int i) {
@@ -150,14 +151,15 @@
       std::uniform_real_distribution<double>(0.5, 6)(random_));
 }
 
-void ZoneHarness::AtNode(int i, uint64_t incarnation,
-                         std::function<void()> event) {
+void ZoneHarness::RunOnNode(int i, uint64_t incarnation,
+                            std::function<void()> event) {
   Node& node = nodes_[i];
   if (node.incarnation != incarnation) return;
   if (node.paused) {
-    node.waiting.push_back([this, i, incarnation, event = std::move(event)] {
-      AtNode(i, incarnation, event);
-    });
+    node.queued_events.push_back(
+        [this, i, incarnation, event = std::move(event)] {
+          RunOnNode(i, incarnation, event);
+        });
   } else {
     event();
   }
@@ -166,32 +168,32 @@
 template <typename Reply>
 void ZoneHarness::Exchange(
     int i, const std::string& name,
-    std::function<Reply(FakeWorker&, Now)> carry_out,
+    std::function<Reply(FakeWorker&, Now)> handle,
     std::function<void(ZoneScheduler&, const std::optional<Reply>&, Now)>
         deliver) {
   const int w = std::stoi(name.substr(1));
   const uint64_t incarnation = nodes_[i].incarnation;
   // The answer or its absence reaches the scheduler exactly once.
-  auto settled = std::make_shared<bool>(false);
-  const auto settle = [this, i, incarnation, settled,
+  auto completed = std::make_shared<bool>(false);
+  const auto settle = [this, i, incarnation, completed,
                        deliver](const std::optional<Reply>& reply) {
-    AtNode(i, incarnation, [this, i, settled, deliver, reply] {
-      if (std::exchange(*settled, true)) return;
-      deliver(*nodes_[i].core, reply, NodeNow(nodes_[i]));
+    RunOnNode(i, incarnation, [this, i, completed, deliver, reply] {
+      if (std::exchange(*completed, true)) return;
+      deliver(*nodes_[i].zone_scheduler, reply, NodeNow(nodes_[i]));
     });
   };
-  At(now_ + kReplyTimeout, [settle] { settle(std::nullopt); });
+  ScheduleAt(now_ + kReplyTimeout, [settle] { settle(std::nullopt); });
   const auto cut = cuts_.find({i, w});
-  const bool heard = (cut == cuts_.end() || cut->second) && !Lost();
-  if (!heard) return;
-  const auto arrive = [this, i, w, carry_out, settle] {
-    const Reply reply = carry_out(*workers_[w].fake, WorkerNow(workers_[w]));
+  const bool delivered = (cut == cuts_.end() || cut->second) && !Lost();
+  if (!delivered) return;
+  const auto arrive = [this, i, w, handle, settle] {
+    const Reply reply = handle(*workers_[w].fake, WorkerNow(workers_[w]));
     if (cuts_.count({i, w}) > 0 || Lost()) return;
-    At(now_ + Delay(), [settle, reply] { settle(reply); });
+    ScheduleAt(now_ + Delay(), [settle, reply] { settle(reply); });
   };
-  At(now_ + Delay(), [this, w, arrive] {
+  ScheduleAt(now_ + Delay(), [this, w, arrive] {
     if (workers_[w].paused) {
-      workers_[w].waiting.push_back(arrive);
+      workers_[w].queued_events.push_back(arrive);
     } else {
       arrive();
     }
@@ -201,27 +203,27 @@
 void ZoneHarness::SendAppend(int i, const keelbridge::SendAppend& append) {
   const uint64_t incarnation = nodes_[i].incarnation;
   const auto answer = [this, i, incarnation](std::optional<int64_t> offset) {
-    AtNode(i, incarnation, [this, i, offset] {
-      nodes_[i].core->OnAppendAnswer(offset, NodeNow(nodes_[i]));
+    RunOnNode(i, incarnation, [this, i, offset] {
+      nodes_[i].zone_scheduler->OnAppendAnswer(offset, NodeNow(nodes_[i]));
     });
   };
-  At(now_ + Delay(), [this, append, answer] {
+  ScheduleAt(now_ + Delay(), [this, append, answer] {
     if (log_down_) {
-      At(now_ + kReplyTimeout, [answer] { answer(std::nullopt); });
+      ScheduleAt(now_ + kReplyTimeout, [answer] { answer(std::nullopt); });
       return;
     }
     const int64_t offset =
         log_.Append(ZoneStream(kZone), EnvelopeToText(append.envelope), now_);
     Trace(absl::StrCat("log ", offset, ": ", EnvelopeToText(append.envelope)));
     if (log_loses_answers_ || Lost()) {
-      At(now_ + kReplyTimeout, [answer] { answer(std::nullopt); });
+      ScheduleAt(now_ + kReplyTimeout, [answer] { answer(std::nullopt); });
     } else {
-      At(now_ + Delay(), [answer, offset] { answer(offset); });
+      ScheduleAt(now_ + Delay(), [answer, offset] { answer(offset); });
     }
   });
 }
 
-void ZoneHarness::CarryOut(int i, const Action& action) {
+void ZoneHarness::ExecuteAction(int i, const Action& action) {
   if (const auto* append = std::get_if<keelbridge::SendAppend>(&action))
     return SendAppend(i, *append);
   const absl::Time sent_at = now_;
@@ -231,27 +233,31 @@
         [hold = *hold](FakeWorker& worker, Now now) {
           return worker.Hold(hold.request, now);
         },
-        [hold = *hold, sent_at](
-            ZoneScheduler& core, const std::optional<HoldReply>& reply,
-            Now now) { core.OnHoldReply(hold, sent_at, reply, now); });
+        [hold = *hold, sent_at](ZoneScheduler& zone_scheduler,
+                                const std::optional<HoldReply>& reply,
+                                Now now) {
+          zone_scheduler.OnHoldReply(hold, sent_at, reply, now);
+        });
   } else if (const auto* start = std::get_if<SendStart>(&action)) {
     Exchange<CommandReply>(
         i, start->worker,
         [start = *start](FakeWorker& worker, Now now) {
           return worker.Start(start.request, now);
         },
-        [start = *start](ZoneScheduler& core,
-                         const std::optional<CommandReply>& reply,
-                         Now now) { core.OnStartReply(start, reply, now); });
+        [start = *start](ZoneScheduler& zone_scheduler,
+                         const std::optional<CommandReply>& reply, Now now) {
+          zone_scheduler.OnStartReply(start, reply, now);
+        });
   } else if (const auto* stop = std::get_if<SendStop>(&action)) {
     Exchange<CommandReply>(
         i, stop->worker,
         [stop = *stop](FakeWorker& worker, Now now) {
           return worker.Stop(stop.request, now);
         },
-        [stop = *stop](ZoneScheduler& core,
-                       const std::optional<CommandReply>& reply,
-                       Now now) { core.OnStopReply(stop, reply, now); });
+        [stop = *stop](ZoneScheduler& zone_scheduler,
+                       const std::optional<CommandReply>& reply, Now now) {
+          zone_scheduler.OnStopReply(stop, reply, now);
+        });
   }
 }
 
@@ -259,18 +265,21 @@
   const absl::Time end = now_ + options_.step;
   for (int i = 0; i < schedulers(); ++i) {
     Node& node = nodes_[i];
-    if (!node.core || node.paused) continue;
+    if (!node.zone_scheduler || node.paused) continue;
     if (now_ >= node.next_read && !log_down_) {
-      node.next_read = now_ + kReadEvery;
-      const LogBatch batch = log_.Read(
-          ZoneStream(kZone), node.core->replica().next(), kMostRead, now_);
-      node.core->OnLogBatch(batch, NodeNow(node));
+      node.next_read = now_ + kReadInterval;
+      const LogBatch batch =
+          log_.Read(ZoneStream(kZone), node.zone_scheduler->replica().next(),
+                    kMaxReadEntries, now_);
+      node.zone_scheduler->OnLogBatch(batch, NodeNow(node));
     }
-    if (node.core->Leads(now_) != node.led) {
-      node.led = !node.led;
-      Trace(absl::StrCat("s", i, node.led ? " leads" : " leads no longer"));
+    if (node.zone_scheduler->Leads(now_) != node.was_leading) {
+      node.was_leading = !node.was_leading;
+      Trace(absl::StrCat("s", i,
+                         node.was_leading ? " leads" : " leads no longer"));
     }
-    const std::vector<Action> actions = node.core->Tick(NodeNow(node));
+    const std::vector<Action> actions =
+        node.zone_scheduler->Tick(NodeNow(node));
     const bool starts =
         std::any_of(actions.begin(), actions.end(), [](const Action& action) {
           return std::holds_alternative<SendStart>(action);
@@ -279,11 +288,11 @@
     for (const Action& action : actions) {
       if (node.paused) {
         const uint64_t incarnation = node.incarnation;
-        node.waiting.push_back([this, i, incarnation, action] {
-          if (nodes_[i].incarnation == incarnation) CarryOut(i, action);
+        node.queued_events.push_back([this, i, incarnation, action] {
+          if (nodes_[i].incarnation == incarnation) ExecuteAction(i, action);
         });
       } else {
-        CarryOut(i, action);
+        ExecuteAction(i, action);
       }
     }
   }
@@ -305,27 +314,28 @@
 }
 
 bool ZoneHarness::RunUntil(const std::function<bool()>& done,
-                           absl::Duration most) {
-  const absl::Time end = now_ + most;
+                           absl::Duration timeout) {
+  const absl::Time end = now_ + timeout;
   while (now_ < end && !done()) Step();
   return done();
 }
 
 int ZoneHarness::Leader() const {
   for (int i = 0; i < schedulers(); ++i) {
-    if (nodes_[i].core && !nodes_[i].paused && nodes_[i].core->Leads(now_))
+    if (nodes_[i].zone_scheduler && !nodes_[i].paused &&
+        nodes_[i].zone_scheduler->Leads(now_))
       return i;
   }
   return -1;
 }
 
 int ZoneHarness::AwaitLeader() {
-  const auto settled = [this] {
+  const auto completed = [this] {
     return Leader() >= 0 && scheduler(Leader()).replica().state().epoch() ==
                                 scheduler(Leader()).epoch();
   };
   const auto stays = [&] {
-    RunUntil(settled, absl::Seconds(20));
+    RunUntil(completed, absl::Seconds(20));
     const int leader = Leader();
     RunFor(absl::Seconds(1));
     return leader >= 0 && Leader() == leader;
@@ -339,7 +349,7 @@
 bool ZoneHarness::Confirm(const std::vector<Intent>& intents) {
   for (const Intent& intent : intents) {
     if (!intent.exclusive) may_overlap_.insert(intent.id);
-    if (!intent.repeatable) once_.insert(intent.id);
+    if (!intent.repeatable) non_repeatable_.insert(intent.id);
   }
   const absl::Time end = now_ + absl::Seconds(30);
   while (now_ < end) {
@@ -347,13 +357,14 @@
     const int leader = Leader();
     if (leader < 0) return false;
     Node& node = nodes_[leader];
-    Result<Plan> plan = node.core->Propose(intents, NodeNow(node));
+    Result<Plan> plan = node.zone_scheduler->Propose(intents, NodeNow(node));
     if (!plan && plan.error().code == ErrorCode::kInvalid) return false;
-    if (plan && node.core->Confirm(plan.value(), NodeNow(node))) {
+    if (plan && node.zone_scheduler->Confirm(plan.value(), NodeNow(node))) {
       const std::string id = plan.value().id;
       const auto confirmed = [&] {
-        return nodes_[leader].core && nodes_[leader].core->FateOf(id) ==
-                                          ZoneState::PlanFate::kConfirmed;
+        return nodes_[leader].zone_scheduler &&
+               nodes_[leader].zone_scheduler->GetPlanOutcome(id) ==
+                   ZoneState::PlanOutcome::kConfirmed;
       };
       if (RunUntil(confirmed, absl::Seconds(5))) return true;
     }
@@ -393,11 +404,11 @@
   for (const Worker& worker : workers_)
     rules.totals[worker.fake->name()] = options_.worker_size;
   rules.may_overlap = may_overlap_;
-  rules.once = once_;
+  rules.non_repeatable = non_repeatable_;
   return rules;
 }
 
-std::vector<std::string> ZoneHarness::Judge() {
+std::vector<std::string> ZoneHarness::FindViolations() {
   for (Worker& worker : workers_) worker.fake->Advance(now_);
   return CheckRuns(facts_, Rules());
 }
--- a/testing/support/zone_harness.h
+++ b/testing/support/zone_harness.h
@@ -32,7 +32,7 @@
 
 // Mechanisms that can be switched off, to show that the checkers then find a
 // fault.
-struct Mechanisms {
+struct SafetyMechanisms {
   bool wait_for_certainty =
       true;               // Of leases: unsettled starts and silent workers.
   bool not_after = true;  // Of commands.
@@ -49,7 +49,7 @@
     absl::Duration clock_error = absl::Milliseconds(
         200);         // Wall clocks differ by up to this from true time.
     double loss = 0;  // Of each message, either way.
-    Mechanisms mechanisms = {};
+    SafetyMechanisms mechanisms = {};
     absl::Duration step = absl::Milliseconds(20);
     absl::Duration log_retention = absl::InfiniteDuration();
     int64_t snapshot_every = 2000;
@@ -60,7 +60,7 @@
 
   void RunFor(absl::Duration time);
   // Runs until `done` holds; false when `most` went by.
-  bool RunUntil(const std::function<bool()>& done, absl::Duration most);
+  bool RunUntil(const std::function<bool()>& done, absl::Duration timeout);
 
   // The scheduler that leads, or -1.
   int Leader() const;
@@ -99,61 +99,63 @@
   void PauseWorker(int worker);
   void ResumeWorker(int worker);
 
-  ZoneScheduler& scheduler(int i) { return *nodes_[i].core; }
-  bool alive(int i) const { return nodes_[i].core != nullptr; }
+  ZoneScheduler& scheduler(int i) { return *nodes_[i].zone_scheduler; }
+  bool alive(int i) const { return nodes_[i].zone_scheduler != nullptr; }
   int schedulers() const { return static_cast<int>(nodes_.size()); }
   int workers() const { return static_cast<int>(workers_.size()); }
   FakeWorker& worker(int i) { return *workers_[i].fake; }
   FakeLog& log() { return log_; }
   absl::Time now() const { return now_; }
-  const std::vector<RunFact>& facts() const { return facts_; }
+  const std::vector<RunEvent>& facts() const { return facts_; }
   size_t Running() const;
   RunRules Rules() const;
   // Lets every worker's leases and tasks come to their end, then judges.
-  std::vector<std::string> Judge();
+  std::vector<std::string> FindViolations();
   std::mt19937_64& random() { return random_; }
   // Prints a line when tracing.
   void Trace(const std::string& line) const;
 
  private:
   struct Node {
-    std::unique_ptr<ZoneScheduler> core;
+    std::unique_ptr<ZoneScheduler> zone_scheduler;
     uint64_t incarnation = 0;
     bool paused = false;
-    bool led = false;
+    bool was_leading = false;
     bool pause_before_start = false;
-    absl::Duration wall_error;
-    std::vector<std::function<void()>> waiting;  // Arrived while paused.
+    absl::Duration wall_clock_error;
+    std::vector<std::function<void()>> queued_events;  // Arrived while paused.
     absl::Time next_read;
   };
   struct Worker {
     std::unique_ptr<FakeWorker> fake;
     bool paused = false;
-    absl::Duration wall_error;
-    std::vector<std::function<void()>> waiting;
+    absl::Duration wall_clock_error;
+    std::vector<std::function<void()>> queued_events;
   };
 
-  Now NodeNow(const Node& node) const { return {now_, now_ + node.wall_error}; }
+  Now NodeNow(const Node& node) const {
+    return {now_, now_ + node.wall_clock_error};
+  }
   Now WorkerNow(const Worker& worker) const {
-    return {now_, now_ + worker.wall_error};
+    return {now_, now_ + worker.wall_clock_error};
   }
-  void At(absl::Time time, std::function<void()> event) {
+  void ScheduleAt(absl::Time time, std::function<void()> event) {
     events_.emplace(time, std::move(event));
   }
   absl::Duration Delay();
   bool Lost() { return std::bernoulli_distribution(options_.loss)(random_); }
   void Step();
-  void CarryOut(int node, const Action& action);
+  void ExecuteAction(int node, const Action& action);
   void SendAppend(int node, const SendAppend& append);
-  // Runs `carry_out` at the worker and `deliver` back at the scheduler's same
+  // Runs `handle` at the worker and `deliver` back at the scheduler's same
   // run.
   template <typename Reply>
   void Exchange(
       int node, const std::string& worker,
-      std::function<Reply(FakeWorker&, Now)> carry_out,
+      std::function<Reply(FakeWorker&, Now)> handle,
       std::function<void(ZoneScheduler&, const std::optional<Reply>&, Now)>
           deliver);
-  void AtNode(int node, uint64_t incarnation, std::function<void()> event);
+  void RunOnNode(int node, uint64_t incarnation, std::function<void()> event);
   Configuration MakeConfiguration() const;
 
   const Options options_;
@@ -166,9 +168,9 @@
   bool log_down_ = false;
   bool log_loses_answers_ = false;
   std::map<std::pair<int, int>, bool> cuts_;  // Value: one way.
-  std::vector<RunFact> facts_;
+  std::vector<RunEvent> facts_;
   std::set<std::string> may_overlap_;
-  std::set<std::string> once_;
+  std::set<std::string> non_repeatable_;
   uint64_t next_incarnation_ = 1;
   int64_t version_ = 0;
   PolicyKind policy_ = PolicyKind::kWaitingFirst;
--- a/testing/support/zone_test_cluster.cc
+++ b/testing/support/zone_test_cluster.cc
@@ -15,17 +15,17 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr absl::Duration kLongest = absl::Seconds(60);
+constexpr absl::Duration kEventuallyTimeout = absl::Seconds(60);
 constexpr absl::Duration kCallTimeout = absl::Seconds(5);
 
-Json::Value JsonOf(const std::string& line) {
+Json::Value ParseJson(const std::string& line) {
   return JsonDocument::Parse(line, "journal").root();
 }
 
 }  // namespace
 
 bool Eventually(const std::function<bool()>& done) {
-  const absl::Time end = absl::Now() + kLongest;
+  const absl::Time end = absl::Now() + kEventuallyTimeout;
   while (!done()) {
     if (absl::Now() > end) return false;
     absl::SleepFor(absl::Milliseconds(20));
@@ -33,7 +33,7 @@
   return true;
 }
 
-SmallCell::SmallCell(Options options) : options_(options) {
+ZoneTestCluster::ZoneTestCluster(Options options) : options_(options) {
   std::string name =
       (std::filesystem::temp_directory_path() / "keelbridge-test.XXXXXX")
           .string();
@@ -51,7 +51,7 @@
   }
 }
 
-SmallCell::~SmallCell() {
+ZoneTestCluster::~ZoneTestCluster() {
   hosts_.clear();
   platform_->Stop();
   // KEELBRIDGE_KEEP leaves the logs of the processes for a look.
@@ -60,12 +60,13 @@
   }
 }
 
-std::string SmallCell::PlatformAddress() const {
+std::string ZoneTestCluster::PlatformAddress() const {
   return absl::StrCat("127.0.0.1:", platform_port_);
 }
 
-std::string SmallCell::StartDaemon(const std::string& role, int host, int port,
-                                   std::unique_ptr<ChildProcess>* child) {
+std::string ZoneTestCluster::StartDaemon(const std::string& role, int host,
+                                         int port,
+                                         std::unique_ptr<ChildProcess>* child) {
   const std::string base = absl::StrCat(directory_, "/", role, host);
   std::filesystem::remove(base + ".port");
   Json::Value settings;
@@ -93,29 +94,29 @@
   *child = std::make_unique<ChildProcess>(
       "keelbridge-" + role,
       std::vector<std::string>{"--settings=" + base + ".json"}, base + ".log");
-  int served = 0;
+  int port_served = 0;
   Eventually([&] {
     std::ifstream file(base + ".port");
-    return static_cast<bool>(file >> served);
+    return static_cast<bool>(file >> port_served);
   });
-  return absl::StrCat("127.0.0.1:", served);
+  return absl::StrCat("127.0.0.1:", port_served);
 }
 
-void SmallCell::StartGateway(int host) {
+void ZoneTestCluster::StartGateway(int host) {
   Host& h = hosts_[host];
   Result<Address> old = ParseAddress(h.gateway_address);
   h.gateway_address =
       StartDaemon("gateway", host, old ? old.value().port : 0, &h.gateway);
 }
 
-void SmallCell::StartScheduler(int host) {
+void ZoneTestCluster::StartScheduler(int host) {
   Host& h = hosts_[host];
   Result<Address> old = ParseAddress(h.scheduler_address);
   h.scheduler_address =
       StartDaemon("scheduler", host, old ? old.value().port : 0, &h.scheduler);
 }
 
-std::string SmallCell::ConfigurationText() const {
+std::string ZoneTestCluster::ConfigurationText() const {
   Json::Value out;
   out["deployment"] = "test";
   out["policy"] = "waiting-first";
@@ -164,7 +165,7 @@
   return ToJsonText(out);
 }
 
-void SmallCell::Publish() {
+void ZoneTestCluster::Publish() {
   LogClient log(ParseAddress(PlatformAddress() + "/log").value());
   const Envelope envelope{{RandomId() >> 1, 1},
                           {ConfigurationEntry{-1, -1, ConfigurationText()}}};
@@ -178,13 +179,13 @@
   });
 }
 
-bool SmallCell::Ready(int host) const {
+bool ZoneTestCluster::Ready(int host) const {
   const HttpOutcome outcome =
       Send(host, {"GET", "/readyz", {}, "", ""}, absl::Seconds(1));
   return outcome.response && outcome.response->status == 200;
 }
 
-int SmallCell::Leader() const {
+int ZoneTestCluster::Leader() const {
   for (size_t i = 0; i < hosts_.size(); ++i) {
     if (!hosts_[i].scheduler) continue;
     RpcClient client(ParseAddress(hosts_[i].scheduler_address).value());
@@ -196,13 +197,13 @@
   return -1;
 }
 
-int SmallCell::AwaitLeader() const {
+int ZoneTestCluster::AwaitLeader() const {
   int leader = -1;
   Eventually([&] { return (leader = Leader()) >= 0; });
   return leader;
 }
 
-bool SmallCell::Confirm(const std::vector<Intent>& intents) const {
+bool ZoneTestCluster::Confirm(const std::vector<Intent>& intents) const {
   Json::Value params;
   for (const Intent& intent : intents) params["intents"].append(ToJson(intent));
   return Eventually([&] {
@@ -220,33 +221,35 @@
   });
 }
 
-HttpOutcome SmallCell::Send(int host, const HttpRequest& request,
-                            absl::Duration timeout) const {
+HttpOutcome ZoneTestCluster::Send(int host, const HttpRequest& request,
+                                  absl::Duration timeout) const {
   HttpClient client(ParseAddress(hosts_[host].gateway_address).value(),
                     HttpClient::Options());
   return client.Send(request, timeout);
 }
 
-std::vector<Json::Value> SmallCell::Requests(const std::string& kind) const {
+std::vector<Json::Value> ZoneTestCluster::Requests(
+    const std::string& kind) const {
   std::vector<Json::Value> out;
   for (const std::string& line : platform_->Journal()) {
-    Json::Value row = JsonOf(line);
+    Json::Value row = ParseJson(line);
     if (row["kind"] == kind) out.push_back(std::move(row));
   }
   return out;
 }
 
-int SmallCell::Runs(const std::string& key, const std::string& value) const {
+int ZoneTestCluster::CountRequests(const std::string& key,
+                                   const std::string& value) const {
   int runs = 0;
   for (const Json::Value& row : Requests())
     runs += row[key].asString() == value ? 1 : 0;
   return runs;
 }
 
-std::vector<RunFact> SmallCell::RunFacts() const {
-  std::vector<RunFact> out;
+std::vector<RunEvent> ZoneTestCluster::RunFacts() const {
+  std::vector<RunEvent> out;
   for (const Json::Value& row : Requests("run")) {
-    RunFact fact;
+    RunEvent fact;
     fact.at = absl::FromUnixMillis(row["at_ms"].asInt64());
     fact.worker = row["worker"].asString();
     fact.task = row["task"].asString();
--- a/testing/support/zone_test_cluster.h
+++ b/testing/support/zone_test_cluster.h
@@ -1,7 +1,7 @@
 // One zone of real processes: entry hosts with gateway and scheduler, against
 // the stand-ins in this process.
 //
-//   SmallCell cell({.entry_hosts = 2});
+//   ZoneTestCluster cell({.entry_hosts = 2});
 //   cell.Publish();
 //   cell.AwaitLeader();
 
@@ -26,7 +26,7 @@
 // makes a test wait for.
 bool Eventually(const std::function<bool()>& done);
 
-class SmallCell {
+class ZoneTestCluster {
  public:
   struct Options {
     int entry_hosts = 2;
@@ -36,8 +36,8 @@
     int64_t runner_work_ms = 2;
   };
 
-  explicit SmallCell(Options options);
-  ~SmallCell();
+  explicit ZoneTestCluster(Options options);
+  ~ZoneTestCluster();
 
   // Appends the configuration, as an operator would.
   void Publish();
@@ -55,12 +55,12 @@
                    absl::Duration timeout = absl::Seconds(10)) const;
   // Requests of the journal, each as its runner noted it.
   std::vector<Json::Value> Requests(const std::string& kind = "request") const;
-  int Runs(const std::string& key, const std::string& value) const;
-  std::vector<RunFact> RunFacts() const;
+  int CountRequests(const std::string& key, const std::string& value) const;
+  std::vector<RunEvent> RunFacts() const;
 
   ChildProcess& gateway(int host) { return *hosts_[host].gateway; }
   ChildProcess& scheduler(int host) { return *hosts_[host].scheduler; }
-  void ForgetScheduler(int host) { hosts_[host].scheduler.reset(); }
+  void RemoveScheduler(int host) { hosts_[host].scheduler.reset(); }
   std::string GatewayAddress(int host) const {
     return hosts_[host].gateway_address;
   }
--- a/testing/workload/naive_decider.h
+++ b/testing/workload/naive_decider.h
@@ -32,7 +32,7 @@
   std::vector<std::pair<TaskId, WorkerId>> Decide() {
     std::vector<std::pair<TaskId, WorkerId>> starts;
     for (auto it = queue_.begin(); it != queue_.end();) {
-      const WorkerId worker = FirstFit(specs_[*it].need);
+      const WorkerId worker = FindFirstFit(specs_[*it].need);
       if (worker == kNoWorker) {
         ++it;
         continue;
@@ -47,7 +47,7 @@
 
   void OnEnded(TaskId id) { free_[workers_[id]] += specs_[id].need; }
 
-  WorkerId FirstFit(const Resources& need) {
+  WorkerId FindFirstFit(const Resources& need) {
     for (size_t w = 0; w < free_.size(); ++w) {
       ++examined;
       if (need.FitsIn(free_[w])) return static_cast<WorkerId>(w);
--- a/testing/workload/report_main.cc
+++ b/testing/workload/report_main.cc
@@ -27,13 +27,13 @@
       sum.median_wait[c] += o.median_wait[c];
       sum.p99_wait[c] += o.p99_wait[c];
     }
-    sum.deadlines_kept += o.deadlines_kept / n;
+    sum.deadlines_met += o.deadlines_met / n;
     sum.used_while_waiting += o.used_while_waiting / n;
     sum.work_done += o.work_done / n;
     sum.stranded += o.stranded / n;
-    sum.work_lost_s += o.work_lost_s / n;
+    sum.rework_s += o.rework_s / n;
     sum.yields += o.yields;
-    sum.examined_a_placement += o.examined_a_placement / n;
+    sum.examined_per_placement += o.examined_per_placement / n;
     for (const std::string& fault : o.faults)
       std::printf("FAULT: %s\n", fault.c_str());
   }
@@ -46,20 +46,20 @@
       name, seconds(sum.median_wait[0]), seconds(sum.p99_wait[0]),
       seconds(sum.median_wait[1]), seconds(sum.p99_wait[1]),
       seconds(sum.median_wait[2]), seconds(sum.p99_wait[2]),
-      100 * sum.deadlines_kept, 100 * sum.used_while_waiting, sum.work_done,
+      100 * sum.deadlines_met, 100 * sum.used_while_waiting, sum.work_done,
       100 * sum.stranded, static_cast<double>(sum.yields) / n,
-      sum.work_lost_s / 3600, sum.examined_a_placement);
+      sum.rework_s / 3600, sum.examined_per_placement);
 }
 
 // What the deployments promise: urgent work starts within 2.6 s, interactive
 // work within 2 s, and 99% of deadlines are kept.
-bool KeepsPromises(const Outcome& outcome) {
+bool MeetsObjectives(const Outcome& outcome) {
   return outcome.p99_wait[0] <= 2600 && outcome.p99_wait[1] <= 2000 &&
-         outcome.deadlines_kept >= 0.99 && outcome.never_started[0] == 0;
+         outcome.deadlines_met >= 0.99 && outcome.never_started[0] == 0;
 }
 
 // The work held at the largest load at which the promises are kept.
-void Sweep(const char* title, Workload (*make)(const WorkloadOptions&)) {
+void PrintSweep(const char* title, Workload (*make)(const WorkloadOptions&)) {
   std::printf("\n### %s: the most work that is held with all promises kept\n\n",
               title);
   std::printf(
@@ -69,11 +69,12 @@
   for (int policy = 0; policy < 3; ++policy) {
     double best_load = 0;
     double best_work = 0;
-    double hours = 0;
+    double available_core_hours = 0;
     for (double load = 0.6; load < 2.01; load += 0.05) {
       double work = 0;
-      bool kept = true;
-      for (int seed = 1; seed <= absl::GetFlag(FLAGS_seeds) && kept; ++seed) {
+      bool objectives_met = true;
+      for (int seed = 1; seed <= absl::GetFlag(FLAGS_seeds) && objectives_met;
+           ++seed) {
         WorkloadOptions options;
         options.workers = absl::GetFlag(FLAGS_workers);
         options.seed = static_cast<uint64_t>(seed);
@@ -87,21 +88,22 @@
                               DeciderOptions::ForPolicy(
                                   policy == 0 ? PolicyKind::kWaitingFirst
                                               : PolicyKind::kPackingFirst));
-        kept = KeepsPromises(outcome);
+        objectives_met = MeetsObjectives(outcome);
         work += outcome.work_done / absl::GetFlag(FLAGS_seeds);
-        hours = static_cast<double>(workload.workers.size()) * 64 *
-                static_cast<double>(absl::GetFlag(FLAGS_minutes)) / 60;
+        available_core_hours =
+            static_cast<double>(workload.workers.size()) * 64 *
+            static_cast<double>(absl::GetFlag(FLAGS_minutes)) / 60;
       }
-      if (!kept) break;
+      if (!objectives_met) break;
       best_load = load;
       best_work = work;
     }
     std::printf("| %s | %.2f | %.0f | %.1f%% |\n", names[policy], best_load,
-                best_work, 100 * best_work / hours);
+                best_work, 100 * best_work / available_core_hours);
   }
 }
 
-void Report(const char* title, Workload (*make)(const WorkloadOptions&)) {
+void PrintReport(const char* title, Workload (*make)(const WorkloadOptions&)) {
   std::printf(
       "\n### %s, %d workers, load %.2f, estimates wrong by up to %.1f\n\n",
       title, absl::GetFlag(FLAGS_workers), absl::GetFlag(FLAGS_load),
@@ -112,23 +114,23 @@
       "while work waits | core hours done | accelerators stranded | yields | "
       "core hours done again | workers looked at a "
       "placement |\n|---|---|---|---|---|---|---|---|---|---|---|\n");
-  std::vector<Outcome> waiting, packing, naive;
+  std::vector<Outcome> waiting_first, packing_first, naive;
   for (int seed = 1; seed <= absl::GetFlag(FLAGS_seeds); ++seed) {
     WorkloadOptions options;
     options.workers = absl::GetFlag(FLAGS_workers);
     options.seed = static_cast<uint64_t>(seed);
     options.load = absl::GetFlag(FLAGS_load);
-    options.estimates_wrong = absl::GetFlag(FLAGS_wrong);
+    options.max_duration_factor = absl::GetFlag(FLAGS_wrong);
     options.length_ms = absl::GetFlag(FLAGS_minutes) * 60000;
     const Workload workload = make(options);
-    waiting.push_back(RunWorkload(
+    waiting_first.push_back(RunWorkload(
         workload, DeciderOptions::ForPolicy(PolicyKind::kWaitingFirst)));
-    packing.push_back(RunWorkload(
+    packing_first.push_back(RunWorkload(
         workload, DeciderOptions::ForPolicy(PolicyKind::kPackingFirst)));
     naive.push_back(RunNaive(workload));
   }
-  PrintRow("waiting-first", waiting);
-  PrintRow("packing-first", packing);
+  PrintRow("waiting-first", waiting_first);
+  PrintRow("packing-first", packing_first);
   PrintRow("naive", naive);
 }
 
@@ -137,12 +139,15 @@
 
 int main(int argc, char** argv) {
   absl::ParseCommandLine(argc, argv);
-  keelbridge::testing::Report("Picture Desk", keelbridge::testing::PictureDesk);
-  keelbridge::testing::Report("Conversion", keelbridge::testing::Conversion);
+  keelbridge::testing::PrintReport("Picture Desk",
+                                   keelbridge::testing::PictureDesk);
+  keelbridge::testing::PrintReport("Conversion",
+                                   keelbridge::testing::Conversion);
   if (absl::GetFlag(FLAGS_sweep)) {
-    keelbridge::testing::Sweep("Picture Desk",
-                               keelbridge::testing::PictureDesk);
-    keelbridge::testing::Sweep("Conversion", keelbridge::testing::Conversion);
+    keelbridge::testing::PrintSweep("Picture Desk",
+                                    keelbridge::testing::PictureDesk);
+    keelbridge::testing::PrintSweep("Conversion",
+                                    keelbridge::testing::Conversion);
   }
   return 0;
 }
--- a/testing/workload/workload.cc
+++ b/testing/workload/workload.cc
@@ -9,17 +9,17 @@
 constexpr int64_t kSecond = 1000;
 constexpr int64_t kMinute = 60 * kSecond;
 // A larger task would fit on no worker of the cell.
-constexpr int kMostGib = 120;
+constexpr int kMaxGib = 120;
 
 // One kind of task: ranges from which each is drawn evenly.
-struct Kind {
+struct TaskKind {
   WorkClass work_class;
   int team;
   double share;  // Of the load that is not services.
-  int least_cores, most_cores;
-  int least_gib_a_core, most_gib_a_core;
-  double with_accelerator;
-  int64_t least_ms, most_ms;
+  int min_cores, max_cores;
+  int min_gib_per_core, max_gib_per_core;
+  double accelerator_share;
+  int64_t min_ms, max_ms;
   double deadline_factor;  // Deadline after so many times its length; 0: none.
   bool checkpoints;
   int burst;  // Tasks that arrive together.
@@ -34,11 +34,12 @@
   }
 
   // Services that hold `share` of the cell's processors throughout.
-  void Services(double share, int team) {
+  void AddServices(double share, int team) {
     int32_t group = 0;
-    for (double held = 0; held < share * cores_; ++group) {
-      const int replicas = Pick(3, 9);
-      const int cores = Pick(1, 4);
+    for (double allocated_cores = 0; allocated_cores < share * cores_;
+         ++group) {
+      const int replicas = DrawUniform(3, 9);
+      const int cores = DrawUniform(1, 4);
       for (int i = 0; i < replicas; ++i) {
         Arrival arrival;
         arrival.spec.need = {cores * 1000, cores * 2048, 0};
@@ -46,23 +47,23 @@
         arrival.spec.team = static_cast<int16_t>(team);
         arrival.spec.work_class = WorkClass::kInteractive;
         arrival.spec.spread = true;
-        held += cores;
+        allocated_cores += cores;
         out_.arrivals.push_back(arrival);
       }
     }
   }
 
-  void Tasks(const Kind& kind) {
-    const double mean_cores = (kind.least_cores + kind.most_cores) / 2.0;
-    const double mean_ms =
-        static_cast<double>(kind.least_ms + kind.most_ms) / 2;
+  void AddTasks(const TaskKind& kind) {
+    const double mean_cores = (kind.min_cores + kind.max_cores) / 2.0;
+    const double mean_ms = static_cast<double>(kind.min_ms + kind.max_ms) / 2;
     // Arrivals a millisecond that make up this kind's share of the load.
     const double rate =
         options_.load * kind.share * cores_ / (mean_cores * mean_ms);
     std::exponential_distribution<double> gap(rate / kind.burst);
     for (double at = gap(random_); at < static_cast<double>(options_.length_ms);
          at += gap(random_)) {
-      for (int i = 0; i < kind.burst; ++i) Task(kind, static_cast<int64_t>(at));
+      for (int i = 0; i < kind.burst; ++i)
+        AddTask(kind, static_cast<int64_t>(at));
     }
   }
 
@@ -73,30 +74,31 @@
   }
 
  private:
-  int Pick(int least, int most) {
-    return std::uniform_int_distribution<int>(least, most)(random_);
+  int DrawUniform(int min_value, int max_value) {
+    return std::uniform_int_distribution<int>(min_value, max_value)(random_);
   }
 
-  void Task(const Kind& kind, int64_t at) {
+  void AddTask(const TaskKind& kind, int64_t at) {
     Arrival arrival;
     arrival.at_ms = at;
-    const int cores = Pick(kind.least_cores, kind.most_cores);
+    const int cores = DrawUniform(kind.min_cores, kind.max_cores);
     const int gib = std::min(
-        kMostGib, cores * Pick(kind.least_gib_a_core, kind.most_gib_a_core));
+        kMaxGib,
+        cores * DrawUniform(kind.min_gib_per_core, kind.max_gib_per_core));
     const bool accelerated =
-        std::bernoulli_distribution(kind.with_accelerator)(random_);
+        std::bernoulli_distribution(kind.accelerator_share)(random_);
     arrival.spec.need = {cores * 1000, gib * 1024, accelerated ? 1 : 0};
     arrival.spec.team = static_cast<int16_t>(kind.team);
     arrival.spec.work_class = kind.work_class;
     arrival.spec.checkpoints = kind.checkpoints;
     arrival.spec.duration_ms = std::uniform_int_distribution<int64_t>(
-        kind.least_ms, kind.most_ms)(random_);
+        kind.min_ms, kind.max_ms)(random_);
     arrival.spec.estimate_error = 0.25;
-    const double wrong = std::uniform_real_distribution<double>(
-        0.8, std::max(1.2, options_.estimates_wrong))(random_);
-    arrival.true_ms = std::max<int64_t>(
+    const double duration_factor = std::uniform_real_distribution<double>(
+        0.8, std::max(1.2, options_.max_duration_factor))(random_);
+    arrival.actual_ms = std::max<int64_t>(
         1, static_cast<int64_t>(static_cast<double>(arrival.spec.duration_ms) *
-                                wrong));
+                                duration_factor));
     if (kind.deadline_factor > 0) {
       arrival.spec.deadline_ms =
           at +
@@ -112,8 +114,8 @@
   double cores_ = 0;
 };
 
-void Workers(Workload& out, int count, int32_t memory_gib,
-             int accelerator_every) {
+void AddWorkers(Workload& out, int count, int32_t memory_gib,
+                int accelerator_every) {
   for (int i = 0; i < count; ++i) {
     const int accelerators =
         i % accelerator_every == 0 ? 2 * accelerator_every / 2 : 0;
@@ -128,20 +130,20 @@
   Workload out;
   out.name = "picture-desk";
   out.policy = PolicyKind::kWaitingFirst;
-  out.workers_a_rack = 8;
+  out.workers_per_rack = 8;
   out.quotas = {0.4, 0.3, 0.3};
   out.length_ms = options.length_ms;
-  Workers(out, options.workers, 128, 2);
+  AddWorkers(out, options.workers, 128, 2);
   Generator generator(options, out);
-  generator.Services(0.2, 0);
-  generator.Tasks({WorkClass::kUrgent, 0, 0.02, 2, 8, 1, 2, 0, 10 * kSecond,
-                   60 * kSecond, 0, false, 4});
-  generator.Tasks({WorkClass::kInteractive, 2, 0.13, 1, 4, 1, 2, 0, 2 * kSecond,
-                   20 * kSecond, 0, false, 40});
-  generator.Tasks({WorkClass::kStandard, 1, 0.30, 4, 16, 1, 3, 0.5, 2 * kMinute,
-                   10 * kMinute, 4, true, 6});
-  generator.Tasks({WorkClass::kBulk, 1, 0.35, 2, 8, 1, 2, 0, 5 * kMinute,
-                   20 * kMinute, 0, true, 20});
+  generator.AddServices(0.2, 0);
+  generator.AddTasks({WorkClass::kUrgent, 0, 0.02, 2, 8, 1, 2, 0, 10 * kSecond,
+                      60 * kSecond, 0, false, 4});
+  generator.AddTasks({WorkClass::kInteractive, 2, 0.13, 1, 4, 1, 2, 0,
+                      2 * kSecond, 20 * kSecond, 0, false, 40});
+  generator.AddTasks({WorkClass::kStandard, 1, 0.30, 4, 16, 1, 3, 0.5,
+                      2 * kMinute, 10 * kMinute, 4, true, 6});
+  generator.AddTasks({WorkClass::kBulk, 1, 0.35, 2, 8, 1, 2, 0, 5 * kMinute,
+                      20 * kMinute, 0, true, 20});
   generator.Finish();
   return out;
 }
@@ -150,20 +152,20 @@
   Workload out;
   out.name = "conversion";
   out.policy = PolicyKind::kPackingFirst;
-  out.workers_a_rack = 6;
+  out.workers_per_rack = 6;
   out.quotas = {0.3, 0.3, 0.4};
   out.length_ms = options.length_ms;
-  Workers(out, options.workers, 256, 5);
+  AddWorkers(out, options.workers, 256, 5);
   Generator generator(options, out);
-  generator.Services(0.08, 0);
-  generator.Tasks({WorkClass::kUrgent, 0, 0.01, 1, 4, 1, 4, 0, 5 * kSecond,
-                   30 * kSecond, 0, false, 2});
-  generator.Tasks({WorkClass::kInteractive, 0, 0.06, 1, 2, 1, 4, 0, 1 * kSecond,
-                   5 * kSecond, 0, false, 10});
-  generator.Tasks({WorkClass::kStandard, 1, 0.30, 4, 24, 1, 8, 0, 1 * kMinute,
-                   8 * kMinute, 6, true, 10});
-  generator.Tasks({WorkClass::kBulk, 2, 0.55, 8, 48, 2, 6, 0.1, 5 * kMinute,
-                   20 * kMinute, 0, true, 15});
+  generator.AddServices(0.08, 0);
+  generator.AddTasks({WorkClass::kUrgent, 0, 0.01, 1, 4, 1, 4, 0, 5 * kSecond,
+                      30 * kSecond, 0, false, 2});
+  generator.AddTasks({WorkClass::kInteractive, 0, 0.06, 1, 2, 1, 4, 0,
+                      1 * kSecond, 5 * kSecond, 0, false, 10});
+  generator.AddTasks({WorkClass::kStandard, 1, 0.30, 4, 24, 1, 8, 0,
+                      1 * kMinute, 8 * kMinute, 6, true, 10});
+  generator.AddTasks({WorkClass::kBulk, 2, 0.55, 8, 48, 2, 6, 0.1, 5 * kMinute,
+                      20 * kMinute, 0, true, 15});
   generator.Finish();
   return out;
 }
--- a/testing/workload/workload.h
+++ b/testing/workload/workload.h
@@ -18,21 +18,22 @@
   int workers = 50;
   uint64_t seed = 1;
   int64_t length_ms = int64_t{3600} * 1000;
-  double load = 1.0;           // Of the cell's processors, on average.
-  double estimates_wrong = 1;  // True durations are estimates times up to this.
+  double load = 1.0;  // Of the cell's processors, on average.
+  double max_duration_factor =
+      1;  // True durations are estimates times up to this.
 };
 
 struct Arrival {
   int64_t at_ms = 0;
   TaskSpec spec;
-  int64_t true_ms = 0;  // 0: runs to the end of the workload.
+  int64_t actual_ms = 0;  // 0: runs to the end of the workload.
 };
 
 struct Workload {
   std::string name;
   PolicyKind policy = PolicyKind::kWaitingFirst;
   std::vector<Resources> workers;
-  int workers_a_rack = 8;
+  int workers_per_rack = 8;
   std::vector<double> quotas;     // Of teams 0, 1, ...
   std::vector<Arrival> arrivals;  // By time.
   int64_t length_ms = 0;
--- a/testing/workload/workload_run.cc
+++ b/testing/workload/workload_run.cc
@@ -11,15 +11,16 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr int64_t kStopMs = 100;         // From a stop order to the end.
-constexpr int64_t kCheckpointMs = 1000;  // The same, saving progress first.
-constexpr int kBudget = 100000;
+constexpr int64_t kStopDelayMs = 100;  // From a stop order to the end.
+constexpr int64_t kCheckpointDelayMs =
+    1000;  // The same, saving progress first.
+constexpr int kDecisionBudget = 100000;
 constexpr double kMsPerHour = 3600 * 1000.0;
 
 // What both schedulers are measured by.
-class Meter {
+class OutcomeRecorder {
  public:
-  explicit Meter(const Workload& workload) : workload_(workload) {
+  explicit OutcomeRecorder(const Workload& workload) : workload_(workload) {
     for (const Resources& worker : workload.workers) total_ += worker;
     free_ = workload.workers;
     first_start_.assign(workload.arrivals.size(), -1);
@@ -27,33 +28,33 @@
   }
 
   // Adds up the time since the last event.
-  void Advance(int64_t now_ms, bool waiting) {
+  void AdvanceTo(int64_t now_ms, bool waiting) {
     const double span = static_cast<double>(now_ms - now_ms_);
     now_ms_ = now_ms;
     if (waiting) {
       waiting_ms_ += span;
-      used_ms_ += span * used_cpu_;
+      used_cpu_ms_ += span * used_cpu_;
     }
-    accelerator_ms_ += span * stranded_now_;
-    all_ms_ += span;
+    stranded_accelerator_ms_ += span * stranded_accelerators_;
+    elapsed_ms_ += span;
   }
 
   void Start(size_t arrival, WorkerId worker) {
     if (first_start_[arrival] < 0) first_start_[arrival] = now_ms_;
-    Move(arrival, worker, -1);
+    UpdateAllocation(arrival, worker, -1);
   }
   void End(size_t arrival, WorkerId worker, int64_t ran_ms, bool finished) {
-    Move(arrival, worker, 1);
+    UpdateAllocation(arrival, worker, 1);
     spent_ms_[arrival] += ran_ms;
     if (!finished) return;
     const Arrival& a = workload_.arrivals[arrival];
     const double cores = a.spec.need.cpu_milli / 1000.0;
-    out.work_done += cores * static_cast<double>(a.true_ms) / kMsPerHour;
-    out.work_lost_s +=
-        cores * static_cast<double>(spent_ms_[arrival] - a.true_ms) / 1000;
+    out.work_done += cores * static_cast<double>(a.actual_ms) / kMsPerHour;
+    out.rework_s +=
+        cores * static_cast<double>(spent_ms_[arrival] - a.actual_ms) / 1000;
     if (a.spec.deadline_ms == kNever) return;
-    ++due_;
-    kept_ += now_ms_ <= a.spec.deadline_ms ? 1 : 0;
+    ++deadlines_due_;
+    deadlines_met_ += now_ms_ <= a.spec.deadline_ms ? 1 : 0;
     ended_with_deadline_.insert(arrival);
   }
 
@@ -63,7 +64,7 @@
       const Arrival& a = workload_.arrivals[i];
       const auto c = static_cast<size_t>(a.spec.work_class);
       if (a.spec.deadline_ms < now_ms_ && ended_with_deadline_.count(i) == 0)
-        ++due_;
+        ++deadlines_due_;
       if (first_start_[i] < 0) {
         ++out.never_started[c];
         waits[c].push_back(now_ms_ - a.at_ms);
@@ -77,35 +78,38 @@
       std::sort(waits[c].begin(), waits[c].end());
       out.median_wait[c] = waits[c][waits[c].size() / 2];
       out.p99_wait[c] = waits[c][waits[c].size() * 99 / 100];
-      out.longest_wait[c] = waits[c].back();
+      out.max_wait[c] = waits[c].back();
     }
-    out.deadlines_kept =
-        due_ == 0 ? 1 : static_cast<double>(kept_) / static_cast<double>(due_);
+    out.deadlines_met = deadlines_due_ == 0
+                            ? 1
+                            : static_cast<double>(deadlines_met_) /
+                                  static_cast<double>(deadlines_due_);
     out.used_while_waiting =
-        waiting_ms_ == 0 ? 1 : used_ms_ / waiting_ms_ / total_.cpu_milli;
-    out.stranded = total_.accelerators == 0
-                       ? 0
-                       : accelerator_ms_ / all_ms_ / total_.accelerators;
+        waiting_ms_ == 0 ? 1 : used_cpu_ms_ / waiting_ms_ / total_.cpu_milli;
+    out.stranded =
+        total_.accelerators == 0
+            ? 0
+            : stranded_accelerator_ms_ / elapsed_ms_ / total_.accelerators;
     return out;
   }
 
   Outcome out;
 
  private:
-  static int Stranded(const Resources& free) {
+  static int StrandedAccelerators(const Resources& free) {
     return free.cpu_milli < 1000 ? free.accelerators : 0;
   }
 
-  void Move(size_t arrival, WorkerId worker, int sign) {
+  void UpdateAllocation(size_t arrival, WorkerId worker, int sign) {
     const Resources& need = workload_.arrivals[arrival].spec.need;
     Resources& free = free_[worker];
-    stranded_now_ -= Stranded(free);
+    stranded_accelerators_ -= StrandedAccelerators(free);
     if (sign < 0) {
       free -= need;
     } else {
       free += need;
     }
-    stranded_now_ += Stranded(free);
+    stranded_accelerators_ += StrandedAccelerators(free);
     used_cpu_ -= sign * need.cpu_milli;
     if (free.cpu_milli < 0 || free.memory_mib < 0 || free.accelerators < 0) {
       out.faults.push_back(absl::StrCat(
@@ -122,12 +126,12 @@
   int64_t now_ms_ = 0;
   double used_cpu_ = 0;
   double waiting_ms_ = 0;
-  double used_ms_ = 0;
-  double accelerator_ms_ = 0;
-  double all_ms_ = 0;
-  int stranded_now_ = 0;
-  int64_t due_ = 0;
-  int64_t kept_ = 0;
+  double used_cpu_ms_ = 0;
+  double stranded_accelerator_ms_ = 0;
+  double elapsed_ms_ = 0;
+  int stranded_accelerators_ = 0;
+  int64_t deadlines_due_ = 0;
+  int64_t deadlines_met_ = 0;
 };
 
 struct End {
@@ -137,14 +141,14 @@
   bool yields;
   bool operator>(const End& other) const { return at_ms > other.at_ms; }
 };
-using Ends = std::priority_queue<End, std::vector<End>, std::greater<>>;
+using EndQueue = std::priority_queue<End, std::vector<End>, std::greater<>>;
 
 // A task that runs, or waits again.
-struct Running {
+struct TaskState {
   size_t arrival = 0;
   int64_t run = 0;
   int64_t started_ms = 0;
-  int64_t left_ms = 0;
+  int64_t remaining_ms = 0;
   int64_t saved_ms = 0;
   int64_t yields = 0;
 };
@@ -157,7 +161,7 @@
     decider.AddTeam(absl::StrCat("team", t), workload.quotas[t]);
   for (size_t w = 0; w < workload.workers.size(); ++w) {
     decider.AddWorker(absl::StrCat("w", w),
-                      absl::StrCat("rack", w / workload.workers_a_rack),
+                      absl::StrCat("rack", w / workload.workers_per_rack),
                       workload.workers[w]);
   }
   return decider;
@@ -165,9 +169,9 @@
 
 Outcome RunWorkload(const Workload& workload, DeciderOptions options) {
   Decider decider = MakeDecider(workload, options);
-  Meter meter(workload);
-  Ends ends;
-  std::map<TaskId, Running> tasks;
+  OutcomeRecorder recorder(workload);
+  EndQueue ends;
+  std::map<TaskId, TaskState> tasks;
   // Task ids are reused, numbers of starts are not.
   int64_t next_run = 0;
   size_t next = 0;
@@ -178,66 +182,66 @@
       at = std::min(at, workload.arrivals[next].at_ms);
     if (!ends.empty()) at = std::min(at, ends.top().at_ms);
     now = std::max(now, at);
-    meter.Advance(now, decider.waiting() > 0);
+    recorder.AdvanceTo(now, decider.waiting() > 0);
     for (; next < workload.arrivals.size() &&
            workload.arrivals[next].at_ms <= now;
          ++next) {
-      Running running;
-      running.arrival = next;
-      running.run = ++next_run;
-      running.left_ms = workload.arrivals[next].true_ms;
-      tasks[decider.Submit(workload.arrivals[next].spec, now)] = running;
+      TaskState state;
+      state.arrival = next;
+      state.run = ++next_run;
+      state.remaining_ms = workload.arrivals[next].actual_ms;
+      tasks[decider.Submit(workload.arrivals[next].spec, now)] = state;
     }
     while (!ends.empty() && ends.top().at_ms <= now) {
       const End end = ends.top();
       ends.pop();
       const auto it = tasks.find(end.task);
       if (it == tasks.end() || it->second.run != end.run) continue;
-      Running& running = it->second;
+      TaskState& state = it->second;
       const WorkerId worker = decider.task(end.task).worker;
-      const int64_t ran = now - running.started_ms;
-      meter.End(running.arrival, worker, ran, !end.yields);
-      running.run = ++next_run;
+      const int64_t ran = now - state.started_ms;
+      recorder.End(state.arrival, worker, ran, !end.yields);
+      state.run = ++next_run;
       if (!end.yields) {
         decider.OnEnded(end.task, now);
         tasks.erase(it);
         continue;
       }
-      const bool saves = workload.arrivals[running.arrival].spec.checkpoints;
+      const bool saves = workload.arrivals[state.arrival].spec.checkpoints;
       if (saves) {
-        running.saved_ms += ran;
-        running.left_ms = std::max<int64_t>(1, running.left_ms - ran);
+        state.saved_ms += ran;
+        state.remaining_ms = std::max<int64_t>(1, state.remaining_ms - ran);
       }
-      meter.out.most_yields_of_a_task =
-          std::max(meter.out.most_yields_of_a_task, ++running.yields);
-      decider.OnStopped(end.task, running.saved_ms, now);
+      recorder.out.max_preemptions_per_task =
+          std::max(recorder.out.max_preemptions_per_task, ++state.yields);
+      decider.OnStopped(end.task, state.saved_ms, now);
     }
-    for (const Order& order : decider.Decide(now, kBudget)) {
-      Running& running = tasks[order.task];
-      if (order.kind == Order::Kind::kYield) {
-        ends.push({now + (order.checkpoint ? kCheckpointMs : kStopMs),
-                   order.task, running.run, true});
+    for (const Order& order : decider.Decide(now, kDecisionBudget)) {
+      TaskState& state = tasks[order.task];
+      if (order.kind == Order::Kind::kPreempt) {
+        ends.push({now + (order.checkpoint ? kCheckpointDelayMs : kStopDelayMs),
+                   order.task, state.run, true});
         continue;
       }
-      meter.Start(running.arrival, order.worker);
-      running.started_ms = now;
-      if (running.left_ms > 0)
-        ends.push({now + running.left_ms, order.task, running.run, false});
+      recorder.Start(state.arrival, order.worker);
+      state.started_ms = now;
+      if (state.remaining_ms > 0)
+        ends.push({now + state.remaining_ms, order.task, state.run, false});
     }
   }
-  meter.out.yields = decider.counts().yields;
-  meter.out.placements = decider.counts().placements;
-  meter.out.examined_a_placement =
+  recorder.out.yields = decider.counts().yields;
+  recorder.out.placements = decider.counts().placements;
+  recorder.out.examined_per_placement =
       static_cast<double>(decider.counts().examined) /
-      std::max<double>(1, static_cast<double>(meter.out.placements));
-  return meter.Finish();
+      std::max<double>(1, static_cast<double>(recorder.out.placements));
+  return recorder.Finish();
 }
 
 Outcome RunNaive(const Workload& workload) {
   NaiveDecider naive;
   for (const Resources& worker : workload.workers) naive.AddWorker(worker);
-  Meter meter(workload);
-  Ends ends;
+  OutcomeRecorder recorder(workload);
+  EndQueue ends;
   std::vector<std::pair<WorkerId, int64_t>> started(workload.arrivals.size());
   size_t next = 0;
   int64_t now = 0;
@@ -247,7 +251,7 @@
       at = std::min(at, workload.arrivals[next].at_ms);
     if (!ends.empty()) at = std::min(at, ends.top().at_ms);
     now = std::max(now, at);
-    meter.Advance(now, naive.waiting() > 0);
+    recorder.AdvanceTo(now, naive.waiting() > 0);
     // Tasks are numbered in the order of their arrival.
     for (; next < workload.arrivals.size() &&
            workload.arrivals[next].at_ms <= now;
@@ -257,21 +261,21 @@
     while (!ends.empty() && ends.top().at_ms <= now) {
       const TaskId task = ends.top().task;
       ends.pop();
-      meter.End(task, started[task].first, now - started[task].second, true);
+      recorder.End(task, started[task].first, now - started[task].second, true);
       naive.OnEnded(task);
     }
     for (const auto& [task, worker] : naive.Decide()) {
-      meter.Start(task, worker);
+      recorder.Start(task, worker);
       started[task] = {worker, now};
-      ++meter.out.placements;
-      const int64_t length = workload.arrivals[task].true_ms;
+      ++recorder.out.placements;
+      const int64_t length = workload.arrivals[task].actual_ms;
       if (length > 0) ends.push({now + length, task, 0, false});
     }
   }
-  meter.out.examined_a_placement =
+  recorder.out.examined_per_placement =
       static_cast<double>(naive.examined) /
-      std::max<double>(1, static_cast<double>(meter.out.placements));
-  return meter.Finish();
+      std::max<double>(1, static_cast<double>(recorder.out.placements));
+  return recorder.Finish();
 }
 
 }  // namespace keelbridge::testing
--- a/testing/workload/workload_run.h
+++ b/testing/workload/workload_run.h
@@ -19,20 +19,20 @@
   // By class; waiting times in milliseconds from arrival to the first start.
   std::array<int64_t, kWorkClasses> median_wait{};
   std::array<int64_t, kWorkClasses> p99_wait{};
-  std::array<int64_t, kWorkClasses> longest_wait{};
+  std::array<int64_t, kWorkClasses> max_wait{};
   std::array<int64_t, kWorkClasses> started{};
   std::array<int64_t, kWorkClasses> never_started{};
-  double deadlines_kept = 0;  // Of those that fell due, 0 to 1.
+  double deadlines_met = 0;  // Of those that fell due, 0 to 1.
   double used_while_waiting =
-      0;                   // Share of processors in use while work waits.
-  double work_done = 0;    // Core hours that finished tasks took.
-  double stranded = 0;     // Share of accelerators that are free on workers
-                           // without a free core, on average.
-  double work_lost_s = 0;  // Core seconds done again because of yields.
+      0;                 // Share of processors in use while work waits.
+  double work_done = 0;  // Core hours that finished tasks took.
+  double stranded = 0;   // Share of accelerators that are free on workers
+                         // without a free core, on average.
+  double rework_s = 0;   // Core seconds done again because of yields.
   int64_t yields = 0;
-  int64_t most_yields_of_a_task = 0;
+  int64_t max_preemptions_per_task = 0;
   int64_t placements = 0;
-  double examined_a_placement = 0;
+  double examined_per_placement = 0;
   std::vector<std::string> faults;  // Capacity, spread or conservation broken.
 };
 
--- a/testing/workload/workload_test.cc
+++ b/testing/workload/workload_test.cc
@@ -11,11 +11,12 @@
 namespace keelbridge::testing {
 namespace {
 
-WorkloadOptions Options(double load, uint64_t seed, double wrong = 1) {
+WorkloadOptions Options(double load, uint64_t seed,
+                        double duration_factor = 1) {
   WorkloadOptions options;
   options.load = load;
   options.seed = seed;
-  options.estimates_wrong = wrong;
+  options.max_duration_factor = duration_factor;
   options.length_ms = int64_t{30} * 60 * 1000;
   return options;
 }
@@ -38,11 +39,11 @@
     CHECK(ours.faults.empty());
     CHECK(ours.p99_wait[kUrgent] <= 2600);
     CHECK(2 * ours.p99_wait[kInteractive] <= naive.p99_wait[kInteractive]);
-    CHECK(ours.deadlines_kept >= naive.deadlines_kept);
+    CHECK(ours.deadlines_met >= naive.deadlines_met);
     CHECK(ours.stranded <= naive.stranded);
     // Bounds of 2026-12-02.
     CHECK(ours.p99_wait[kInteractive] <= 1500);
-    CHECK(ours.deadlines_kept >= 0.95);
+    CHECK(ours.deadlines_met >= 0.95);
   }
 }
 
@@ -58,7 +59,7 @@
     CHECK(ours.used_while_waiting >= 0.97 * naive.used_while_waiting);
     CHECK(ours.p99_wait[kUrgent] <= 2600);
     CHECK(ours.p99_wait[kInteractive] <= naive.p99_wait[kInteractive]);
-    CHECK(ours.deadlines_kept >= naive.deadlines_kept);
+    CHECK(ours.deadlines_met >= naive.deadlines_met);
     // Bounds of 2026-12-02.
     CHECK(ours.used_while_waiting >= 0.93);
   }
@@ -72,14 +73,14 @@
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     for (const Workload& workload :
          {PictureDesk(Options(1.15, seed)), Conversion(Options(1.15, seed))}) {
-      const Outcome waiting = RunWorkload(
+      const Outcome waiting_first = RunWorkload(
           workload, DeciderOptions::ForPolicy(PolicyKind::kWaitingFirst));
-      const Outcome packing = RunWorkload(
+      const Outcome packing_first = RunWorkload(
           workload, DeciderOptions::ForPolicy(PolicyKind::kPackingFirst));
-      waiting_wait += static_cast<double>(waiting.p99_wait[kInteractive]);
-      packing_wait += static_cast<double>(packing.p99_wait[kInteractive]);
-      waiting_used += waiting.used_while_waiting;
-      packing_used += packing.used_while_waiting;
+      waiting_wait += static_cast<double>(waiting_first.p99_wait[kInteractive]);
+      packing_wait += static_cast<double>(packing_first.p99_wait[kInteractive]);
+      waiting_used += waiting_first.used_while_waiting;
+      packing_used += packing_first.used_while_waiting;
     }
   }
   MESSAGE("mean p99 of interactive waits: ", waiting_wait / 6,
@@ -93,15 +94,15 @@
 TEST_CASE(
     "more work than the cell holds, and estimates wrong by 3 times: urgent "
     "work still starts in time") {
-  for (const double wrong : {1.0, 3.0}) {
+  for (const double duration_factor : {1.0, 3.0}) {
     for (const double load : {1.6, 2.5}) {
-      const Outcome ours = Run(PictureDesk(Options(load, 5, wrong)));
-      CAPTURE(wrong);
+      const Outcome ours = Run(PictureDesk(Options(load, 5, duration_factor)));
+      CAPTURE(duration_factor);
       CAPTURE(load);
       CHECK(ours.faults.empty());
       CHECK(ours.p99_wait[kUrgent] <= 2600);
       // Those that have not started yet count with their wait so far.
-      CHECK(ours.longest_wait[kUrgent] <= 5200);
+      CHECK(ours.max_wait[kUrgent] <= 5200);
       // What gets worse first is bulk, then standard work.
       CHECK(ours.p99_wait[kInteractive] <=
             ours.p99_wait[static_cast<size_t>(WorkClass::kBulk)]);
