--- a/keelbridge/coordination/job_scheduler.cc
+++ b/keelbridge/coordination/job_scheduler.cc
@@ -1,3 +1,5 @@
+// Submission, records and ends of jobs, and the scheduler's periodic work.
+
 #include "keelbridge/coordination/job_scheduler.h"
 
 #include <algorithm>
@@ -9,14 +11,15 @@
 namespace {
 
 constexpr absl::Duration kHousekeepingPeriod = absl::Seconds(1);
-// Looks whether a time of a scheduled job is due, over all jobs.
+// How often all jobs are checked for rounds that are due.
 constexpr absl::Duration kRoundsPeriod = absl::Milliseconds(20);
-// The longest time between two looks for work that nothing announced, such as a
-// retry that falls due.
+// The longest time between two placement passes. It bounds the delay of work
+// that no event announces, such as a retry that becomes due.
 constexpr absl::Duration kMaxPlacementInterval = absl::Milliseconds(100);
-// The pause after a look for placements, as a multiple of what that look took.
+// The pause after a placement pass, as a multiple of the duration of the pass.
 constexpr double kPlacementPauseFactor = 2.0;
-// At most, however long a tick took: the process may have stood still in it.
+// An upper bound for that pause, since a tick also takes long when the process
+// was suspended during it.
 constexpr absl::Duration kMaxPlacementPause = absl::Milliseconds(200);
 
 }  // namespace
@@ -36,9 +39,10 @@
       active_.emplace(id, job.get());
       continue;
     }
-    // Not by the time of day at which it ended: that is another machine's, and
-    // either may have jumped. Its time to be kept begins anew, so that leaders
-    // that change more often than jobs are kept for forget none.
+    // The recorded wall-clock time of the end is not used: it was taken on
+    // another machine, and either clock may have jumped. Instead the retention
+    // period of the job starts again, so no job is forgotten while leaders
+    // change more often than that period.
     job->ended_at = now.mono;
   }
   for (const KnownWorker& known : workers) {
@@ -52,7 +56,7 @@
     worker.last_tasks_of_earlier = known.last_tasks;
     worker.restarted = known.restarted;
     if (known.restarted) last_restart_seen_ = now.mono;
-    // Until the platform lists it, it gets nothing new.
+    // The worker gets no new tasks until the platform lists it.
     worker.record_removed = true;
   }
   unpersisted_workers_.clear();
@@ -79,7 +83,7 @@
 JobScheduler::Batch JobScheduler::TakeBatch() {
   Batch batch;
   batch.number = next_batch_++;
-  // First: a forgotten job may have been handed in again since.
+  // Drops come first, since a forgotten job may have been submitted again.
   for (std::string& key : keys_to_drop_)
     batch.records.push_back(DropRecord(std::move(key)));
   for (const std::string& id : unpersisted_workers_) {
@@ -112,7 +116,7 @@
 
 void JobScheduler::OnDurable(int64_t batch) {
   durable_batch_ = std::max(durable_batch_, batch);
-  // Those that still have some stay in the list.
+  // Workers that still have ends to acknowledge stay in the list.
   std::vector<Worker*> waiting =
       std::exchange(workers_with_unacknowledged_ends_, {});
   for (Worker* worker : waiting) {
@@ -157,7 +161,8 @@
                            ? configuration_->FindQueueByName(queue_name)
                            : nullptr;
   if (queue == nullptr) return std::nullopt;
-  // Work that has its own times, or none, waits for what it takes.
+  // Jobs with rounds, without steps or with long-running steps have no deadline
+  // to miss, so they wait for as long as necessary.
   const bool waits =
       spec.rounds > 0 || spec.steps.empty() ||
       std::any_of(spec.steps.begin(), spec.steps.end(),
@@ -247,7 +252,7 @@
 }
 
 void JobScheduler::DropEnded(Now now) {
-  // By the steady clock: the time of day may jump.
+  // Uses the monotonic clock, since the wall clock may jump.
   const absl::Time before = now.mono - options_.ended_kept;
   for (auto it = jobs_.begin(); it != jobs_.end();) {
     const Job& job = *it->second;
@@ -257,7 +262,8 @@
       ++it;
       continue;
     }
-    // The description first: a job without its progress would run again.
+    // The description is dropped first: a job with a description but without
+    // progress would run again.
     keys_to_drop_.push_back(DescriptionKey(job.id));
     keys_to_drop_.push_back(ProgressKey(job.id));
     LogDecision(
--- a/keelbridge/coordination/job_scheduler.h
+++ b/keelbridge/coordination/job_scheduler.h
@@ -1,18 +1,21 @@
-// Decides for a site: which task starts where and when, and what a lost answer,
-// a silent worker or a change of leader means for it.
+// Schedules the jobs of a site: decides which task starts on which worker and
+// when, and how to react to a lost answer, an unresponsive worker or a change
+// of leader.
 //
-// Pure: state, event, now -> actions. It never asks for the time and does no
-// I/O; whoever drives it carries out the actions and reports what came of them.
-// Only the leader of a site has one. It keeps three kinds of truth apart: what
-// lasts is in batches of records (a batch is durable once `OnDurable` says so),
-// what runs is told by the workers, and the rest is rebuilt.
+// The class is a pure state machine: it maps its state, an event and the
+// current time to actions. It never reads a clock and does no I/O; its driver
+// carries out the actions and reports their results. Only the leader of a site
+// has a JobScheduler. It distinguishes three kinds of state: durable state,
+// which is written in batches of records (a batch is durable once `OnDurable`
+// was called for it), the set of running tasks, which workers report, and
+// everything else, which a new leader rebuilds.
 //
-//   JobScheduler scheduler(options, epoch);
+//   JobScheduler scheduler(options, epoch, started);
 //   int64_t batch = scheduler.Submit(id, "restore", spec, now);
-//   store.Append(scheduler.TakeBatch());      // ... later:
-//   scheduler.OnDurable(batch);               // Now the job counts as
-//   accepted. for (const Action& action : scheduler.TakeActions())
-//   CarryOut(action);
+//   store.Append(scheduler.TakeBatch());
+//   // Later, once the append is durable: the job is accepted now.
+//   scheduler.OnDurable(batch);
+//   for (const Action& action : scheduler.TakeActions()) CarryOut(action);
 
 #ifndef KEELBRIDGE_COORDINATION_JOB_SCHEDULER_H_
 #define KEELBRIDGE_COORDINATION_JOB_SCHEDULER_H_
@@ -47,147 +50,172 @@
 
 namespace keelbridge {
 
+// Sends the order to start a run to a worker.
 struct StartAction {
   WorkerRecord worker;
   StartOrder order;
 };
+// Sends the order to stop a run to a worker.
 struct StopAction {
   WorkerRecord worker;
   StopOrder order;
 };
+// Sends an observation to a worker: asks what runs there and what has ended.
 struct ObserveAction {
   WorkerRecord worker;
   ObserveOrder order;
 };
+// Has a node ask the platform for admission advice.
 struct AskAdviceAction {
-  std::string adviser;  // The node that is to ask.
+  std::string adviser;  // The node that makes the call.
   AdviceRequest request;
-  // Processors that the step hopes to get on each worker that it names.
+  // For each worker in the request: the CPU, in thousandths of a processor,
+  // that the step expects to use there.
   std::vector<int32_t> expected_cpu_milli;
   absl::Duration timeout;
 };
-// A line for the log: what was decided, about what, by which inputs.
+// Writes a log line: what was decided, about which object, and from which
+// inputs.
 struct LogAction {
   Severity severity = Severity::kInfo;
   std::string event;
   LogFields fields;
 };
-// The connections to a worker that is gone may be closed.
+// Closes the connections to a worker that the scheduler has forgotten.
 struct ForgetWorkerAction {
   std::string worker_id;
 };
 using Action = std::variant<StartAction, StopAction, ObserveAction,
                             AskAdviceAction, LogAction, ForgetWorkerAction>;
 
-// What ended a worker, as far as the leader can tell.
+// Why a worker was lost, as far as the leader can tell.
 enum class WorkerLoss {
-  kCrash,  // Another life is at its machine, and it had not said it leaves.
-  kLeft,   // The same, and it had said so.
-  kUnresponsive,  // It answered nothing for a lease: crashed, cut off or gone.
+  kCrash,  // Another incarnation answered without an announced departure.
+  kLeft,   // Another incarnation answered after an announced departure.
+  kUnresponsive,  // No answer for a whole lease: crashed, cut off or gone.
 };
 const char* WorkerLossName(WorkerLoss loss);
 
-// The first run number of a leader's epoch. Each epoch numbers runs from its
-// own range, so that a later leader never gives a number again.
+// Returns the first run number of a leader's epoch. Each epoch has its own
+// range of run numbers, so that a later leader never reuses a number.
 int32_t FirstRunOfEpoch(int64_t epoch);
-// The leader that ordered the run.
+// Returns the epoch of the leader that ordered the run.
 int64_t EpochOfRun(int32_t run);
 
 class JobScheduler {
  public:
   struct Options {
-    absl::Duration lease = absl::Seconds(6);  // The longest a worker grants.
-    double clock_error = 0.02;  // How much slower a worker's clock may run.
-    absl::Duration gang_wait =
-        absl::Seconds(3);  // Of a worker, for the others.
-    absl::Duration ended_kept = absl::Seconds(130);  // Ended jobs stay known.
+    // The longest lease that a worker grants.
+    absl::Duration lease = absl::Seconds(6);
+    // By which fraction a worker's clock may run slow.
+    double clock_error = 0.02;
+    // How long a worker lets a gang member wait for the other members.
+    absl::Duration gang_wait = absl::Seconds(3);
+    // How long the scheduler remembers an ended job.
+    absl::Duration ended_kept = absl::Seconds(130);
+    // How long a worker may delay its answer to an observation while it waits
+    // for a run to end.
     absl::Duration max_observe_wait = absl::Milliseconds(1000);
-    // How long an earlier leader that cannot be reached may go on giving leases
-    // after it was fenced in the store.
+    // How long an unreachable earlier leader may go on extending leases after
+    // it was fenced in the store.
     absl::Duration earlier_leader_grace = absl::Seconds(6);
     // How late a worker may carry out an order that it has not answered.
     absl::Duration max_order_delay = absl::Seconds(12);
     SchedulerPolicy policy;
   };
 
-  // `epoch` is this leader's: unique, above all earlier ones.
+  // `epoch` identifies this leader. It is unique and higher than the epochs of
+  // all earlier leaders.
   JobScheduler(Options options, int64_t epoch, absl::Time started);
 
-  // --- What lasts ---
+  // --- Durable state ---
   struct Batch {
     int64_t number = 0;
     std::vector<Record> records;
   };
-  // Takes over the jobs of earlier leaders, and the workers that they may have
-  // given work to. Call once, before anything else.
+  // Loads the jobs of earlier leaders, and the workers to which they may have
+  // assigned tasks. Must be called at most once, before any other method.
   void Load(JobTable jobs, const std::vector<KnownWorker>& workers, Now now);
+  // Returns whether there are changes to persist.
   bool HasBatch() const;
-  // The number of the batch that is taken next.
+  // Returns the number of the batch that `TakeBatch` returns next.
   int64_t NextBatch() const { return next_batch_; }
+  // Returns the changes since the previous batch as records to append.
   Batch TakeBatch();
-  // The batch, and all before it, are kept for good.
+  // Reports that the batch and all batches before it are durable.
   void OnDurable(int64_t batch);
 
   // --- Clients ---
-  // Whether a job that is not known yet should be taken: none when its queue
-  // is not known.
+  // Decides whether to accept a new job. Returns nullopt when the queue is
+  // unknown.
   std::optional<Admission::Verdict> Admit(const std::string& queue,
                                           const JobSpec& spec) const;
-  // The batch whose durability accepts the job; 0: it is accepted already.
+  // Submits a job. Returns the number of the batch that must be durable before
+  // the job counts as accepted, or 0 if the job is accepted already.
   int64_t Submit(JobId id, const std::string& queue, JobSpec spec, Now now);
-  // The batch whose durability cancels it; 0: done already; none: no such job.
+  // Cancels a job. Returns the number of the batch that must be durable before
+  // the job counts as cancelled, 0 if its end is durable already, or nullopt if
+  // there is no such job.
   std::optional<int64_t> Cancel(JobId id, Now now);
-  // None: no such job.
+  // Returns nullopt if there is no such job.
   std::optional<JobState> Status(JobId id) const;
-  // Accepted jobs of a queue none of whose tasks has begun.
+  // Returns, by queue, the number of accepted jobs none of whose tasks has
+  // begun.
   std::map<std::string, int64_t> QueuedJobs() const;
 
   // --- The site ---
   void SetConfiguration(std::shared_ptr<const SiteConfiguration> configuration);
-  // Nodes that can ask for advice, this one included; `self` may be named.
+  // Sets the nodes that can ask for advice, including this node, `self`.
+  // `nodes` may contain `self`.
   void SetAdvisers(const std::vector<std::string>& nodes,
                    const std::string& self);
-  // While suspended it starts nothing and extends no lease: this leader may
-  // have been replaced without knowing.
+  // While suspended, the scheduler starts nothing and extends no lease, because
+  // this leader may have been replaced without having learned of it.
   void SetSuspended(bool suspended) { suspended_ = suspended; }
-  // How late its driver's loop is: a leader that cannot keep up starts less at
-  // a time, so that what is under way is still answered in time.
+  // Sets how late the driver's loop runs. A leader that cannot keep up starts
+  // fewer tasks at a time, so that calls in flight are still answered in time.
   void SetLag(absl::Duration lag) { lag_ = lag; }
-  // How long the call of `Tick` that has just returned took. After a look for
-  // placements the next one waits in proportion, so that looks leave most of
-  // the driver's time to what comes in, however dear its time is.
+  // Reports how long the most recent call of `Tick` took. After a placement
+  // pass, the next pass is delayed in proportion, so that placement passes
+  // leave most of the driver's time to incoming events, however expensive a
+  // pass is.
   void OnTickFinished(absl::Duration took, Now now);
-  // Earlier leaders were fenced in the store: how long one that cannot be
-  // reached may go on giving leases counts from here, not from the claim. What
-  // one gave before it counts from here at the earliest, whoever has stopped:
-  // the list of those that were asked may not be whole.
+  // Reports that the earlier leaders were fenced in the store. The time for
+  // which an unreachable earlier leader may go on extending leases counts from
+  // `now`, not from the claim of leadership. Orders from before the fence count
+  // from `now` at the earliest, even if earlier leaders are known to have
+  // stopped, because the list of leaders that were asked may be incomplete.
   void OnEarlierLeadersFenced(absl::Time now);
-  // The leader of `epoch`, an earlier one, was at work at `at`: it had fenced
-  // all leaders before itself by then.
+  // Reports that the leader of `epoch`, an earlier one, was active at `at`, so
+  // that it had fenced all leaders before itself by then.
   void OnEarlierLeaderSeen(int64_t epoch, absl::Time at);
-  // The leaders before this one give no more orders; the last was given by
-  // `last_order`.
+  // Reports that the earlier leaders give no more orders. They gave the last
+  // order no later than `last_order`.
   void OnEarlierLeadersStopped(absl::Time last_order);
+  // Reports a worker's entry in the platform's list of workers.
   void OnWorkerRecord(const WorkerRecord& record, Now now);
-  // The record under that name is gone; the worker may still run.
+  // Reports that the platform no longer lists a worker of that name. The worker
+  // may still run.
   void OnWorkerRemoved(const std::string& name);
 
-  // --- What came of actions ---
+  // --- Results of actions ---
   void OnStartReply(const StartAction& action, const OrderReply& reply,
                     Now now);
   void OnStopReply(const StopAction& action, const OrderReply& reply, Now now);
-  // `sent`: when the observation left.
+  // `sent` is the time at which the observation was sent.
   void OnObserveReply(const ObserveAction& action, const ObserveReply& reply,
                       absl::Time sent, Now now);
   void OnAdvice(const AskAdviceAction& action, const AdviceReply& reply,
                 Now now);
 
-  // Due work: observations, retries, rounds, placement. Call at least every
-  // 50 ms, and after events.
+  // Does the work that is due: observations, retries, rounds and placement.
+  // Must be called at least every 50 ms, and after events.
   void Tick(Now now);
+  // Returns the actions that were decided since the previous call.
   std::vector<Action> TakeActions();
 
-  // A worker has seen a higher fence: another leads.
+  // Returns whether a worker has seen a higher fence, so that another node
+  // leads.
   bool fenced() const { return fenced_; }
 
   // Figures for metrics.
@@ -196,67 +224,76 @@
     int64_t ready_tasks = 0;
     int64_t running_tasks = 0;
     int64_t workers = 0;
-    int64_t workers_reported = 0;
+    int64_t workers_reported = 0;  // Workers that have sent a worker report.
     int64_t cpu_milli_total = 0;
     int64_t cpu_milli_used = 0;
     int64_t starts = 0;
     int64_t starts_refused = 0;
-    // Starts without an answer of which the worker told nothing either.
+    // Starts without an answer whose run no worker has reported either.
     int64_t starts_unanswered = 0;
-    int64_t preemptions = 0;  // Runs stopped for more urgent work.
+    int64_t preemptions = 0;  // Runs preempted for more urgent work.
     int64_t advice_calls = 0;
     int64_t ends_done = 0;
     int64_t ends_failed = 0;
     int64_t ends_other = 0;
     // Tasks of earlier leaders that wait for workers that may still run them.
     int64_t recovered_waiting = 0;
-    // Of the processors that no run uses, those kept for blocked steps.
+    // Unused processor capacity that is reserved for blocked steps.
     int64_t cpu_milli_reserved = 0;
-    // As of the last look for placements: gangs that could start, had they room
-    // and tickets, how many of these keep room, and steps that were not to ask
-    // for advice since those before them would fill what is free.
+    // Values of the most recent placement pass: gangs that only lack capacity
+    // or tickets, those of these gangs that have capacity reserved, and steps
+    // that did not ask for advice because the steps ordered before them would
+    // use up the free capacity.
     int64_t gangs_waiting = 0;
     int64_t gangs_reserving = 0;
     int64_t steps_without_advice = 0;
-    // Of all looks for placements so far: how many there were, the steps that
-    // they passed over, those of them whose job is late already, and how often
-    // a worker was tried for a step.
+    // Totals over all placement passes: passes, steps that they examined, those
+    // of these steps whose job is late already, and how often a worker was
+    // tried for a step.
     int64_t placement_passes = 0;
     int64_t steps_examined = 0;
     int64_t late_steps_examined = 0;
     int64_t workers_tried = 0;
-    // Listings that were not taken since a later one had been.
+    // Worker reports that were ignored because a later report had arrived.
     int64_t stale_reports_skipped = 0;
   };
   Figures figures() const;
 
  private:
-  // Added to the length of a lease on the slowest clock, for late timers.
+  // Added to the length of a lease on the slowest clock, since a worker's
+  // timers may fire late.
   static constexpr absl::Duration kLeaseExpiryMargin = absl::Milliseconds(100);
 
-  // One run that takes room on a worker.
+  // A run that uses, or may use, capacity of a worker.
   struct Allocation {
     Resources need;
-    bool unwanted = false;      // Not a run that this leader wants there.
-    bool unknown_size = false;  // Its job's description is gone.
+    // This leader does not want the run on this worker.
+    bool unwanted = false;
+    // The size of the run is unknown because its job's description is gone.
+    bool unknown_size = false;
     absl::Time start_answered = absl::InfiniteFuture();
     absl::Time placed;
-    // When this leader's order to start it left.
+    // When this leader sent its order to start the run.
     absl::Time ordered = absl::InfinitePast();
     absl::Time stop_sent = absl::InfinitePast();
     absl::Time stop_answered = absl::InfiniteFuture();
     bool should_stop = false;
     bool stop_in_flight = false;
-    bool adopted = false;    // Found running: when it began is not known.
-    bool reported = false;   // A listing of this life showed it.
-    bool uncertain = false;  // The start had no answer.
+    // The run was found running, so that its start time is unknown.
+    bool adopted = false;
+    // A report of this incarnation of the worker contained the run.
+    bool reported = false;
+    // The order to start the run got no answer.
+    bool uncertain = false;
     absl::Time uncertain_since;
-    // When its end is overdue by the estimate: a look is worth its price then.
+    // When the run is overdue by its estimate, so that an extra observation is
+    // worth its cost.
     absl::Time check_at = absl::InfiniteFuture();
     int32_t percent = 0;
     absl::Time percent_changed;
-    // A run that saves its progress yields to steps of a lower number, until
-    // its job could no longer be in time. 0: it does not yield.
+    // A run that saves its progress may be preempted for steps of a lower tier
+    // number than `preemptible_below`, until its job could no longer be in
+    // time. 0: it is not preemptible.
     int32_t preemptible_below = 0;
     absl::Time preemptible_until = absl::InfinitePast();
   };
@@ -264,94 +301,109 @@
   using Allocations = std::map<RunKey, Allocation>;
   struct Worker {
     WorkerRecord record;
-    int64_t known_at_batch = 0;  // The batch that tells later leaders of it.
-    // The last leader that may have given it work or extended its lease.
+    // The batch whose record informs later leaders of this worker.
+    int64_t known_at_batch = 0;
+    // The epoch of the last leader that may have assigned tasks to the worker
+    // or extended its lease.
     int64_t leased_by_epoch = 0;
-    // This leader's record of the worker says that it leaves, runs nothing and
-    // gets nothing more.
+    // The worker is retired: this leader's record of it says that it leaves,
+    // runs nothing and gets no more tasks.
     bool retired = false;
-    // The record that an earlier leader left says so.
+    // The record of an earlier leader says that the worker is retired.
     bool retired_by_earlier = false;
-    // An earlier leader may have given it work: none does before the worker is
-    // on record.
+    // An earlier leader may have assigned tasks to the worker. A leader assigns
+    // none before its record of the worker is durable.
     bool known_to_earlier_leader = false;
-    // See KnownWorker. True once this leader has listed it.
+    // See KnownWorker. True once this leader has received a report of the
+    // worker.
     bool persists_placements = true;
-    // This leader's record says that it leaves, and that only these may still
-    // run there; and the record that an earlier leader left.
+    // If not empty, this leader's record says that the worker leaves and that
+    // only these tasks may still run there.
     std::vector<TaskId> last_tasks;
+    // The corresponding tasks in the record of an earlier leader.
     std::vector<TaskId> last_tasks_of_earlier;
     Resources free;
     Allocations allocations;
-    Resources stopping;  // What occupants take that are to stop.
-    // An occupant may be to stop, or its start had no answer.
+    // What the allocations use whose runs should stop.
+    Resources stopping;
+    // A run may have to be stopped, or a start got no answer.
     bool unresolved = false;
-    absl::Time next_check = absl::InfiniteFuture();  // Of the occupants.
-    int runs_of_unknown_size =
-        0;                   // Occupants of unknown size: nothing else starts.
-    bool reported = false;   // Its lists were taken under this leader's fence.
-    bool restarted = false;  // Under the name that it had.
-    bool inherited_runs = false;  // Runs of the life before were moved here.
-    // Above that of all earlier lives: what was sent to these, and comes late,
-    // is refused by a life that has seen this one.
+    // The earliest `check_at` of the allocations.
+    absl::Time next_check = absl::InfiniteFuture();
+    // Allocations of unknown size. While there is one, nothing else starts.
+    int runs_of_unknown_size = 0;
+    // This leader has received a full report under its own fence.
+    bool reported = false;
+    // The worker restarted under the same name.
+    bool restarted = false;
+    // Runs of the previous incarnation were moved to this one.
+    bool inherited_runs = false;
+    // Higher than the fences of all earlier incarnations. An incarnation that
+    // has seen this fence refuses late orders to earlier incarnations.
     int64_t fence = 0;
     bool record_removed = false;
-    int observations_in_flight = 0;  // Under way.
-    bool observe_now = false;  // At once, beside one that waits for an end.
-    absl::Time last_observation_sent = absl::InfinitePast();  // The last one.
-    // The last listing that was taken: when it was asked for, and the worker's
-    // clock on it. Listings may overtake each other.
+    int observations_in_flight = 0;
+    // Send an observation at once, even if another one waits for an end.
+    bool observe_now = false;
+    absl::Time last_observation_sent = absl::InfinitePast();
+    // When the latest accepted report was requested, and the worker's clock in
+    // it. Reports may overtake each other.
     absl::Time report_requested_at = absl::InfinitePast();
     int64_t report_clock_ms = -1;
     absl::Time next_observe = absl::InfinitePast();
     absl::Time last_answer = absl::InfinitePast();
-    absl::Time unanswered_since = absl::InfiniteFuture();  // Nothing since.
-    // The first look that failed since one was answered.
+    // Since when an order or observation is unanswered and nothing else was
+    // answered.
+    absl::Time unanswered_since = absl::InfiniteFuture();
+    // When the first observation after the last successful one failed.
     absl::Time failing_since = absl::InfiniteFuture();
     int failed_observations = 0;
-    int64_t ends_acknowledged = 0;  // Told to the worker.
+    // Ends up to this number are acknowledged to the worker.
+    int64_t ends_acknowledged = 0;
     int64_t ends_processed = 0;
-    std::deque<std::pair<int64_t, int64_t>>
-        unacknowledged_ends;  // End number, its batch.
+    // Ends that are not durable yet: the number of each and its batch.
+    std::deque<std::pair<int64_t, int64_t>> unacknowledged_ends;
     int64_t clock_ms = -1;
-    absl::Time clock_at;  // When `clock_ms` arrived.
-    absl::Time lease_expires_at =
-        absl::InfinitePast();  // All has ended by then.
+    // When `clock_ms` was received.
+    absl::Time clock_at;
+    // By this time the lease has expired, so that all runs have ended.
+    absl::Time lease_expires_at = absl::InfinitePast();
     absl::Time suspect_until = absl::InfinitePast();
-    // A task under suspicion was started here, by itself: nothing else is until
-    // the worker has answered after this time.
+    // A suspect task was started here, by itself. Nothing else starts here
+    // until the worker has answered after this time.
     absl::Time probation_until = absl::InfinitePast();
     int failures_in_row = 0;
-    // What steps that were looked at before in this look for placements keep
-    // free here.
+    // Capacity that steps examined earlier in this placement pass reserve here.
     Resources reserved;
-    bool check_scheduled = false;  // Stands in `scheduled_checks_`.
-    // Processors that steps hope to get here, whose advice is under way.
+    bool check_scheduled = false;  // The worker is in `scheduled_checks_`.
+    // CPU, in thousandths of a processor, that steps whose calls for advice are
+    // in flight expect to use here.
     int32_t expected_cpu_milli = 0;
   };
   struct Adviser {
     std::string node;
-    bool short_only = false;
+    bool short_only = false;  // Takes only short calls.
     absl::Time busy_until = absl::InfinitePast();
     absl::Time avoid_until = absl::InfinitePast();
   };
-  // The processors of a pool, in thousandths, as a look for placements finds
-  // them.
+  // The processors of a pool, in thousandths, at the start of a placement pass.
   struct PoolCapacity {
     double free_milli = 0;
     double total_milli = 0;
-    double advice_budget_milli =
-        0;                     // For how much work advice may still be asked.
-    bool mostly_idle = false;  // Much of it is free.
+    // For how much work steps may still ask for advice.
+    double advice_budget_milli = 0;
+    bool mostly_idle = false;  // A large share of the processors is free.
     int32_t workers = 0;
   };
-  // How many steps keep room in a look for placements.
+  // How many steps reserve capacity in a placement pass.
   struct ReservingSteps {
     int gangs = 0;
-    int ready_gangs = 0;  // Beyond those, gangs that lack only tickets.
+    // Further gangs, which lack only tickets.
+    int ready_gangs = 0;
     int others = 0;
   };
-  // A step that has tasks to place, with what orders it among the others.
+  // A step that has tasks to place, with the keys that order it among the other
+  // steps.
   struct ReadyStep {
     Job* job;
     Round* round;
@@ -360,24 +412,31 @@
     const Queue* queue;
     int32_t number;
     int32_t waiting;
-    // Its tasks that this leader has not seen may still run for an earlier one.
+    // Tasks of the step that this leader has not observed may still run under
+    // the lease of an earlier leader.
     bool may_run_unobserved;
-    // Then on any worker, whatever the placements say.
+    // The recorded placements may be incomplete, so that an unobserved task may
+    // run on any worker.
     bool placements_incomplete;
-    bool down;                // It lasts, and tasks of it have stopped running.
-    int tier;                 // 0: its objective can still be met.
-    absl::Time latest_start;  // To meet the objective.
-    // Of the time that the job could spend waiting, the share that is left.
+    // The step is long-running, and some of its tasks run nowhere.
+    bool down;
+    // 0: the objective of the job can still be met.
+    int tier;
+    // The latest start that meets the objective.
+    absl::Time latest_start;
+    // The fraction that is left of the time which the job could spend waiting.
     double slack_left;
-    bool may_reserve = false;       // It may keep room free in this look.
-    bool pool_mostly_idle = false;  // Much of its pool is free in this look.
+    // The step may reserve capacity in this placement pass.
+    bool may_reserve = false;
+    // A large share of the step's pool is free in this placement pass.
+    bool pool_mostly_idle = false;
     int32_t pool_workers = 0;
-    // Its tasks are to be started again soon, and it has no others to place:
-    // advice is asked ahead.
+    // The step has no tasks to place, but some of its tasks must restart soon,
+    // so that it asks for advice ahead of time.
     bool asks_ahead = false;
   };
 
-  // Which workers a step may use.
+  // Limits how many distinct workers a step may use.
   struct WorkerQuota {
     int32_t most = std::numeric_limits<int32_t>::max();
     std::set<std::string> used;
@@ -398,39 +457,43 @@
 
   // job_scheduler_workers.cc
   void UpdateClock(Worker& worker, int64_t clock_ms, absl::Time at);
-  // A lease as long as the worker grants, in its own clock; 0: clock unknown.
+  // Returns the end of a lease of the maximum length, in milliseconds of the
+  // worker's clock, and records when it expires. Returns 0 if the worker's
+  // clock is unknown.
   int64_t GrantLease(Worker& worker, absl::Time now);
   Allocation& Allocate(Worker& worker, const TaskId& task, int32_t run,
                        const Resources& need, Now now);
   void Release(Worker& worker, const RunKey& key);
-  // The run is over without a success: its task waits again.
+  // Returns the task of a run that ended without success to the waiting tasks.
   void Requeue(const TaskId& task, int32_t run, const std::string& worker,
                absl::Time retry_at);
+  // Acknowledges the ends that have become durable to the worker.
   void AcknowledgeDurableEnds(Worker& worker);
-  // The worker is looked at by the next `Tick`, not only by the next sweep.
+  // Has the next `Tick` check the worker, instead of only the next sweep.
   void ScheduleCheck(Worker& worker);
   void TickWorkers(Now now);
-  // It has left, and nothing that it may still run is waited for.
+  // Returns whether the worker has left and no task waits for a run that it may
+  // still have.
   bool CanBeForgotten(const Worker& worker, Now now) const;
   void TickWorker(Worker& worker, Now now);
   bool ObservationIsDue(const Worker& worker, Now now) const;
   void SendObservation(Worker& worker, Now now);
   void OnObservationFailed(Worker& worker, const ObserveAction& action,
                            const OrderReply& reply, absl::Time sent, Now now);
-  // Something that was sent to the worker got no answer, or an answer.
+  // Records that a call to the worker got no answer, or got one.
   void RecordUnanswered(Worker& worker, Now now);
   void RecordAnswered(Worker& worker, Now now);
-  // Wants a look where a task should have ended by its estimate.
+  // Requests an observation if a run should have ended by its estimate.
   void CheckOverdueRuns(Worker& worker, Now now);
-  // When to check on a run that begins now.
+  // Returns when a run that begins now is overdue.
   absl::Time OverdueCheckTime(const TaskId& task, absl::Time now) const;
   void RequestStop(Worker& worker, const RunKey& key);
   void SendStops(Worker& worker, Now now);
   bool IsReachable(const Worker& worker, Now now) const;
-  // Later leaders are told that this one may give the worker work.
+  // Records for later leaders that this one may assign tasks to the worker.
   void PersistWorker(Worker& worker);
-  // Tells them that it does so no more, and what may still run there, once a
-  // worker leaves.
+  // Records for later leaders that a draining worker gets no more tasks, and
+  // which tasks may still run there.
   void RetireDrainingWorker(Worker& worker);
 
   // job_scheduler_losses.cc
@@ -514,85 +577,94 @@
                       const Allocation& allocation, size_t co_located_runs,
                       absl::Time lost, Now now);
 
-  // job_scheduler_lives.cc
-  // Those that have the name, at most one of which is there.
+  // job_scheduler_incarnations.cc
+  // Returns all incarnations of the worker `name`, at most one of which exists.
   std::vector<Worker*> IncarnationsOf(const std::string& name);
-  // Another life answered in its place, which is `next_id` if that is told.
+  // Handles the answer of another incarnation in place of `worker`. `next_id`
+  // identifies that incarnation, or is empty if the answer does not name it.
   void OnOtherIncarnation(Worker& worker, const std::string& next_id, Now now);
-  // Of the worker that `earlier` was a life of; until the platform lists it, it
-  // gets nothing new.
+  // Returns the incarnation `id` of the worker of which `earlier` was an
+  // incarnation, and adds it if it is new. A new incarnation gets no tasks
+  // until the platform lists it.
   Worker& FindOrAddNextIncarnation(const Worker& earlier, const std::string& id,
                                    Now now);
-  // What earlier leaders may have running on `worker` may be on `next`.
+  // Records that the runs which earlier leaders may have on `worker` may be on
+  // `next`.
   void TransferUnobservedRuns(const Worker& worker, Worker& next);
-  // Of a life that is over: whether the next one may have carried the start
-  // out, or may do so yet.
+  // Returns whether the successor of `worker`, whose incarnation has ended, may
+  // have carried out the order to start the run, or may still do so.
   static bool MayRunOnNextIncarnation(const Worker& worker,
                                       const Allocation& run);
-  // From here on the run is one of `next` whose start had no answer.
+  // Moves the run to `next`, where it counts as a start without an answer.
   void MoveToNextIncarnation(const Worker& worker, Worker& next,
                              const RunKey& key, const Allocation& run, Now now);
-  // Above all that this leader has given lives of the worker.
+  // Returns a fence above all that this leader has given to incarnations of the
+  // worker.
   int64_t NextFence(const std::string& name);
-  // A worker refused an order for its fence. True: it has seen a higher one of
-  // this leader, for another life of it, and is looked at with one above all.
-  // Else another leads.
+  // Handles a worker's refusal of an order because of its fence. Returns true
+  // if the worker has seen a higher fence of this leader, which was given to
+  // another incarnation; the worker is then observed with a still higher one.
+  // Otherwise returns false: another node leads.
   bool HasSeenOwnFence(Worker& worker, int64_t fence, Now now);
-  // The worker was known by its name alone, and now its life is told.
+  // Sets the incarnation of a worker that was known by its name alone.
   void SetIncarnationId(Worker& worker, const std::string& id);
 
   // job_scheduler_unanswered.cc
-  // `next` is the life with which a worker started again under its name.
+  // Records that a worker restarted under its name as the incarnation `next`.
   void RecordRestart(Worker& next, Now now);
-  // Whether workers of this site have done so of late.
+  // Returns whether workers of this site restarted under their names recently.
   bool WorkersRestartedRecently(Now now) const;
-  // What became of the order to start the run is not known.
+  // Returns whether the outcome of the order to start the run is unknown.
   static bool IsStartUnanswered(const Allocation& run, Now now);
-  // The run is not on its worker, or lost with it: its task waits again.
+  // Requeues the task of a run that is not on its worker or was lost with it.
   void AbandonRun(const Worker& worker, const RunKey& key,
                   const Allocation& run, Now now);
-  // The run of `worker` is given up, or about to be, without an answer.
+  // Records that the run is abandoned, or about to be, while its start is
+  // unanswered.
   void RecordUnansweredStart(const Worker& worker, const RunKey& key,
                              const Allocation& run, Now now);
-  // Its worker told of the run.
+  // Clears the unanswered start because the worker has reported the run.
   void ClearUnansweredStart(Job& job, TaskState& task, int32_t run);
-  // The task is kept off other workers: an order to start it may be carried
-  // out yet.
+  // Returns whether the task may not start on other workers because an earlier
+  // order to start it may still be carried out.
   bool WaitsForUnansweredStart(const TaskState& task, Now now) const;
-  // The one worker that may start such a task: that which has the order. It
-  // drops the order once it has heard of the later run. Null: none.
+  // Returns the only worker that may start a task with an unanswered start: the
+  // one that the order was sent to, since it drops the order once it has
+  // received a later run. Returns null if there is none.
   Worker* WorkerOfUnansweredStart(const ReadyStep& ready, const TaskState& task,
                                   Now now);
 
   // job_scheduler_recovery.cc
-  // Until when the leader of that epoch may have given orders.
+  // Returns until when the leader of that epoch may have given orders.
   absl::Time LatestEarlierOrder(int64_t epoch) const;
-  // By when a lease that starts now has passed on the slowest clock.
+  // Returns after how long a lease that starts now has expired, even on the
+  // slowest clock.
   absl::Duration MaxLeaseDuration() const;
-  // Until when an earlier leader may have extended the worker's lease.
+  // Returns until when an earlier leader may have extended the worker's lease.
   absl::Time LatestEarlierLeaseGrant(const Worker& worker) const;
-  // The worker may run nothing that is not known of.
+  // Returns whether the worker can have no run that this leader does not know
+  // of.
   bool IsAccountedFor(const Worker& worker, Now now) const;
-  // No worker may run something that is not known of.
+  // Returns whether all workers are accounted for.
   bool AllAccountedFor(Now now) const;
-  // Of those that are not accounted for, one was last held by a leader that
-  // kept no placements.
+  // Returns whether a worker that is not accounted for was last used by a
+  // leader that recorded no placements.
   bool PlacementsMayBeMissing(Now now) const;
-  // What workers that are not accounted for may run.
+  // The tasks that workers which are not accounted for may run.
   struct Unobserved {
     bool any_task = false;
-    std::set<TaskId> tasks;  // Unless anything.
+    std::set<TaskId> tasks;  // Empty if `any_task` is set.
 
     bool Any() const { return any_task || !tasks.empty(); }
   };
   Unobserved FindUnobserved(Now now) const;
-  // A recovered task that this leader has not seen and that a worker which is
-  // not accounted for may run.
+  // Returns whether this leader has not observed the recovered task and a
+  // worker that is not accounted for may run it.
   bool WaitsForEarlierLease(const ReadyStep& ready, const TaskState& task,
                             Now now) const;
-  // Counts the tasks of a step that are held back.
+  // Counts the tasks of a step that wait for leases of earlier leaders.
   void CountWaitingForRecovery(const ReadyStep& ready, Now now);
-  // Says which recovered tasks wait, for which workers, and how long at most.
+  // Logs which recovered tasks wait, for which workers, and how long at most.
   void LogRecoveryWait(Now now);
 
   // job_scheduler_runs.cc
@@ -679,16 +751,18 @@
   void ExplainWaiting(const std::vector<ReadyStep>& ready, Now now);
 
   // job_scheduler_pending_starts.cc
-  // Puts the placement on record; the order leaves once that is durable.
+  // Records the placement and sends the order once the placement is durable.
   void StartOnceDurable(Job& job, TaskState& task, StartAction action);
   // Sends the orders whose placements are durable.
   void SendPendingStarts(Now now);
-  // Nothing runs the task any more, or `worker` was found to run it.
+  // Records that `worker` was found to run the task, or, if `worker` is empty,
+  // that nothing runs it any more.
   void RecordPlacement(Job& job, const TaskId& task, const std::string& worker);
-  // All placements on `from` are on `to` now; empty: on none.
+  // Moves all placements on the worker `from` to `to`, or clears them if `to`
+  // is empty.
   void MovePlacements(const std::string& from, const std::string& to);
-  // Keeps the placements of recovered jobs whose last leader did not, once
-  // nothing of theirs can run unseen.
+  // Starts to record placements of recovered jobs whose last leader did not,
+  // once no unobserved run of these jobs can exist.
   void AdoptPlacements();
 
   // job_scheduler_gangs.cc
@@ -790,15 +864,18 @@
   const Options options_;
   const int64_t epoch_;
   JobTable jobs_;
-  std::map<JobId, Job*> active_;  // Those that have not ended.
-  std::map<std::string, std::unique_ptr<Worker>> workers_;  // By life.
-  std::map<std::string, int64_t> fences_;  // The highest, by worker's name.
-  // When a worker was last found to have started again under its name.
+  std::map<JobId, Job*> active_;  // The jobs that have not ended.
+  // By the id of the incarnation.
+  std::map<std::string, std::unique_ptr<Worker>> workers_;
+  // The highest fence, by the name of the worker.
+  std::map<std::string, int64_t> fences_;
+  // When this leader last learned that a worker restarted under its name.
   absl::Time last_restart_seen_ = absl::InfinitePast();
   std::shared_ptr<const SiteConfiguration> configuration_;
   absl::flat_hash_map<JobId, JobTiming> job_times_;
   std::vector<Adviser> advisers_;
-  absl::flat_hash_map<std::string, double> good_share_;  // Queue -> learnt.
+  // By queue: the learned share of workers that may run its steps.
+  absl::flat_hash_map<std::string, double> good_share_;
   std::vector<Action> actions_;
 
   int64_t next_batch_ = 1;
@@ -808,82 +885,91 @@
   std::set<JobId> undescribed_jobs_;
   std::set<JobId> dirty_jobs_;
   std::vector<std::string> keys_to_drop_;
-  // Orders that wait for the batch that keeps their placements.
+  // An order that waits until the batch with its placement is durable.
   struct PendingStart {
     int64_t batch;
     StartAction action;
   };
   std::deque<PendingStart> pending_starts_;
-  // A crash that is held against a task.
+  // A crash of a worker that is attributed to a task.
   struct CrashAttribution {
     TaskId task;
     int32_t run;
     absl::Duration ran;
     CrashContext around;
   };
-  // Crashes of the last minute, oldest first.
   struct PastCrash {
     absl::Time lost;
     std::string worker;
     std::string machine;
     bool explained;          // See IsCausedBySuspect.
-    std::set<TaskId> steps;  // That ran there; the index is 0.
-    std::vector<CrashAttribution> attributions;  // That were made for it.
+    std::set<TaskId> steps;  // Steps that ran there; the task index is 0.
+    std::vector<CrashAttribution> attributions;  // Made for this crash.
   };
+  // The crashes of the last minute, oldest first.
   std::deque<PastCrash> recent_crashes_;
+  // The runs that were lost with an unresponsive worker.
   struct UnresponsiveLoss {
     std::string worker;
     std::vector<std::pair<TaskId, CrashedRun>> runs;
   };
   std::map<std::string, UnresponsiveLoss> unresponsive_losses_;  // By machine.
-  // A worker to which an earlier leader may have given work crashed since.
+  // A worker to which an earlier leader may have assigned tasks has crashed
+  // under this leader.
   bool unobserved_worker_crashed_ = false;
-  int unobserved_starts_recorded_ =
-      0;  // Starts that were put on record for that.
-  // By worker: recovered tasks whose run there may have crashed it.
+  // Starts that were recorded because of such a crash.
+  int unobserved_starts_recorded_ = 0;
+  // By worker: recovered tasks whose run there may have crashed the worker.
   std::map<std::string, std::vector<TaskId>> exposed_;
   bool placements_adopted_ = false;
 
   AnswerTimes answer_times_{AnswerTimes::Options()};
   Admission admission_{Admission::Options()};
   int64_t starts_at_last_pass_ = 0;
+  // Until when earlier leaders may give orders.
   absl::Time earlier_leaders_active_until_;
   absl::Time earlier_leaders_fenced_at_ = absl::InfinitePast();
   bool earlier_leader_stopped_ = false;  // OnEarlierLeadersStopped was called.
-  // By epoch: when the leader was first seen at work.
+  // By epoch: when the leader was first seen to be active.
   std::map<int64_t, absl::Time> earlier_leaders_seen_;
-  // Recovered tasks that wait for workers, as of the last look for placements.
+  // The recovered tasks that wait for workers, as of the last placement pass.
   struct RecoveryWait {
     int64_t tasks = 0;
     TaskId first;
   };
   RecoveryWait recovery_wait_;
-  Unobserved unobserved_;  // As of that look.
+  Unobserved unobserved_;  // As of the last placement pass.
   bool recovery_wait_logged_ = false;
   absl::Time next_recovery_log_ = absl::InfinitePast();
   absl::Time next_waiting_log_ = absl::InfinitePast();
   bool fenced_ = false;
   bool suspended_ = false;
   absl::Duration lag_;
-  int32_t starts_left_ = 0;           // In this look for placements.
-  int32_t advice_searches_left_ = 0;  // The same.
-  size_t concurrent_calls_left_ = 0;  // In this look; see ExtraGangCallsLeft.
-  bool short_advisers_busy_ = false;  // No node takes a short call now.
-  bool long_advisers_busy_ = false;   // Nor a long one.
-  size_t ready_steps_ = 0;            // The same.
-  bool backlogged_ = false;           // More waits than room is held for.
-  std::vector<Worker*> scheduled_checks_;  // Workers to look at before a sweep.
-  std::vector<Worker*>
-      workers_with_unacknowledged_ends_;  // With ends that wait to be durable.
+  // What the current placement pass may still do.
+  int32_t starts_left_ = 0;
+  int32_t advice_searches_left_ = 0;
+  size_t concurrent_calls_left_ = 0;  // See ExtraGangCallsLeft.
+  // In the current placement pass, no node can take a short call for advice,
+  // or a long one.
+  bool short_advisers_busy_ = false;
+  bool long_advisers_busy_ = false;
+  size_t ready_steps_ = 0;  // Steps in the current placement pass.
+  // More steps wait than capacity is reserved for.
+  bool backlogged_ = false;
+  // Workers to check before the next sweep.
+  std::vector<Worker*> scheduled_checks_;
+  // Workers with ends that are not durable yet.
+  std::vector<Worker*> workers_with_unacknowledged_ends_;
   absl::Time next_sweep_ = absl::InfinitePast();
   bool placement_wanted_ = false;
-  // A queue may have become known, or its limit of attempts another.
+  // A queue may have become known, or its limit of attempts may have changed.
   bool attempts_unchecked_ = true;
   absl::Time no_placement_before_ = absl::InfinitePast();
   absl::Time next_late_pass_ = absl::InfinitePast();
-  bool late_steps_deferred_ = false;  // Late steps wait for a later look.
-  bool tick_had_placement_pass_ =
-      false;  // The last tick looked for placements.
+  // Late steps are left to a later placement pass.
+  bool late_steps_deferred_ = false;
+  // The last tick made a placement pass.
+  bool tick_had_placement_pass_ = false;
   absl::Time next_placement_ = absl::InfinitePast();
   absl::Time next_housekeeping_ = absl::InfinitePast();
   absl::Time next_rounds_ = absl::InfinitePast();
--- a/keelbridge/coordination/job_scheduler_capacity_test.cc
+++ b/keelbridge/coordination/job_scheduler_capacity_test.cc
@@ -1,4 +1,4 @@
-// Workers whose capacity shrinks and grows while they run.
+// Tests workers whose capacity shrinks and grows while they run.
 
 #include <doctest/doctest.h>
 
@@ -41,14 +41,15 @@
   site.RunUntil(absl::Seconds(2));
   EndFirstRun(site, 2, RunEnd::kDone);
   site.RunUntil(absl::Seconds(3));
-  // What runs takes all that is left.
+  // The running tasks use all of the remaining capacity.
   CHECK(site.starts.size() == 4);
   SetCapacity(site, "a", 8000);
   site.RunUntil(absl::Seconds(4));
   CHECK(site.starts.size() == 5);
 }
 
-TEST_CASE("job scheduler: runs that are to stop count on a shrunk worker") {
+TEST_CASE(
+    "job scheduler: runs that should stop use capacity of a shrunk worker") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
   site.reports["a"];
@@ -69,11 +70,11 @@
   CHECK(site.starts.size() == 5);
 }
 
-// The order of a task that lasts leaves once its placement is on record, which
-// takes as long as the store is away.
+// The order to start a long-running task is sent once its placement is durable,
+// which takes as long as the store is unavailable.
 TEST_CASE(
-    "job scheduler: an order that waits for the store does not go to a "
-    "worker that has shrunk since") {
+    "job scheduler: an order that waits for the store is not sent to a worker "
+    "that has shrunk since") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
   site.reports["a"];
@@ -95,7 +96,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: room that was kept for a gang shrinks with its "
+    "job scheduler: capacity that is reserved for a gang shrinks with its "
     "worker") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
@@ -123,7 +124,7 @@
   CHECK(site.starts.size() == 3);
 }
 
-TEST_CASE("job scheduler: a worker may shrink to nothing and come back") {
+TEST_CASE("job scheduler: a worker may shrink to nothing and grow again") {
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
   site.reports["a"];
--- a/keelbridge/coordination/job_scheduler_incarnations.cc
+++ b/keelbridge/coordination/job_scheduler_incarnations.cc
@@ -1,13 +1,15 @@
-// Lives of one worker: one that starts again may do so under the name that it
-// had, at the same address.
+// Handles incarnations of a worker: a worker that restarts may do so under the
+// same name and at the same address.
 //
-// An order to start does not tell which life carried it out: its answer names
-// none, and one without an answer may be carried out seconds later. So of the
-// runs of a life that is over, those that it has listed are lost with it, and
-// the others count as starts of the next life that had no answer. They are
-// looked for there and, where they are not found, stopped before they start
-// elsewhere: a stop keeps a run from starting late. What comes later than the
-// first look at the next life is refused there: each life gets a higher fence.
+// The leader cannot tell which incarnation carried out an order to start a run:
+// the answer does not name it, and an order without an answer may be carried
+// out seconds later. So when an incarnation has ended, the runs that it
+// reported are lost with it, and its other runs count as unanswered starts of
+// the next incarnation. The scheduler looks for them there. It stops those that
+// it does not find before their tasks start elsewhere, because a stop keeps a
+// run from starting late. Each incarnation gets a higher fence, so that it
+// refuses orders to earlier incarnations which arrive after the first
+// observation of it.
 
 #include <algorithm>
 #include <utility>
@@ -21,8 +23,8 @@
 namespace keelbridge {
 namespace {
 
-// Fences of one leader's epoch: each life of a worker gets a higher one, and
-// each later leader's are higher still.
+// The number of fences of one leader's epoch. Each incarnation of a worker gets
+// a higher fence, and the fences of later leaders are higher still.
 constexpr int64_t kFencesPerEpoch = 1 << 20;
 
 }  // namespace
@@ -43,7 +45,7 @@
 
 void JobScheduler::OnOtherIncarnation(Worker& worker,
                                       const std::string& next_id, Now now) {
-  // What ran there is not known to this leader, unless it is on record.
+  // Runs on this worker are unknown to this leader unless they were recorded.
   if (worker.known_to_earlier_leader && !worker.reported &&
       !worker.record.draining && worker.allocations.empty())
     unobserved_worker_crashed_ = true;
@@ -73,7 +75,7 @@
     const Worker& earlier, const std::string& id, Now now) {
   const auto known = workers_.find(id);
   if (known != workers_.end()) return *known->second;
-  // Its room, labels and pool may be others now.
+  // The capacity, labels and pool of the new incarnation may differ.
   WorkerRecord record = earlier.record;
   record.id = id;
   record.draining = false;
@@ -98,8 +100,8 @@
 
 bool JobScheduler::MayRunOnNextIncarnation(const Worker& worker,
                                            const Allocation& run) {
-  // A listing that was asked for after the answer to the start tells that this
-  // life was there until then.
+  // A report that was requested after the answer to the start shows that this
+  // incarnation existed until then, so it carried out the start.
   return !run.reported && run.start_answered >= worker.report_requested_at;
 }
 
@@ -142,7 +144,7 @@
     fenced_ = true;
     return false;
   }
-  // The answer does not tell which life gave it. A listing does.
+  // The answer does not name its incarnation, but a worker report does.
   if (worker.fence < sent->second) worker.fence = NextFence(name);
   worker.next_observe = now.mono;
   worker.observe_now = true;
@@ -155,7 +157,8 @@
   auto entry = workers_.extract(name);
   entry.key() = id;
   workers_.insert(std::move(entry));
-  // Answers to what was sent to it by its name alone are not taken any more.
+  // Answers to calls that were sent under the name alone are ignored from now
+  // on.
   worker.observations_in_flight = 0;
   for (auto& [key, allocation] : worker.allocations) {
     allocation.stop_in_flight = false;
--- a/keelbridge/coordination/job_scheduler_incarnations_test.cc
+++ b/keelbridge/coordination/job_scheduler_incarnations_test.cc
@@ -1,4 +1,4 @@
-// Workers that start again under the name that they had.
+// Tests workers that restart under the same name.
 
 #include <doctest/doctest.h>
 
@@ -13,7 +13,7 @@
 constexpr char kFirstIncarnation[] = "a@1000";
 constexpr char kSecondIncarnation[] = "a@2000";
 
-// A worker "a" that is given the one task.
+// A site whose only worker, "a", runs the only task.
 class RestartFixture {
  public:
   explicit RestartFixture(SchedulerDriver& site) : site_(site) {
@@ -25,7 +25,7 @@
     site.scheduler().Submit(kJob, "restore", spec, site.now());
   }
 
-  // The worker starts again; the platform does not list that yet.
+  // Restarts the worker. The platform does not list the new incarnation yet.
   void Restart() {
     site_.next_incarnations[kFirstIncarnation] = kSecondIncarnation;
     site_.reports[kSecondIncarnation];
@@ -41,10 +41,11 @@
 };
 
 TEST_CASE(
-    "job scheduler: what a life listed is lost with it and starts again") {
+    "job scheduler: a run that an incarnation reported is lost with it and "
+    "starts again") {
   SchedulerDriver site(1);
   RestartFixture worker(site);
-  site.RunUntil(absl::Milliseconds(400));  // It was listed as running.
+  site.RunUntil(absl::Milliseconds(400));  // The run was reported.
   REQUIRE(site.starts.size() == 1);
   worker.Restart();
   worker.AddSecondIncarnation();
@@ -55,6 +56,8 @@
   CHECK(site.stops.empty());
 }
 
+// The next incarnation refuses the fence of calls to the ended one. The leader
+// must still learn that the first incarnation has ended.
 TEST_CASE(
     "job scheduler: a life is over though the next one refuses its fence") {
   SchedulerDriver site(1);
@@ -64,7 +67,8 @@
   site.down.insert(kFirstIncarnation);
   site.reports[kSecondIncarnation];
   worker.AddSecondIncarnation();
-  site.RunUntil(absl::Milliseconds(600));  // The second is looked at first.
+  // The second incarnation is observed first.
+  site.RunUntil(absl::Milliseconds(600));
   site.down.erase(kFirstIncarnation);
   worker.Restart();
   site.RunUntil(absl::Milliseconds(1100));
@@ -72,11 +76,13 @@
   CHECK_FALSE(site.scheduler().fenced());
 }
 
-TEST_CASE("job scheduler: a start that the next life took is kept there") {
+TEST_CASE(
+    "job scheduler: a start that the next incarnation carried out goes on "
+    "there") {
   SchedulerDriver site(1);
   RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(120));
-  worker.Restart();  // As the order leaves.
+  worker.Restart();  // While the order is sent.
   site.RunUntil(absl::Milliseconds(160));
   REQUIRE(site.starts.size() == 1);
   REQUIRE(site.start_workers[0] == kFirstIncarnation);
@@ -87,11 +93,11 @@
 }
 
 TEST_CASE(
-    "job scheduler: a start that neither life lists is stopped on the next one "
-    "before it starts again") {
+    "job scheduler: a start that neither incarnation reports is stopped on the "
+    "next one before its task starts again") {
   SchedulerDriver site(1);
   RestartFixture worker(site);
-  site.RunUntil(absl::Milliseconds(140));  // No listing has shown it yet.
+  site.RunUntil(absl::Milliseconds(140));  // No report contains the run yet.
   REQUIRE(site.starts.size() == 1);
   worker.Restart();
   site.reports.erase(kFirstIncarnation);
@@ -103,7 +109,7 @@
   CHECK(site.stops[0].run == site.starts[0].run);
 }
 
-TEST_CASE("job scheduler: a worker's next life gets a higher fence") {
+TEST_CASE("job scheduler: a worker's next incarnation gets a higher fence") {
   SchedulerDriver site(3);
   RestartFixture worker(site);
   site.RunUntil(absl::Milliseconds(400));
@@ -113,7 +119,8 @@
   site.RunUntil(absl::Milliseconds(900));
   CHECK(site.observations.back().worker.id == kSecondIncarnation);
   CHECK(site.observations.back().order.fence > before);
-  // What refuses an order of before has not seen another leader.
+  // A worker that refuses an order with an earlier fence has not necessarily
+  // seen another leader.
   ObserveAction late;
   late.worker = SchedulerDriver::RecordOf(kSecondIncarnation, 8000);
   late.order.fence = before;
@@ -126,7 +133,7 @@
   CHECK(site.scheduler().fenced());
 }
 
-TEST_CASE("job scheduler: every later leader's fences are higher") {
+TEST_CASE("job scheduler: the fences of each later leader are higher") {
   const auto fence_of = [](int64_t epoch) {
     SchedulerDriver site(epoch);
     site.AddWorker(kFirstIncarnation);
@@ -138,8 +145,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: a later leader waits for the life that is there, not for "
-    "the one on record") {
+    "job scheduler: a later leader waits for the current incarnation, not for "
+    "the recorded one") {
   SchedulerDriver site(2);
   KnownWorker known{SchedulerDriver::RecordOf(kFirstIncarnation, 8000), 1};
   known.persists_placements = true;
@@ -148,7 +155,8 @@
   site.AddWorker("b");
   site.reports["b"];
   site.RunUntil(absl::Seconds(1));
-  CHECK(site.starts.empty());  // It may run there, by a late order.
+  // The task may run there because of a late order.
+  CHECK(site.starts.empty());
   site.reports[kSecondIncarnation].running.push_back({kTask, 1, "", 0});
   site.RunUntil(absl::Seconds(2));
   CHECK(site.starts.empty());
@@ -159,8 +167,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: a worker on record by its name alone is the life that the "
-    "platform lists") {
+    "job scheduler: a worker recorded by its name alone is the incarnation "
+    "that the platform lists") {
   SchedulerDriver site(2);
   KnownWorker known{SchedulerDriver::RecordOf("a", 8000), 1};
   known.persists_placements = true;
--- a/keelbridge/coordination/job_scheduler_leases_test.cc
+++ b/keelbridge/coordination/job_scheduler_leases_test.cc
@@ -1,4 +1,4 @@
-// What a leader may take for ended of what an earlier one started, and when.
+// Tests when a leader may consider runs of an earlier leader as ended.
 
 #include <doctest/doctest.h>
 
@@ -14,15 +14,15 @@
 namespace {
 
 TEST_CASE(
-    "job scheduler: a run adopted from an earlier leader is not given up "
-    "before that leader's lease has passed") {
+    "job scheduler: a run adopted from an earlier leader is not abandoned "
+    "before that leader's lease has expired") {
   SchedulerDriver site(2);
   site.Recover(OneTask());
   site.AddWorker("a");
   site.AddWorker("b");
   site.reports["a"].running = {{kTask, 1, "", 10}};
   site.reports["b"];
-  // One look each, then a is silent.
+  // Each worker answers one observation, then "a" stops responding.
   site.scheduler().Tick(site.now());
   for (const Action& action : site.scheduler().TakeActions()) {
     if (const auto* look = std::get_if<ObserveAction>(&action)) {
@@ -42,8 +42,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: runs of unknown size keep all room until the last has "
-    "ended") {
+    "job scheduler: runs of unknown size reserve all capacity until the last "
+    "has ended") {
   SchedulerDriver site(2);
   JobTable jobs;
   auto ended = std::make_unique<Job>(5, "restore", JobSpec(), 0);
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: what an earlier leader cannot have started does not "
+    "job scheduler: a task that an earlier leader cannot have started does not "
     "wait for workers that are gone") {
   SchedulerDriver site(2);
   JobSpec two;
@@ -95,21 +95,22 @@
   site.reports["a"].running = {{kTask, 1, "", 50}};
   site.RunUntil(absl::Milliseconds(300));
   CHECK(site.starts.empty());
-  // The first step ends under this leader: nobody else saw that.
+  // The first step ends under this leader, so no earlier leader can have
+  // started the second step.
   site.reports["a"].running.clear();
   site.reports["a"].ended = {{1, kTask, 1, RunEnd::kDone, ""}};
   site.RunUntil(absl::Seconds(2));
   REQUIRE(site.starts.size() == 1);
   CHECK(site.starts[0].task == TaskId{kJob, 0, 1, 0});
-  // The other job may run on the worker that is gone until its lease is over.
+  // The other job may run on the worker that is gone until its lease expires.
   site.RunUntil(absl::Seconds(9));
   REQUIRE(site.starts.size() == 2);
   CHECK(site.starts[1].task.job == 8);
 }
 
 TEST_CASE(
-    "job scheduler: a lingering record of an earlier life does not end the "
-    "life that is there") {
+    "job scheduler: a lingering record of an earlier incarnation does not end "
+    "the current incarnation") {
   SchedulerDriver site(2);
   JobSpec spec;
   spec.steps = {OneTask()};
@@ -127,13 +128,13 @@
   site.scheduler().Load(std::move(jobs), {{current, 1}}, site.now());
   site.AddWorker("other");
   site.reports["other"];
-  // The platform still lists the life before it, and only that one.
+  // The platform still lists the previous incarnation, and only that one.
   WorkerRecord gone = current;
   gone.id = "old-life";
   site.scheduler().OnWorkerRecord(gone, site.now());
   site.other_incarnations.insert("old-life");
   site.RunUntil(absl::Seconds(1));
-  // The life that is there answers late, and runs the task.
+  // The current incarnation answers late, and runs the task.
   CHECK(site.starts.empty());
   site.reports["new-life"].running = {{kTask, 1, "", 50}};
   site.RunUntil(absl::Seconds(5));
@@ -141,7 +142,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: a run that a long list of ends has no room for is not "
+    "job scheduler: a run whose end does not fit into a report is not "
     "missing") {
   SchedulerDriver site(1);
   site.AddWorker("a");
@@ -152,7 +153,7 @@
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Milliseconds(300));
   REQUIRE(site.starts.size() == 1);
-  // It has ended, and its end stands behind those that the answer lists.
+  // The run has ended, and its end comes after those that the report contains.
   site.reports["a"].running.clear();
   site.reports["a"].more_ends = true;
   site.RunUntil(absl::Milliseconds(600));
@@ -165,7 +166,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: a worker with more ends than it listed is not accounted "
+    "job scheduler: a worker with more ends than it reported is not accounted "
     "for") {
   SchedulerDriver site(2);
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("a", 8000), 1},
@@ -173,7 +174,7 @@
   site.AddWorker("a");
   site.AddWorker("b");
   site.reports["b"];
-  // The end of the recovered task stands behind those that were listed.
+  // The end of the recovered task comes after those that were reported.
   site.reports["a"].ended = {{1, {99, 0, 0, 0}, 1, RunEnd::kDone, ""}};
   site.reports["a"].more_ends = true;
   site.RunUntil(absl::Milliseconds(300));
@@ -185,10 +186,11 @@
   CHECK(site.starts.empty());
 }
 
-// Those that were asked may be fewer than those that led.
+// The earlier leaders that were asked whether they have stopped may not be all
+// earlier leaders.
 TEST_CASE(
-    "job scheduler: whoever has stopped, what was given before the fence "
-    "counts from the fence") {
+    "job scheduler: leases from before the fence count from the fence, even if "
+    "earlier leaders have stopped") {
   SchedulerDriver site(2);
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("gone", 8000), 1}});
   site.AddWorker("a");
@@ -201,7 +203,8 @@
   CHECK(site.starts.size() == 1);
 }
 
-// A leader that froze gave its last order long before it answered again.
+// A leader that was suspended gave its last order long before it answered
+// again.
 TEST_CASE(
     "job scheduler: leases of an earlier leader count from its last order") {
   SchedulerDriver site(2);
@@ -214,17 +217,17 @@
   scheduler.OnEarlierLeadersStopped(kBegin);
   site.RunUntil(absl::Milliseconds(7000));
   CHECK(site.starts.empty());
-  // 0.8 s to the fence and 6.2 s of a lease on a slow clock.
+  // 0.8 s until the fence, and 6.2 s for a lease on a slow clock.
   site.RunUntil(absl::Milliseconds(7300));
   CHECK(site.start_workers == std::vector<std::string>{"a"});
 }
 
-// The worker answered leader 1 last and ended. Leaders 2 and 3 never heard it,
-// so that no lease of theirs is waited for: 4 waits for those of 1, which 2 had
-// fenced 5 s before.
+// The worker answered leader 1 last and then ended. It never answered leaders 2
+// and 3, so they extended no lease there. Leader 4 waits only for the lease
+// from leader 1, which leader 2 fenced 5 s earlier.
 TEST_CASE(
-    "job scheduler: the lease of a silent worker does not begin anew with "
-    "each leader") {
+    "job scheduler: the lease of an unresponsive worker does not start again "
+    "with each leader") {
   SchedulerDriver site(4);
   site.Recover(LongRunningTask(),
                {{SchedulerDriver::RecordOf("ended", 8000), 1}});
@@ -239,8 +242,11 @@
   CHECK(site.start_workers == std::vector<std::string>{"a"});
 }
 
-// It answered leader 3, which may have extended its lease until it was fenced.
-TEST_CASE("job scheduler: a lease that the last leader may have given counts") {
+// The worker answered leader 3, which may have extended the lease until that
+// leader was fenced.
+TEST_CASE(
+    "job scheduler: a lease that the last leader may have extended is waited "
+    "for") {
   SchedulerDriver site(4);
   site.Recover(LongRunningTask(),
                {{SchedulerDriver::RecordOf("ended", 8000), 3}});
@@ -256,7 +262,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: a lease is extended only once later leaders are told") {
+    "job scheduler: a lease is extended only once the worker's record is "
+    "durable") {
   JobScheduler scheduler(JobScheduler::Options(), 2, kBegin);
   scheduler.Load({}, {{SchedulerDriver::RecordOf("a", 8000), 1}},
                  {kBegin, kBegin});
@@ -276,7 +283,7 @@
     }
     return false;
   };
-  CHECK_FALSE(extends(absl::Milliseconds(10)));  // Its clock is not known.
+  CHECK_FALSE(extends(absl::Milliseconds(10)));  // The clock is unknown.
   CHECK_FALSE(extends(absl::Milliseconds(400)));
   const JobScheduler::Batch batch = scheduler.TakeBatch();
   REQUIRE(batch.records.size() == 1);
@@ -285,7 +292,7 @@
   CHECK(extends(absl::Milliseconds(800)));
 }
 
-TEST_CASE("known workers: a record that names no leader may be anybody's") {
+TEST_CASE("known workers: a record without an epoch may be of any leader") {
   const KnownWorker known{SchedulerDriver::RecordOf("a", 8000), 7};
   CHECK(ParseKnownWorker(KnownWorkerRecord(known))->epoch == 7);
   const auto old = ParseKnownWorker(Record{KnownWorkerKey("a"), "{}", -1});
@@ -293,10 +300,10 @@
   CHECK(old->epoch == std::numeric_limits<int64_t>::max());
 }
 
-// What is on record when a leader ends is waited for by the next one.
+// The next leader waits for each worker that is recorded when a leader ends.
 TEST_CASE(
-    "job scheduler: a worker that left with nothing running is off the record "
-    "at once") {
+    "job scheduler: the record of a worker that left with nothing running is "
+    "dropped at once") {
   SchedulerDriver site(1);
   site.AddWorker("a");
   site.AddWorker("b");
@@ -316,7 +323,7 @@
   }
   site.RunUntil(absl::Milliseconds(400));
   CHECK(site.forgotten_workers == std::vector<std::string>{idle});
-  // Its run may go on until its lease has passed.
+  // The run on the busy worker may go on until the lease expires.
   site.RunUntil(absl::Seconds(6));
   CHECK(site.forgotten_workers.size() == 1);
   site.RunUntil(absl::Seconds(8));
--- a/keelbridge/coordination/job_scheduler_left_worker_test.cc
+++ b/keelbridge/coordination/job_scheduler_left_worker_test.cc
@@ -1,5 +1,5 @@
-// A leader is cut off, and its successor finds a worker on record that has
-// left.
+// Tests changes of leader where the record of the earlier leader contains a
+// worker that has left since.
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr JobId kOtherJob = 9;
-// Users take a job for lost that could run and does not for this long.
+// Users consider a job lost if it could run but does not for this long.
 constexpr absl::Duration kMaxRestartDelay = absl::Seconds(3);
 
 JobSpec TwoSteps() {
@@ -22,8 +22,8 @@
   return spec;
 }
 
-// Under a first leader step 0 of the job runs on "a", and "left" runs a task of
-// another job as it says that it leaves.
+// Runs a first leader under which step 0 of the job runs on "a", and "left"
+// runs a task of another job when it reports that it leaves.
 void RunFirstLeader(SchedulerDriver& first) {
   first.AddWorker("a", 2000);
   first.reports["a"];
@@ -45,7 +45,8 @@
   first.RunUntil(absl::Seconds(1));
 }
 
-// The successor, which "left" does not answer, with room for all on "b".
+// Starts the second leader. "left" does not answer it, and "b" has capacity for
+// all tasks.
 void TakeOver(SchedulerDriver& second, SchedulerDriver& first) {
   second.TakeOver(first);
   second.AddWorker("b");
@@ -55,8 +56,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: a step whose turn comes under a new leader does not wait "
-    "for a worker that left with others' runs") {
+    "job scheduler: a step that becomes ready under a new leader does not wait "
+    "for a worker that left with runs of other jobs") {
   SchedulerDriver first(1);
   RunFirstLeader(first);
   SchedulerDriver second(2);
@@ -69,11 +70,12 @@
 }
 
 TEST_CASE(
-    "job scheduler: nor does one that follows an end from before the new "
-    "leader") {
+    "job scheduler: a step that follows an end from before the new leader does "
+    "not wait for a worker that left with runs of other jobs") {
   SchedulerDriver first(1);
   RunFirstLeader(first);
-  first.hold_batches = true;  // Its end is not kept, and the leader is cut off.
+  // The end of step 0 does not become durable because the leader is cut off.
+  first.hold_batches = true;
   SchedulerDriver second(2);
   TakeOver(second, first);
   second.End("a", {1, kTask, first.starts[0].run, RunEnd::kDone, ""});
@@ -82,8 +84,8 @@
   CHECK(second.starts[0].task == TaskId{kJob, 0, 1, 0});
 }
 
-// The worker says that it leaves long before the run could end there, and the
-// run's job waits for the worker's lease once it has left.
+// The worker reports that it leaves long before the run could end there. Once
+// it has left, the run's job waits until the worker's lease expires.
 TEST_CASE(
     "job scheduler: a run that its leaving worker cannot finish is back soon") {
   constexpr absl::Duration kLeavesAt = absl::Seconds(9);
--- a/keelbridge/coordination/job_scheduler_pending_starts.cc
+++ b/keelbridge/coordination/job_scheduler_pending_starts.cc
@@ -1,10 +1,10 @@
-// Starts that are kept for good before their order leaves: of tasks that last,
-// and of those under which several workers crashed.
+// Makes placements durable before their start orders are sent. This applies to
+// long-running tasks and to tasks under which several workers crashed.
 //
-// A later leader then knows the one worker that may run a task that lasts, and
-// waits for no other; and none forgets a crash. The price is that an order
-// leaves after an append to the store (some 20 ms with the pause between
-// appends), and not while the store is away.
+// A later leader then knows the only worker that may run a long-running task
+// and waits for no other worker, and no leader forgets a crash. The cost is
+// that an order is sent only after an append to the store (about 20 ms,
+// including the pause between appends), and not while the store is unavailable.
 
 #include <utility>
 
@@ -36,23 +36,23 @@
     const Worker& at = *worker->second;
     const bool stays =
         !at.record.draining && !at.record_removed && IsReachable(at, now);
-    // It may have shrunk while the store was away, and would run the order all
-    // the same.
+    // The worker's capacity may have shrunk while the store was unavailable,
+    // and the worker would carry out the order nevertheless.
     const bool fits = Resources().FitsIn(at.free);
     if (allocation.should_stop || !stays || !fits) {
-      // No order to start it has left.
+      // No order to start the run was sent.
       LogDecision("start_withdrawn",
                   {{"task", TaskIdText(key.first)},
                    {"run", absl::StrCat(key.second)},
                    {"worker", action.worker.id},
-                   {"why", allocation.should_stop ? "it is to stop"
-                           : !stays ? "its worker leaves or is silent"
+                   {"why", allocation.should_stop ? "it should stop"
+                           : !stays ? "its worker leaves or does not respond"
                                     : "its worker has shrunk"}});
       Release(*worker->second, key);
       Requeue(key.first, key.second, action.worker.id, now.mono);
       continue;
     }
-    // What orders take counts from here, and so does a probation.
+    // The order's answer time and a probation are measured from here on.
     Worker& to = *worker->second;
     if (to.probation_until > allocation.placed)
       to.probation_until += now.mono - allocation.placed;
--- a/keelbridge/coordination/job_scheduler_recovery.cc
+++ b/keelbridge/coordination/job_scheduler_recovery.cc
@@ -1,5 +1,5 @@
-// What earlier leaders may still have running, and until when: what this leader
-// recovered and has not seen waits for that.
+// Determines what earlier leaders may still have running, and until when.
+// Recovered tasks that this leader has not observed wait for that.
 
 #include <algorithm>
 #include <utility>
@@ -10,8 +10,8 @@
 namespace keelbridge {
 namespace {
 
-// Between two lines about recovered work that waits, and before the first:
-// workers that are there have answered by then.
+// The time between two log lines about waiting recovered tasks, and before the
+// first one. Workers that still exist have answered by then.
 constexpr absl::Duration kRecoveryLogPeriod = absl::Seconds(1);
 
 }  // namespace
@@ -20,10 +20,11 @@
   return options_.lease / (1.0 - options_.clock_error) + kLeaseExpiryMargin;
 }
 
-// A leader that a worker never answered extended no lease there. So what counts
-// is when the one that it answered last was fenced, not when the last of its
-// successors was: with three changes of leader in 11 s the tasks of a worker
-// that had ended were away for 30 s, since each successor waited anew.
+// A leader that a worker never answered has not extended its lease. So the
+// lease counts from when the leader that the worker answered last was fenced,
+// not from when the last of that leader's successors was fenced. Otherwise each
+// successor would wait for a full lease: with three changes of leader in 11 s,
+// the tasks of a worker that had ended were down for 30 s.
 absl::Time JobScheduler::LatestEarlierLeaseGrant(const Worker& worker) const {
   return LatestEarlierOrder(worker.leased_by_epoch);
 }
@@ -36,11 +37,12 @@
                   successor->second + options_.earlier_leader_grace);
 }
 
-// What an earlier leader may have started on a worker that this one has not
-// reached ends at the latest when the last lease that it gave has passed. One
-// that no earlier leader knew is not waited for: it may be an entry of another
-// writer, at an address where nobody answers, and would hold back all recovered
-// work for a lease after each change of the leader.
+// Runs that an earlier leader may have started on a worker that this leader has
+// not reached end at the latest when the last lease from that leader expires. A
+// worker that no earlier leader knew is not waited for: its entry in the
+// platform's list may come from another writer and have an address where
+// nothing answers. Waiting for it would delay all recovered tasks by a lease
+// after each change of leader.
 bool JobScheduler::IsAccountedFor(const Worker& worker, Now now) const {
   return worker.reported || worker.retired_by_earlier ||
          !worker.known_to_earlier_leader ||
@@ -62,9 +64,9 @@
   });
 }
 
-// A worker that leaves gets no more work, so that its record can name what may
-// still run there. Without that 14 workers that had left with 26 tasks kept
-// back 8,508 recovered tasks for 10 s.
+// A worker that leaves gets no more tasks, so its record can name the tasks
+// that may still run there. Without these names, 14 workers that had left with
+// 26 tasks delayed 8,508 recovered tasks by 10 s.
 JobScheduler::Unobserved JobScheduler::FindUnobserved(Now now) const {
   Unobserved unseen;
   if (now.mono > earlier_leaders_active_until_ + MaxLeaseDuration())
@@ -78,9 +80,10 @@
   return unseen;
 }
 
-// A job that keeps placements tells which worker may run a task: only that one
-// is waited for. Without it one worker that is silent kept back all tasks that
-// last: one was away for 15 s whose own worker had told at once that it failed.
+// If a job records its placements, a task waits only for the worker that it was
+// placed on. Without recorded placements, a single unresponsive worker delayed
+// all long-running tasks: one of them was down for 15 s although its own worker
+// had reported its failure at once.
 bool JobScheduler::WaitsForEarlierLease(const ReadyStep& ready,
                                         const TaskState& task, Now now) const {
   if (!ready.may_run_unobserved || task.observed) return false;
@@ -156,8 +159,8 @@
 
 void JobScheduler::OnEarlierLeadersStopped(absl::Time last_order) {
   earlier_leader_stopped_ = true;
-  // Those that were asked may not be all: before the fence another may have
-  // given orders.
+  // The list of leaders that were asked may be incomplete: another one may have
+  // given orders until the fence.
   const absl::Time until = std::max(last_order, earlier_leaders_fenced_at_);
   if (until >= earlier_leaders_active_until_) return;
   earlier_leaders_active_until_ = until;
--- a/keelbridge/coordination/job_scheduler_recovery_test.cc
+++ b/keelbridge/coordination/job_scheduler_recovery_test.cc
@@ -1,4 +1,5 @@
-// What a later leader may start of what it recovered, and what it waits for.
+// Tests which recovered tasks a later leader may start, and which workers and
+// leases it waits for before that.
 
 #include <doctest/doctest.h>
 
@@ -27,8 +28,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: the log says what recovered work waits for, and till "
-    "when") {
+    "job scheduler: the log says which worker recovered tasks wait for, and "
+    "until when") {
   SchedulerDriver site(2);
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("gone", 8000), 1}});
   site.AddWorker("a");
@@ -48,24 +49,19 @@
   CHECK(site.scheduler().figures().recovered_waiting == 0);
 }
 
-// What users saw: a task that was to last stood still for 15 s, on a calm site
-// with room for it.
-//
-// In order: worker "x" said that it leaves. The leader froze. While nobody led,
-// the task's run failed on worker "w", which went on, and "x" was gone. The
-// next leader heard the end of the run at once, and still held the task back,
-// since "x" did not answer and the earlier leader might have started the task
-// there.
-//
-// The cause: an earlier leader's starts were on no record, so that one worker
-// that is silent kept back everything that the new leader had not seen.
-//
-// Evidence: the new leader started the task 15.0 s after it took over, which is
-// the earlier leader's end, 15.44 s, a worker's lease, 10.3 s, and a call for
-// advice, 0.8 s; all other workers were listed, and one less than before.
+// If starts are not recorded, one unresponsive worker delays every task that
+// the new leader has not observed. Here worker "x" leaves and the leader
+// stalls. While no node leads, the run of a long-running task fails on worker
+// "w". The next leader receives that end at once. It must not hold the task
+// back because "x" does not answer and the earlier leader might have started
+// the task there. With this fault, a new leader started such a task 15.0 s
+// after it took over, although the site was calm, had capacity for the task,
+// and all workers but one had reported. The start followed the end of the
+// earlier leader (15.44 s), a worker's lease (10.3 s) and a call for advice
+// (0.8 s).
 TEST_CASE(
-    "job scheduler: a lasting task whose run ended while nobody led does not "
-    "wait for another worker") {
+    "job scheduler: a long-running task whose run ended while nobody led does "
+    "not wait for another worker") {
   SchedulerDriver first(1);
   for (const char* worker : {"w", "x", "y"}) first.reports[worker];
   first.AddWorker("w");
@@ -84,16 +80,16 @@
   second.AddWorker("w");
   second.AddWorker("y");
   second.reports["w"].ended = {{1, kTask, 1, RunEnd::kFailed, ""}};
-  second.reports["y"];  // "x" answers nothing.
+  second.reports["y"];  // "x" does not answer.
   second.RunUntil(absl::Seconds(1));
   REQUIRE(second.starts.size() == 1);
   CHECK(second.starts[0].task == kTask);
 }
 
-// The record of a worker that leaves says that it is empty.
+// The record of a worker that leaves says that nothing runs there.
 TEST_CASE(
-    "job scheduler: recovered work does not wait for a worker that was empty "
-    "as it left") {
+    "job scheduler: recovered tasks do not wait for a worker that was empty "
+    "when it left") {
   SchedulerDriver first(1);
   for (const char* worker : {"w", "x"}) {
     first.reports[worker];
@@ -101,7 +97,7 @@
   }
   first.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
-  spec.steps = {OneTask(100000)};  // No worker has room for it.
+  spec.steps = {OneTask(100000)};  // No worker has the capacity for it.
   first.scheduler().Submit(kJob, "restore", spec, first.now());
   WorkerRecord leaving = SchedulerDriver::RecordOf("x", 8000);
   leaving.draining = true;
@@ -118,8 +114,9 @@
   CHECK(second.start_workers == std::vector<std::string>{"wide"});
 }
 
-// It leaves with a run, or stays after all: it is waited for.
-TEST_CASE("job scheduler: only a worker that is empty and leaves is closed") {
+// Later leaders wait for a worker that leaves with a run, or that stays after
+// all.
+TEST_CASE("job scheduler: only a worker that is empty and leaves is retired") {
   SchedulerDriver site(1);
   site.AddWorker("x");
   site.reports["x"];
@@ -146,8 +143,9 @@
   CHECK_FALSE(retired());
 }
 
-// A site whose worker "x" left with one task of the job, as its first leader
-// left it; the other task found no room.
+// A site under its first leader. Worker "x" runs the only task of one job, and
+// has no free capacity for the tasks of a second job. `DrainWorker` lets the
+// worker leave.
 class DrainedWorkerFixture {
  public:
   explicit DrainedWorkerFixture(bool gang) : first_(1) {
@@ -186,10 +184,11 @@
   }
 }
 
-// Seen in a simulated run: 14 workers had left with 26 tasks, and the next
-// leader kept back 8,508 tasks for 10 s.
+// Otherwise a few workers that have left delay all recovered tasks: in a
+// simulation 14 workers had left with 26 tasks, and the next leader held back
+// 8,508 tasks for 10 s.
 TEST_CASE(
-    "job scheduler: of recovered work only what a worker left with waits for "
+    "job scheduler: only the recovered tasks that a worker left with wait for "
     "its lease") {
   DrainedWorkerFixture site(/*gang=*/true);
   site.DrainWorker();
@@ -205,10 +204,11 @@
   CHECK(second.starts[2].task == kTask);
 }
 
-// Until later leaders can read what it left with, all waits.
+// All recovered tasks wait unless later leaders can read which tasks the worker
+// left with.
 TEST_CASE(
-    "job scheduler: recovered work waits for a worker whose leaving is not "
-    "kept for good") {
+    "job scheduler: recovered tasks wait for a worker whose departure is not "
+    "durable") {
   DrainedWorkerFixture site(/*gang=*/false);
   site.first().hold_batches = true;
   site.DrainWorker();
@@ -221,9 +221,9 @@
   CHECK(second.starts.size() == 3);
 }
 
-// It stays after all, and may get work again.
+// A worker that stays after all may get tasks again.
 TEST_CASE(
-    "job scheduler: recovered work waits for a worker that stayed after all") {
+    "job scheduler: recovered tasks wait for a worker that stayed after all") {
   DrainedWorkerFixture site(/*gang=*/false);
   site.DrainWorker();
   site.first().AddWorker("x");
@@ -241,9 +241,10 @@
   CHECK(second.starts.size() == 2);
 }
 
-// A run of an earlier leader that is heard of late is told of, too.
+// A run of an earlier leader that is reported late is recorded, too.
 TEST_CASE(
-    "job scheduler: what a worker leaves with is on record, and no more") {
+    "job scheduler: the record of a leaving worker names the tasks that it "
+    "leaves with, and no others") {
   DrainedWorkerFixture site(/*gang=*/false);
   const auto recorded_last_tasks = [&] {
     return ParseKnownWorker(site.first().stored_records.at(KnownWorkerKey("x")))
@@ -262,11 +263,12 @@
   CHECK(recorded_last_tasks() == std::vector<TaskId>{kTask, other});
 }
 
-// With its placement on record a task waits for one worker; that one may still
-// run it, so the task is not started a second time before its lease is over.
+// A task whose placement is recorded waits for one worker. That worker may
+// still run the task, so the task is not started again before the worker's
+// lease has expired.
 TEST_CASE(
-    "job scheduler: a lasting task waits for the worker that it was placed "
-    "on") {
+    "job scheduler: a long-running task waits for the worker that it was "
+    "placed on") {
   SchedulerDriver first(1);
   first.reports["x"];
   first.AddWorker("x");
@@ -280,7 +282,7 @@
   SchedulerDriver second(2);
   second.TakeOver(first);
   second.AddWorker("w");
-  second.reports["w"];  // "x" answers nothing.
+  second.reports["w"];  // "x" does not answer.
   second.RunUntil(absl::Seconds(6));
   CHECK(second.starts.empty());
   second.RunUntil(absl::Seconds(8));
@@ -288,9 +290,11 @@
   CHECK(second.starts[0].run > first.starts[0].run);
 }
 
-// A leader that ends between the two leaves a task that was never started.
+// A leader that ends between the record and the order leaves a task that was
+// never started.
 TEST_CASE(
-    "job scheduler: a lasting task is on record before its order leaves") {
+    "job scheduler: a long-running task is recorded before its order is "
+    "sent") {
   SchedulerDriver site(1);
   site.reports["x"];
   site.AddWorker("x");
@@ -312,8 +316,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: a lasting task that is cancelled before its order leaves "
-    "is not started") {
+    "job scheduler: a long-running task that is cancelled before its order is "
+    "sent is not started") {
   SchedulerDriver site(1);
   site.reports["x"];
   site.AddWorker("x");
@@ -333,10 +337,10 @@
   CHECK(site.scheduler().figures().running_tasks == 0);
 }
 
-// Its own worker's machine runs another life: nothing runs the task, and
-// another worker that is silent has nothing to do with it.
+// The machine of the task's own worker runs another incarnation, so nothing
+// runs the task. Another worker, which does not respond, must not delay it.
 TEST_CASE(
-    "job scheduler: a lasting task whose worker is gone does not wait for "
+    "job scheduler: a long-running task whose worker is gone does not wait for "
     "another worker") {
   SchedulerDriver first(1);
   for (const char* worker : {"w", "x"}) first.reports[worker];
@@ -352,18 +356,20 @@
 
   SchedulerDriver second(2);
   second.TakeOver(first);
-  second.other_incarnations.insert("w");  // "x" answers nothing.
+  second.other_incarnations.insert("w");  // "x" does not answer.
   second.RunUntil(absl::Milliseconds(300));
-  second.AddWorker("y");  // Room comes when "w" is forgotten.
+  second.AddWorker("y");  // Capacity appears only after "w" was forgotten.
   second.reports["y"];
   second.RunUntil(absl::Seconds(1));
   CHECK(second.start_workers == std::vector<std::string>{"y"});
 }
 
-// A batch may be kept in part, its workers first: a later leader that did not
-// wait for the worker would start the task again whose end only it lists.
+// Only a part of a batch may become durable, with its workers first. A later
+// leader that did not wait for the worker would restart a task whose end only
+// that worker reports.
 TEST_CASE(
-    "job scheduler: a worker is closed once all ends that it listed are kept") {
+    "job scheduler: a worker is retired once all ends that it reported are "
+    "durable") {
   SchedulerDriver site(1);
   site.AddWorker("x");
   site.reports["x"];
@@ -390,11 +396,11 @@
   CHECK(ParseKnownWorker(site.stored_records.at(KnownWorkerKey("x")))->retired);
 }
 
-// The key of a worker that is gone stands first in its batch, which may be kept
-// in part.
+// A batch starts by dropping the keys of workers that are gone, and only a part
+// of it may become durable.
 TEST_CASE(
     "job scheduler: a worker that is gone is dropped once all ends that it "
-    "listed are kept") {
+    "reported are durable") {
   SchedulerDriver site(1);
   site.AddWorker("x");
   site.reports["x"];
@@ -419,23 +425,24 @@
   CHECK(site.stored_records.count(KnownWorkerKey("x")) == 0);
 }
 
-// Its record may be anybody's: an address where nobody answers.
+// The entry of such a worker may come from another writer and have an address
+// where nothing answers.
 TEST_CASE(
-    "job scheduler: recovered work does not wait for a worker that no earlier "
+    "job scheduler: recovered tasks do not wait for a worker that no earlier "
     "leader knew") {
   SchedulerDriver site(2);
   site.Recover(OneTask());
   site.AddWorker("a");
-  site.AddWorker("new");  // Answers nothing.
+  site.AddWorker("new");  // Does not answer.
   site.reports["a"];
   site.RunUntil(absl::Seconds(1));
   CHECK(site.start_workers == std::vector<std::string>{"a"});
 }
 
-// The store took nothing for a while; its worker leaves meanwhile.
+// The store is unavailable for a while, and the task's worker leaves meanwhile.
 TEST_CASE(
-    "job scheduler: a lasting task is not sent to a worker that leaves by "
-    "then") {
+    "job scheduler: a long-running task is not sent to a worker that leaves "
+    "before the order is sent") {
   SchedulerDriver site(1);
   for (const char* worker : {"a", "b"}) {
     site.reports[worker];
@@ -459,12 +466,12 @@
   CHECK(site.start_workers == std::vector<std::string>{"b"});
 }
 
-// A leader of an earlier version records the workers that it gives work to, but
-// neither its placements nor, with them, that it keeps none. After it, any
-// worker that it knew may run the task.
+// A leader of an earlier version records the workers to which it assigns tasks,
+// but neither its placements nor the fact that it records none. After such a
+// leader, any worker that it knew may run the task.
 TEST_CASE(
-    "job scheduler: placements tell nothing of a worker whose last leader kept "
-    "none") {
+    "job scheduler: placements say nothing about a worker whose last leader "
+    "recorded none") {
   SchedulerDriver first(1);
   first.reports["w"];
   first.AddWorker("w");
@@ -483,18 +490,19 @@
   SchedulerDriver third(3);
   third.TakeOver(first);
   third.AddWorker("w");
-  third.reports["w"];  // "z" answers nothing.
+  third.reports["w"];  // "z" does not answer.
   third.RunUntil(absl::Seconds(6));
   CHECK(third.starts.empty());
   third.RunUntil(absl::Seconds(8));
   CHECK(third.start_workers == std::vector<std::string>{"w"});
 }
 
-// The append that its order waits for may take seconds. What is started then on
-// a worker that has said meanwhile that it leaves has to move at once.
+// The append that the order waits for may take seconds. If the worker reports
+// meanwhile that it leaves, a task that started there would have to move at
+// once.
 TEST_CASE(
-    "job scheduler: a lasting task whose worker leaves before its order does "
-    "starts elsewhere") {
+    "job scheduler: a long-running task whose worker leaves before the order "
+    "is sent starts elsewhere") {
   SchedulerDriver site(1);
   site.reports["x"];
   site.AddWorker("x");
--- a/keelbridge/coordination/job_scheduler_test.cc
+++ b/keelbridge/coordination/job_scheduler_test.cc
@@ -1,7 +1,7 @@
-// Single decisions of the site's scheduler: jobs, their records and ends.
-// Advice and placement are in job_scheduler_advice_test.cc, changes of leader
-// in job_scheduler_leases_test.cc; whole sites under failure in
-// testing/site_simulation_test.cc.
+// Tests single decisions of the site's scheduler about jobs, their records and
+// their ends. Advice and placement are tested in job_scheduler_advice_test.cc,
+// changes of leader in job_scheduler_leases_test.cc, and whole sites with
+// injected faults in testing/site_simulation_test.cc.
 
 #include "keelbridge/coordination/job_scheduler.h"
 
@@ -17,13 +17,13 @@
 namespace keelbridge::testing {
 namespace {
 
-TEST_CASE("job scheduler: failed runs count once each, heard in any order") {
+TEST_CASE("job scheduler: failed runs count once each, reported in any order") {
   SchedulerDriver site(2);
   site.Recover(OneTask(), {{SchedulerDriver::RecordOf("a", 8000), 1},
                            {SchedulerDriver::RecordOf("b", 8000), 1}});
   site.AddWorker("a");
   site.AddWorker("b");
-  // Worker b, heard first, tells of the second run; a of the first.
+  // Worker b reports first, and reports the second run; a reports the first.
   site.reports["b"].ended = {{1, kTask, 2, RunEnd::kFailed, ""}};
   site.RunUntil(absl::Milliseconds(100));
   CHECK(site.scheduler().Status(kJob) == JobState::kRunning);
@@ -33,7 +33,7 @@
   CHECK(site.starts.empty());
 }
 
-TEST_CASE("job scheduler: a failed end that is heard again is not counted") {
+TEST_CASE("job scheduler: a failed end that is reported again is not counted") {
   SchedulerDriver first(1);
   first.Recover(OneTask());
   first.AddWorker("a");
@@ -54,7 +54,7 @@
   records.Add(DescriptionRecord(Job(kJob, "restore", spec, 0)));
   for (const Record& record : first.scheduler().TakeBatch().records)
     records.Add(record);
-  // The leader dies before the worker hears that the end was noted.
+  // The leader dies before it acknowledges the end to the worker.
   SchedulerDriver second(2);
   second.scheduler().Load(records.Build(), {}, second.now());
   second.AddWorker("a");
@@ -84,8 +84,7 @@
   CHECK(site.starts.size() == 1);
 }
 
-TEST_CASE(
-    "job scheduler: an ended job stays known when the time of day jumps") {
+TEST_CASE("job scheduler: an ended job stays known when the wall clock jumps") {
   SchedulerDriver site(1);
   site.AddWorker("a");
   site.reports["a"];
@@ -100,7 +99,7 @@
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
   site.wall_clock_offset = absl::Minutes(10);
   site.RunUntil(absl::Seconds(4));
-  // Handed in again, seconds after its acceptance: it is the same job.
+  // It is the same job when it is submitted again seconds after its acceptance.
   CHECK(site.scheduler().Status(kJob) == JobState::kCompleted);
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Seconds(5));
@@ -111,7 +110,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: a later leader whose time of day is ahead knows ended "
+    "job scheduler: a later leader whose wall clock is ahead knows ended "
     "jobs") {
   Job ended(kJob, "restore", JobSpec(), 0);
   ended.end = JobState::kCompleted;
@@ -129,7 +128,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: a job that is handed in again as it is forgotten is kept") {
+    "job scheduler: a job that is submitted again as it is forgotten is kept") {
   Job ended(kJob, "restore", JobSpec(), 0);
   ended.end = JobState::kCompleted;
   JobRecords before;
@@ -142,7 +141,8 @@
   JobSpec spec;
   spec.steps.push_back(OneTask());
   scheduler.Submit(kJob, "restore", spec, {later, later});
-  // Both go into one batch; what a later leader loads after it.
+  // The drop and the new job go into one batch. Build what a later leader loads
+  // after that batch.
   JobRecords after;
   after.Add(ProgressRecord(ended));
   for (const Record& record : scheduler.TakeBatch().records) after.Add(record);
@@ -192,9 +192,9 @@
   CHECK(site.starts.size() == 1);
 }
 
-// A batch that was cut into several appends may leave the description of an
-// ended job behind: without its end it would be a job that has to run.
-TEST_CASE("job scheduler: of a forgotten job no record stays") {
+// A batch that is split into several appends might leave behind the description
+// of an ended job. Without the record of its end, the job would run again.
+TEST_CASE("job scheduler: no record of a forgotten job stays") {
   JobSpec spec;
   spec.steps.push_back(OneTask());
   Job ended(kJob, "restore", spec, absl::ToUnixMillis(kBegin));
@@ -214,8 +214,8 @@
   CHECK(records.Build().empty());
 }
 
-// The limit of attempts is the configuration's. A leader may hear of ends
-// before it has one that names the queue.
+// The limit of attempts comes from the configuration. A leader may receive
+// reports of ends before it has a configuration that contains the queue.
 TEST_CASE(
     "job scheduler: a job whose attempts are used up does not start when its "
     "queue becomes known") {
--- a/keelbridge/coordination/job_scheduler_unanswered.cc
+++ b/keelbridge/coordination/job_scheduler_unanswered.cc
@@ -1,16 +1,16 @@
-// Starts that have no answer, on sites where workers start again under their
+// Handles starts that got no answer on sites where workers restart under their
 // names.
 //
-// Such an order may be carried out seconds later. A stop that the worker has
-// answered keeps it from that, and so does a later fence, but both are
-// forgotten with the worker's life: its next one carries the order out if it
-// comes before the leader's first look. Were the task at work elsewhere by
-// then, it would run twice. So it waits until the order's time has passed, or
-// starts on the same worker, which then runs it once whatever becomes of the
-// order.
+// A worker may carry out such an order seconds later. A stop that the worker
+// has answered prevents this, and so does a later fence, but the worker forgets
+// both when its incarnation ends. The next incarnation carries out the order if
+// the order arrives before the leader's first observation. If the task ran on
+// another worker by then, it would run twice. So the task waits until the order
+// can no longer be carried out, or starts on the same worker, which then runs
+// it only once, whatever becomes of the order.
 //
-// A task that waits may be late for its job. So none does where no worker has
-// started again under its name of late.
+// Waiting may delay a job. So no task waits unless a worker has recently
+// restarted under its name.
 
 #include <string>
 #include <utility>
@@ -22,7 +22,8 @@
 namespace keelbridge {
 namespace {
 
-// Restarts come in series, with pauses in between.
+// How long a restart counts as recent. Restarts come in series, with pauses in
+// between.
 constexpr absl::Duration kRestartMemory = absl::Minutes(10);
 
 }  // namespace
@@ -94,7 +95,8 @@
   return now.mono < may_arrive_until;
 }
 
-// Only a task that lasts: another could be done, and the order still be out.
+// Applies only to long-running tasks: another task could be done before the
+// order is carried out.
 JobScheduler::Worker* JobScheduler::WorkerOfUnansweredStart(
     const ReadyStep& ready, const TaskState& task, Now now) {
   if (!ready.spec->long_running || ready.spec->gang) return nullptr;
--- a/keelbridge/coordination/job_scheduler_unanswered_test.cc
+++ b/keelbridge/coordination/job_scheduler_unanswered_test.cc
@@ -1,4 +1,5 @@
-// Starts without an answer, where workers start again under their names.
+// Tests starts that got no answer on sites where workers restart under their
+// names.
 
 #include <doctest/doctest.h>
 
@@ -12,8 +13,9 @@
 constexpr absl::Duration kMaxOrderDelay = absl::Seconds(12);
 constexpr absl::Duration kSubmittedAt = absl::Milliseconds(500);
 
-// Workers "a" and "b", of which "a" loses the start of the one task.
-// `restarts`: "c" was seen to start again under its name before.
+// A site with the workers "a" and "b". The start of the only task is lost on
+// its way to "a". If `restarts` is set, worker "c" has restarted under its name
+// before.
 class UnansweredStartFixture {
  public:
   UnansweredStartFixture(SchedulerDriver& site, const StepSpec& step,
@@ -36,7 +38,7 @@
     site.reports["b@1000"];
   }
 
-  // The worker takes starts again.
+  // From now on starts reach the worker.
   void AcceptStarts() { site_.drops_starts.clear(); }
 
  private:
@@ -64,11 +66,12 @@
   CHECK(site.starts.size() == 1);
 }
 
-// Users of such a task are not kept waiting: its own worker drops the order
-// once it has heard of a later run.
+// Users of a long-running task must not wait until the order can no longer be
+// carried out. The task can restart at once on its own worker, which drops the
+// order once it has received a later run.
 TEST_CASE(
-    "job scheduler: a lasting task whose start had no answer starts again on "
-    "the same worker") {
+    "job scheduler: a long-running task whose start had no answer starts again "
+    "on the same worker") {
   SchedulerDriver site(1);
   UnansweredStartFixture workers(site, LongRunningTask(), /*restarts=*/true);
   workers.AcceptStarts();
--- a/keelbridge/coordination/job_scheduler_workers.cc
+++ b/keelbridge/coordination/job_scheduler_workers.cc
@@ -1,4 +1,4 @@
-// What workers tell, and what their silence means.
+// Handles reports and replies of workers, and workers that stop responding.
 
 #include <algorithm>
 #include <set>
@@ -12,32 +12,37 @@
 namespace keelbridge {
 namespace {
 
-// Between two looks at all workers, for what falls due by time alone.
+// The time between two checks of all workers for work that becomes due by time
+// alone.
 constexpr absl::Duration kSweepPeriod = absl::Milliseconds(50);
 constexpr absl::Duration kObserveRetryDelay = absl::Milliseconds(300);
 constexpr absl::Duration kStopRetryDelay = absl::Milliseconds(400);
-// The same for both where answers get lost: what was lost is asked again.
+// The delay before both kinds of retries while answers get lost, since a call
+// whose answer was lost has to be repeated.
 constexpr absl::Duration kLossyRetryDelay = absl::Milliseconds(30);
-// How long the answer to a look waits for an end where answers get lost: a lost
-// one leaves the worker's ends unheard for that long.
+// How long a worker may delay the answer to an observation while answers get
+// lost. A lost answer leaves the worker's ends unreported for that long.
 constexpr absl::Duration kLossyObserveWait = absl::Milliseconds(150);
-// An unanswered order was lost if the worker answers another this soon after.
+// A missing answer counts as lost if the worker answers another call within
+// this time.
 constexpr absl::Duration kLostAnswerWindow = absl::Seconds(1);
-// Looks at one worker that may be under way at a time.
+// The most observations of one worker that may be in flight at a time.
 constexpr int kMaxObservationsInFlight = 3;
-// A task of at most this estimate is checked on once its end is overdue, after
-// so many times the estimate, and again after each pause.
+// A task whose estimate is at most kMaxCheckedEstimateMs is checked when it has
+// run for kOverdueFactor times its estimate, and then every
+// kOverdueCheckPeriod.
 constexpr int64_t kMaxCheckedEstimateMs = 2000;
 constexpr double kOverdueFactor = 1.3;
 constexpr absl::Duration kOverdueCheckPeriod = absl::Milliseconds(250);
-// How long after a start without an answer a listing may still explain it.
+// How long after a start without an answer a worker report may still show what
+// became of it.
 constexpr absl::Duration kUncertainTimeout = absl::Milliseconds(300);
 constexpr absl::Duration kRetryAfterRefusal = absl::Milliseconds(100);
 constexpr absl::Duration kSuspectAfterRefusal = absl::Seconds(2);
-// A worker that answered nothing for this long gets no new work.
+// A worker that has answered nothing for this long gets no new tasks.
 constexpr absl::Duration kUnresponsiveAfter = absl::Milliseconds(2500);
-// Runs of one leader's epoch are numbered from here on, so that a later leader
-// never gives a number again.
+// The number of run numbers that each epoch has for itself, so that a later
+// leader never reuses a number.
 constexpr int32_t kRunsPerEpoch = 1000;
 
 }  // namespace
@@ -55,8 +60,9 @@
     slot->record = record;
     slot->fence = NextFence(name);
     PersistWorker(*slot);
-    // A machine runs one life at a time, but records do not tell which: that
-    // of a life that is over may linger. The machine's answer tells.
+    // A machine runs one incarnation at a time. The records do not show which
+    // one, since the record of an ended incarnation may linger, so the machine
+    // is asked.
     for (auto& [id, other] : workers_) {
       if (id == record.id || other == nullptr || record.machine.empty() ||
           other->record.machine != record.machine)
@@ -64,7 +70,8 @@
       other->next_observe = now.mono;
       ScheduleCheck(*other);
     }
-    // The platform lists one life of a worker, and that is not these.
+    // The platform lists only the current incarnation of a worker, so all
+    // others are gone from its list.
     for (Worker* other : IncarnationsOf(name)) {
       if (other == slot.get()) continue;
       other->record_removed = true;
@@ -110,11 +117,13 @@
   unpersisted_workers_.insert(worker.record.id);
 }
 
-// A worker that has left does not answer the next leader, which then held back
-// all work that it had not seen for that worker's lease: 15 s where leases are
-// of 10 s, though nothing had run there for seconds. Not before its ends are
-// kept: a batch may be kept in part, its workers first, and a leader that did
-// not wait would start again what only this worker knows to be done.
+// A worker that has left does not answer the next leader. Without this record
+// that leader would hold back all tasks that it has not observed until the
+// worker's lease has expired: 15 s with leases of 10 s, even if nothing has run
+// on the worker for seconds. The worker is retired only after its ends are
+// durable: only a part of a batch may become durable, workers first, and a
+// leader that did not wait for the worker would restart tasks which only that
+// worker knows to be done.
 void JobScheduler::RetireDrainingWorker(Worker& worker) {
   if (worker.retired || !worker.record.draining || !worker.reported ||
       !worker.unacknowledged_ends.empty())
@@ -123,7 +132,7 @@
   for (const auto& [key, allocation] : worker.allocations) {
     if (tasks.empty() || tasks.back() != key.first) tasks.push_back(key.first);
   }
-  // What was told names all that is left: it need not be told again.
+  // The recorded tasks include all that are left, so the record stays valid.
   const bool already_recorded =
       std::includes(worker.last_tasks.begin(), worker.last_tasks.end(),
                     tasks.begin(), tasks.end());
@@ -148,9 +157,9 @@
 void JobScheduler::UpdateClock(Worker& worker, int64_t clock_ms,
                                absl::Time at) {
   if (clock_ms < 0) return;
-  // Answers on different connections may overtake each other.
+  // Answers on different connections may arrive out of order.
   if (worker.clock_ms >= 0 && clock_ms < worker.clock_ms) return;
-  // From its first answer on this leader may extend its lease.
+  // From the worker's first answer on, this leader may extend its lease.
   if (worker.leased_by_epoch != epoch_) PersistWorker(worker);
   worker.clock_ms = clock_ms;
   worker.clock_at = at;
@@ -248,8 +257,8 @@
       return;
     case OrderResult::kUnknown:
       RecordUnanswered(worker, now);
-      if (allocation->second.start_answered <= now.mono)
-        return;  // It was seen.
+      // The run was reported in the meantime.
+      if (allocation->second.start_answered <= now.mono) return;
       allocation->second.uncertain = true;
       allocation->second.uncertain_since = now.mono;
       worker.unresolved = true;
@@ -280,7 +289,7 @@
     default:
       break;
   }
-  // It was not started there and will not be.
+  // The worker has not started the run and will not start it.
   Release(worker, key);
   Requeue(key.first, key.second, action.worker.id,
           reply.result == OrderResult::kBadTicket
@@ -318,7 +327,8 @@
     worker.unresolved =
         worker.unresolved || allocation.uncertain || allocation.should_stop;
     const bool unresolved = allocation.uncertain && !allocation.should_stop;
-    // A listing from after it was given up does not show it: it may still come.
+    // A report that was requested after the start timed out does not contain
+    // the run, but the order may still be carried out.
     const bool not_reported =
         options_.policy.settle_soon &&
         worker.report_requested_at >= allocation.uncertain_since;
@@ -361,7 +371,8 @@
     it->second.stop_answered = std::min(it->second.stop_answered, now.mono);
     RecordAnswered(worker, now);
     worker.next_observe = now.mono;
-    // A run that is there ends soon, and a look that waits hears of that.
+    // If the run is there, it ends soon, and an observation that waits for ends
+    // reports that.
     worker.observe_now = options_.policy.settle_soon && it->second.uncertain;
     ScheduleCheck(worker);
   }
@@ -395,8 +406,8 @@
   worker.last_answer = now.mono;
   RecordAnswered(worker, now);
   AttributeUnresponsiveLosses(worker, now);
-  // A later listing was taken already: what this one shows as running may have
-  // ended.
+  // A later report was processed already, so runs that this report contains may
+  // have ended.
   if (reply.order.clock_ms < worker.report_clock_ms) {
     ++figures_.stale_reports_skipped;
     return;
@@ -415,17 +426,18 @@
   for (const RunningTask& running : reply.running)
     OnRunReported(worker, running, now);
   GiveUpMissingRuns(worker, reply, sent, now);
-  // While it holds more ends than it listed, not all that it ran is known.
+  // While the worker has more ends than it reported, some of its runs are
+  // unknown.
   if (!worker.reported && !reply.more_ends) {
     worker.reported = true;
     placement_wanted_ = true;
     if (!std::exchange(worker.persists_placements, true))
       unpersisted_workers_.insert(worker.record.id);
-    // An earlier leader may just have given the longest lease.
+    // An earlier leader may just have granted a lease of the maximum length.
     worker.lease_expires_at =
         std::max(worker.lease_expires_at, now.mono + MaxLeaseDuration());
   }
-  // While ends wait to be kept for good, another look would only list them
+  // While ends are not durable yet, another observation would only report them
   // again.
   worker.next_observe = worker.unacknowledged_ends.empty()
                             ? now.mono
@@ -440,7 +452,7 @@
 void JobScheduler::RecordAnswered(Worker& worker, Now now) {
   const absl::Time since =
       std::exchange(worker.unanswered_since, absl::InfiniteFuture());
-  // A worker that was out of reach for longer lost no single answers.
+  // A worker that was unreachable for longer has not lost single answers.
   if (since <= now.mono && now.mono - since < kLostAnswerWindow)
     answer_times_.OnLost(worker.record.id, now.mono);
 }
@@ -453,7 +465,7 @@
       HasSeenOwnFence(worker, action.order.fence, now))
     return;
   if (reply.result == OrderResult::kUnknown) RecordUnanswered(worker, now);
-  // Nobody listens there: a start would only come back.
+  // Nothing listens at the worker's address, so a start would fail, too.
   if (reply.result == OrderResult::kNotSent)
     worker.suspect_until =
         std::max(worker.suspect_until,
@@ -462,7 +474,7 @@
     worker.failing_since = now.mono;
     RecordUnresponsiveness(worker, now);
   }
-  // Another look was answered meanwhile: it is not silent.
+  // The worker has answered another call in the meantime, so it responds.
   if (worker.last_answer > sent) return;
   if (++worker.failed_observations == 1) {
     LogDecision("worker_silent",
@@ -523,19 +535,21 @@
     forget(workers_with_unacknowledged_ends_);
     actions_.push_back(ForgetWorkerAction{id});
     keys_to_drop_.push_back(KnownWorkerKey(id));
-    // A task that was placed there would else wait for all other workers.
+    // Otherwise a task that was placed there would wait for all other workers.
     MovePlacements(id, "");
     workers_.erase(worker);
   }
 }
 
-// Of one that was listed under this leader all runs are known: with none left
-// nothing there is waited for, whatever lease it had. Kept for that long, 82
-// workers that had left were still on record when all nodes lost power, and the
-// next leader's recovered work waited 11 s for them.
+// All runs of a worker that has sent a report to this leader are known. Once
+// none is left, the worker can be forgotten, whatever lease it had. If workers
+// were kept until their leases expire, a new leader would wait for them: after
+// all nodes lost power, the records of 82 workers that had left delayed
+// recovered tasks by 11 s.
 bool JobScheduler::CanBeForgotten(const Worker& worker, Now now) const {
   if (!worker.record_removed || !worker.allocations.empty()) return false;
-  // Its key is dropped in the first part of a batch that may be kept in part.
+  // The first part of a batch would drop the worker's key, and the part with
+  // its ends might not become durable.
   if (!worker.unacknowledged_ends.empty()) return false;
   if (worker.reported) return true;
   return now.mono > worker.lease_expires_at && AllAccountedFor(now);
@@ -561,7 +575,7 @@
     return worker.observations_in_flight < kMaxObservationsInFlight;
   if (worker.observations_in_flight == 0)
     return now.mono >= worker.next_observe;
-  // The answer to the one under way may be lost.
+  // The answer to the observation in flight may be lost.
   return options_.policy.settle_soon && worker.observations_in_flight == 1 &&
          worker.failed_observations == 0 &&
          answer_times_.AnswersAreLossy(now.mono) &&
@@ -594,7 +608,7 @@
     }
     worker.next_check = std::min(worker.next_check, allocation.check_at);
   }
-  // A busy worker's listings come all the time.
+  // A busy worker sends reports all the time.
   const bool reported_recently =
       now.mono - worker.report_requested_at < kOverdueCheckPeriod;
   if (overdue && !reported_recently && worker.failed_observations == 0)
@@ -610,9 +624,10 @@
   action.worker = worker.record;
   action.order.fence = worker.fence;
   action.order.ends_acknowledged = worker.ends_acknowledged;
-  // A silent worker's lease is left alone: each try might extend it unseen, and
-  // then nobody could tell when it has passed.
-  // Nor is it extended before later leaders are told that it may be.
+  // The lease of an unresponsive worker is not extended: each attempt might
+  // extend it without an answer, so that nobody could tell when it expires.
+  // Nor is a lease extended before the record that informs later leaders of it
+  // is durable.
   const bool extend = !suspended_ && worker.failed_observations == 0 &&
                       worker.known_at_batch <= durable_batch_;
   action.order.lease_until_ms = extend ? GrantLease(worker, now.mono) : 0;
@@ -626,7 +641,6 @@
   actions_.push_back(std::move(action));
 }
 
-// The first run number of an epoch; see kRunsPerEpoch.
 int32_t FirstRunOfEpoch(int64_t epoch) {
   return static_cast<int32_t>(epoch - 1) * kRunsPerEpoch + 1;
 }
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -192,9 +192,10 @@
     if (!excused) Fault(absl::StrCat("TWICE: ", name, " after it was done"));
   }
   const std::set<int32_t>& failed = failed_[FailureKey(run.task)];
-  const bool lasts =
+  const bool long_running =
       facts.spec.steps[static_cast<size_t>(run.task.step)].long_running;
-  if (!lasts && static_cast<int>(failed.size()) >= options_.max_attempts &&
+  if (!long_running &&
+      static_cast<int>(failed.size()) >= options_.max_attempts &&
       failed.count(run.run) == 0)
     Fault(absl::StrCat("BUDGET: ", name, " after ", failed.size(),
                        " failed runs"));
