--- a/keelbridge/coordination/admission.cc
+++ b/keelbridge/coordination/admission.cc
@@ -30,7 +30,7 @@
 double Admission::StartsPerSecond() const {
   if (!known()) return 0;
   const absl::Duration span = passes_.back().at - passes_.front().at;
-  // What the first look started came before the span.
+  // The tasks that the first pass counts were started before the span.
   return static_cast<double>(started_ - passes_.front().started) /
          absl::ToDoubleSeconds(span);
 }
--- a/keelbridge/coordination/admission.h
+++ b/keelbridge/coordination/admission.h
@@ -1,21 +1,22 @@
-// Whether a leader takes a new job, by how long its tasks would wait.
+// Decides whether a leader accepts a new job, by how long its tasks would wait.
 //
-// Answers a load that is more than the leader, or the workers, can carry. Jobs
-// that are taken all the same fill a backlog that nobody gets anything from:
-// each look for placements passes over it, and it still waits when the load is
-// gone. A job is refused when it would wait for so long that its result is
-// worth nothing. Refused at once, its client may come back in time.
+// Admission control protects against a load that exceeds what the leader or the
+// workers can process. Accepting all jobs builds up a backlog that is of no
+// value: each placement pass has to skip it, and it still waits when the
+// overload is over. A job is refused if it would wait for so long that its
+// result has no value. If it is refused at once, its client may retry in time.
 //
-// Timely work goes before work that is late already, and by priority; so a new
-// job waits only for timely tasks of its own priority and those before it. What
-// is late refuses nobody: with a bound on all that waits a new leader refused
-// every job for 15 s after all nodes had lost power, since 13,000 tasks waited,
-// though new ones would have begun at once.
+// Timely work precedes work that is already late, and is ordered by priority. A
+// new job therefore waits only for timely tasks of its own and of more urgent
+// priorities. Late tasks cause no refusals: with a bound on all waiting tasks,
+// a new leader refused every job for 15 s after all nodes had lost power,
+// because 13,000 tasks waited, although new tasks would have begun at once.
 //
-// Pure: backlogs and starts in, verdicts out.
+// The class is pure: its inputs are backlogs and starts, its outputs are
+// verdicts.
 //
 //   Admission admission(options);
-//   admission.OnPlacementPass(backlog, started_since, now);  // At each look.
+//   admission.OnPlacementPass(backlog, started_since, now);  // At each pass.
 //   const Admission::Verdict verdict = admission.Decide(priority, 4, patience);
 //   if (!verdict.accept) RefuseFor(verdict.retry_after);
 
@@ -30,38 +31,44 @@
 
 namespace keelbridge {
 
-// Tasks that could start now, had they room.
+// Tasks that could start now if there were capacity.
 struct Backlog {
-  std::map<int32_t, int64_t> timely;  // Whose job can be in time; by priority.
+  // By priority: tasks of jobs that can still meet their objective.
+  std::map<int32_t, int64_t> timely;
   int64_t all = 0;
 };
 
 class Admission {
  public:
   struct Options {
-    // Over which starts are counted; nothing is refused before that long.
+    // Period over which starts are counted. Nothing is refused until it has
+    // passed.
     absl::Duration window = absl::Seconds(2);
-    // A backlog of so many tasks is no overload, however slowly it starts: they
-    // may wait for advice or for one that ends.
+    // A backlog of fewer tasks is no overload, however slowly they start: they
+    // may wait for advice or for running tasks to end.
     int64_t min_backlog = 1000;
     absl::Duration min_retry_after = absl::Seconds(1);
     absl::Duration max_retry_after = absl::Seconds(5);
   };
   struct Verdict {
     bool accept = true;
-    int64_t backlog = 0;         // All tasks that wait.
-    absl::Duration wait;         // Expected, until its first task starts.
-    absl::Duration retry_after;  // When refused.
+    int64_t backlog = 0;  // All waiting tasks.
+    // Expected time until all of its tasks have started.
+    absl::Duration wait;
+    absl::Duration retry_after;  // Set if the job is refused.
   };
 
   explicit Admission(Options options) : options_(options) {}
 
-  // `started`: tasks started since the last look.
+  // Records the backlog found by a placement pass, and the number of tasks
+  // started since the last pass.
   void OnPlacementPass(Backlog backlog, int64_t started, absl::Time now);
-  // A job of `tasks` whose result is worth nothing after it waited `patience`.
+  // Decides on a job of `tasks` tasks whose result has no value once it has
+  // waited for `patience`.
   Verdict Decide(int32_t priority, int64_t tasks,
                  absl::Duration patience) const;
-  // Tasks started a second while some waited; none: not known yet.
+  // Returns the tasks started per second while tasks waited, or 0 if the rate
+  // is not known yet.
   double StartsPerSecond() const;
   bool known() const;
 
@@ -73,10 +80,10 @@
 
   const Options options_;
   Backlog backlog_;
-  // Of the window, the oldest first. Begins anew whenever nothing waits: what
-  // is started then is what comes, not what can be.
+  // The passes of the window, oldest first. Cleared whenever the backlog is
+  // small: the starts then reflect the arrival rate, not the capacity.
   std::deque<PlacementPass> passes_;
-  int64_t started_ = 0;  // Of `passes_`.
+  int64_t started_ = 0;  // Sum over `passes_`.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/admission_test.cc
+++ b/keelbridge/coordination/admission_test.cc
@@ -7,7 +7,8 @@
 
 const absl::Time kBegin = absl::UnixEpoch() + absl::Hours(1);
 
-// Two looks a second for `length`, each starting 100 tasks.
+// Simulates two placement passes per second for `length`, with 100 tasks
+// started before each.
 Admission AdmissionWithBacklog(const Backlog& backlog, absl::Duration length) {
   Admission admission{Admission::Options()};
   for (absl::Duration at; at <= length; at += absl::Milliseconds(500))
@@ -26,7 +27,9 @@
   CHECK_FALSE(after_window.Decide(0, 10, absl::Seconds(1)).accept);
 }
 
-TEST_CASE("admission: a job waits for timely work of its priority and before") {
+TEST_CASE(
+    "admission: a job waits for timely work of its own and more urgent "
+    "priorities") {
   const Admission admission = AdmissionWithBacklog(
       {{{0, 100}, {1, 300}, {2, 1000}}, 1500}, absl::Seconds(5));
   const absl::Duration patience = absl::Seconds(3);
@@ -40,9 +43,9 @@
   CHECK(admission.Decide(2, 4, absl::Seconds(10)).accept);
 }
 
-// What is late already goes behind all that is timely: after an outage a new
-// leader finds much of it, and still serves whom it can.
-TEST_CASE("admission: late work refuses nobody whom it does not delay") {
+// Late work is ordered after all timely work. After an outage a new leader
+// finds much late work and still has to accept the jobs that it can run.
+TEST_CASE("admission: late work does not cause refusals") {
   const Admission admission =
       AdmissionWithBacklog({{{0, 10}}, 19000}, absl::Seconds(5));
   CHECK(admission.Decide(0, 4, absl::Seconds(1)).accept);
@@ -55,7 +58,7 @@
   CHECK(admission.Decide(0, 1000, absl::Milliseconds(1)).accept);
 }
 
-TEST_CASE("admission: the load's end is noticed at once") {
+TEST_CASE("admission: the end of an overload takes effect at once") {
   Admission admission =
       AdmissionWithBacklog({{{0, 9000}}, 9000}, absl::Seconds(5));
   CHECK_FALSE(admission.Decide(0, 1, absl::Seconds(1)).accept);
--- a/keelbridge/coordination/answer_times.cc
+++ b/keelbridge/coordination/answer_times.cc
@@ -5,8 +5,8 @@
 namespace keelbridge {
 namespace {
 
-// Weights of a new measurement and the number of deviations that are waited
-// for, as TCP's retransmission timer has them.
+// Weights of a new measurement, and the number of deviations added to the mean,
+// as in TCP's retransmission timer.
 constexpr double kMeanWeight = 1.0 / 8;
 constexpr double kDeviationWeight = 1.0 / 4;
 constexpr double kTimeoutDeviations = 4;
--- a/keelbridge/coordination/answer_times.h
+++ b/keelbridge/coordination/answer_times.h
@@ -1,15 +1,17 @@
-// How long workers take to answer orders, and whether answers get lost.
+// Measures how long workers take to answer orders, and detects whether answers
+// get lost.
 //
-// A lost answer is settled by a look at the worker, or by a stop, so it costs
-// as long as the order is waited for. Answers come within milliseconds; how
-// many depends on the links and on how busy the leader itself is, so the wait
-// follows what was observed, as a retransmission timer does.
+// After a lost answer the state of the order is determined by an observation of
+// the worker or by a stop, so a loss costs as much time as the leader waits for
+// the answer. Answers arrive within milliseconds; the exact time depends on the
+// links and on the load of the leader itself. The timeout therefore follows the
+// measured times, like a TCP retransmission timer.
 //
-// Pure: no clock of its own.
+// The class is pure and has no clock of its own.
 //
 //   AnswerTimes times{AnswerTimes::Options()};
 //   times.OnAnswer(absl::Milliseconds(3));
-//   order.timeout = times.Patience();
+//   order.timeout = times.AnswerTimeout();
 //   times.OnLost("worker-a", now);
 //   if (times.AnswersAreLossy(now)) ...
 
@@ -25,27 +27,30 @@
 class AnswerTimes {
  public:
   struct Options {
-    // A leader of a large site comes to its sockets up to 75 ms late in bursts
-    // while no answer is lost.
+    // Bounds of the timeout. The leader of a large site reads its sockets up to
+    // 75 ms late in bursts while no answer is lost.
     absl::Duration min_timeout = absl::Milliseconds(100);
     absl::Duration max_timeout = absl::Milliseconds(300);
-    // Answers of two workers within `apart` tell of lossy answers; one worker
-    // alone may be gone.
+    // Lost answers of two workers within this interval indicate that answers
+    // get lost. A single worker may be down.
     absl::Duration correlation_window = absl::Seconds(2);
-    // Losses come in spells of seconds; each loss prolongs the spell.
+    // Losses come in periods of seconds; each loss prolongs the period by this
+    // much.
     absl::Duration loss_memory = absl::Seconds(5);
   };
 
   explicit AnswerTimes(Options options) : options_(options) {}
 
-  // An order was answered after `took`.
+  // Records that an order was answered after `took`.
   void OnAnswer(absl::Duration took);
-  // An order or a look got no answer, and the worker answers others.
+  // Records that an order or an observation got no answer although the worker
+  // answers others.
   void OnLost(const std::string& worker, absl::Time now);
 
-  // After this an order counts as unanswered.
+  // Returns the time after which an order counts as unanswered.
   absl::Duration AnswerTimeout() const;
-  // Several workers left something unanswered lately.
+  // Returns whether several workers left orders or observations unanswered
+  // recently.
   bool AnswersAreLossy(absl::Time now) const { return now < lossy_until_; }
 
  private:
--- a/keelbridge/coordination/answer_times_test.cc
+++ b/keelbridge/coordination/answer_times_test.cc
@@ -7,13 +7,13 @@
 
 const absl::Time kNow = absl::UnixEpoch() + absl::Hours(1);
 
-TEST_CASE("answer times: patience follows what answers take") {
+TEST_CASE("answer times: the timeout follows the measured answer times") {
   AnswerTimes times{AnswerTimes::Options()};
-  CHECK(times.AnswerTimeout() ==
-        absl::Milliseconds(300));  // Nothing measured yet.
+  CHECK(times.AnswerTimeout() == absl::Milliseconds(300));  // No samples yet.
   for (int i = 0; i < 50; ++i) times.OnAnswer(absl::Milliseconds(3));
   CHECK(times.AnswerTimeout() == absl::Milliseconds(100));
-  // A leader that lags sees all answers late, and gives none up for that.
+  // A lagging leader receives all answers late and must not time them out for
+  // that.
   for (int i = 0; i < 10; ++i) times.OnAnswer(absl::Milliseconds(90));
   CHECK(times.AnswerTimeout() > absl::Milliseconds(100));
   CHECK(times.AnswerTimeout() <= absl::Milliseconds(300));
@@ -21,14 +21,17 @@
   CHECK(times.AnswerTimeout() == absl::Milliseconds(100));
 }
 
-TEST_CASE("answer times: one silent worker is no sign of lossy answers") {
+TEST_CASE(
+    "answer times: one unresponsive worker does not indicate lost answers") {
   AnswerTimes times{AnswerTimes::Options()};
   for (int i = 0; i < 20; ++i)
     times.OnLost("gone", kNow + absl::Milliseconds(100) * i);
   CHECK_FALSE(times.AnswersAreLossy(kNow + absl::Seconds(2)));
 }
 
-TEST_CASE("answer times: losses of two workers at a time are, for a while") {
+TEST_CASE(
+    "answer times: concurrent losses of two workers indicate lost answers for "
+    "a while") {
   AnswerTimes times{AnswerTimes::Options()};
   times.OnLost("a", kNow);
   times.OnLost("b", kNow + absl::Seconds(3));
--- a/keelbridge/coordination/capacity_search.cc
+++ b/keelbridge/coordination/capacity_search.cc
@@ -8,22 +8,23 @@
 namespace keelbridge {
 namespace {
 
-// One more task at a candidate, and what that costs.
+// The cost of placing one more task on a candidate.
 struct Offer {
-  std::vector<size_t> preempted;  // In addition.
+  std::vector<size_t> preempted;  // Further runs to preempt.
   double cost = 0;
 };
 
-// A candidate as the search goes on.
+// The state of a candidate during the search.
 struct WorkerState {
   Resources free_capacity;
   int32_t tasks = 0;
   std::vector<size_t> preempted;
-  std::vector<size_t> by_cost;  // Runs that do not yield yet.
-  std::optional<Offer> next;    // None: nothing more fits.
+  std::vector<size_t> by_cost;  // Runs not preempted yet, cheapest first.
+  std::optional<Offer> next;    // Empty if no further task fits.
 };
 
-// Takes back what is not needed for `tasks` tasks, the dearest first.
+// Removes the preemptions that are not needed to fit `tasks` tasks, the most
+// expensive first.
 void RemoveUnneeded(const Resources& need, int32_t tasks,
                     const CapacityCandidate& worker, Resources free_capacity,
                     std::vector<size_t>* preempted) {
--- a/keelbridge/coordination/capacity_search.h
+++ b/keelbridge/coordination/capacity_search.h
@@ -1,14 +1,16 @@
-// Where tasks that are blocked get room, and which runs yield for them.
+// Searches for capacity for blocked tasks, and chooses the runs to preempt for
+// them.
 //
-// Answers a load of large tasks beside many small ones that are less urgent and
-// save their progress: the small ones fill every gap, and a large task finds
-// no worker with enough room for many times its own length.
+// It addresses a load of large tasks mixed with many small, less urgent tasks
+// that save their progress: the small tasks fill every gap, and a large task
+// finds no worker with enough free capacity for many times its own duration.
 //
-// Pure: a step's need and the workers that may run it in, choices out.
+// The search is pure: its inputs are the need of a step and the workers that
+// may run it, its outputs are choices.
 //
 //   std::vector<CapacityCandidate> workers = ...;
-//   for (const CapacityChoice& choice : ChooseCapacity(need, 2, 0.5, workers))
-//   ...
+//   auto choices = ChooseCapacity(need, count, max_cost, workers);
+//   for (const CapacityChoice& choice : choices) ...
 
 #ifndef KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
 #define KEELBRIDGE_COORDINATION_CAPACITY_SEARCH_H_
@@ -21,32 +23,33 @@
 
 namespace keelbridge {
 
-// A run that may be stopped for the step.
+// A run that may be preempted for the step.
 struct PreemptibleRun {
   Resources need;
-  double cost = 0;  // Of stopping it; the unit is the caller's.
+  double cost = 0;  // Cost of preempting it, in a unit that the caller chooses.
 };
 
 // A worker that may run the step.
 struct CapacityCandidate {
-  Resources free_capacity;  // Without stopping anything.
-  int32_t max_tasks = 0;    // Tasks of the step that it may get at most.
-  std::vector<PreemptibleRun> runs;  // That may be stopped there.
+  Resources free_capacity;  // Free without preemption.
+  int32_t max_tasks = 0;    // Maximum number of tasks of the step there.
+  std::vector<PreemptibleRun> runs;  // Runs that may be preempted.
 };
 
 struct CapacityChoice {
-  size_t candidate = 0;           // Its position.
-  int32_t tasks = 0;              // That get room there.
-  std::vector<size_t> preempted;  // Positions in `runs`.
+  size_t candidate = 0;           // Index of the candidate.
+  int32_t tasks = 0;              // Number of tasks placed there.
+  std::vector<size_t> preempted;  // Indices in `runs`.
 };
 
-// How many times `need` fits into `room`, at most `most`.
+// Returns how many times `need` fits into `free_capacity`, at most `max_tasks`.
 int32_t CountFits(const Resources& need, const Resources& free_capacity,
                   int32_t max_tasks);
 
-// Room for up to `count` tasks, the cheapest first; each candidate is named
-// once at most. Fewer when there is no room for all even so, or when what
-// yields for one task would cost more than `max_cost`.
+// Chooses capacity for up to `count` tasks, the cheapest first. Each candidate
+// appears at most once in the result. The result covers fewer tasks if the
+// capacity does not suffice even with preemption, or if the preemptions for the
+// next task would cost more than `max_cost`.
 std::vector<CapacityChoice> ChooseCapacity(
     const Resources& need, int32_t count, double max_cost,
     const std::vector<CapacityCandidate>& workers);
--- a/keelbridge/coordination/capacity_search_test.cc
+++ b/keelbridge/coordination/capacity_search_test.cc
@@ -8,7 +8,7 @@
 const Resources kLarge{31000, 45000, 8};
 const Resources kSmall{5600, 11000, 1};
 
-TEST_CASE("room search: free room is taken before anything yields") {
+TEST_CASE("room search: free capacity is used before any run is preempted") {
   std::vector<CapacityCandidate> workers(2);
   workers[0] = {{64000, 128000, 7}, 9, {{kSmall, 0.1}}};
   workers[1] = {{64000, 128000, 8}, 9, {}};
@@ -18,8 +18,9 @@
   CHECK(choices[0].preempted.empty());
 }
 
-TEST_CASE("room search: no run yields whose room is not needed") {
-  // The processors of the dear run are enough, and the cheap ones then are not.
+TEST_CASE("room search: no run is preempted without need") {
+  // The processors of the most expensive run suffice; the cheap runs are then
+  // not needed.
   std::vector<CapacityCandidate> workers(1);
   workers[0] = {{20000, 128000, 8},
                 9,
@@ -29,7 +30,9 @@
   CHECK(choices[0].preempted == std::vector<size_t>{2});
 }
 
-TEST_CASE("room search: the cheapest worker is cleared, and only as needed") {
+TEST_CASE(
+    "room search: preemption uses the cheapest worker and only as many runs as "
+    "needed") {
   std::vector<CapacityCandidate> workers(2);
   workers[0] = {{36000, 60000, 4},
                 9,
@@ -44,15 +47,17 @@
   CHECK(two[0].preempted.size() == 4);
 }
 
-TEST_CASE("room search: what does not fit even so is not cleared for") {
+TEST_CASE(
+    "room search: nothing is preempted for a task that would not fit or is not "
+    "worth it") {
   std::vector<CapacityCandidate> workers(1);
   workers[0] = {{36000, 60000, 4}, 9, {{kSmall, 0.2}}};
   CHECK(ChooseCapacity(kLarge, 1, 2, workers).empty());
-  // Nor is it where clearing costs more than the work is worth.
+  // Nothing is preempted if that costs more than the work is worth.
   workers[0].runs.assign(4, {kSmall, 0.2});
   CHECK(ChooseCapacity(kLarge, 1, 0.7, workers).empty());
   CHECK(ChooseCapacity(kLarge, 1, 0.9, workers).size() == 1);
-  // Nor where the step may have no more tasks.
+  // Nothing is chosen where the step may have no further tasks.
   workers[0] = {{64000, 128000, 8}, 0, {}};
   CHECK(ChooseCapacity(kLarge, 1, 2, workers).empty());
 }
--- a/keelbridge/coordination/crash_verdict.cc
+++ b/keelbridge/coordination/crash_verdict.cc
@@ -10,24 +10,26 @@
 namespace keelbridge {
 namespace {
 
-// A sound machine crashes no more often than this, with a wide margin: hosts
-// fail some five times a year.
+// Lower bound, with a wide margin, on the mean time between crashes of a sound
+// machine. Hosts fail about five times a year.
 constexpr absl::Duration kMeanTimeBetweenCrashes = absl::Seconds(60);
-// When a run began and when its worker was gone is known this well.
+// Error of the measured time from the start of a run to the loss of its worker.
 constexpr absl::Duration kTimingError = absl::Milliseconds(100);
-// Fewer workers that are lost at once are no wave: two may be two tasks' doing.
+// Minimum number of other workers lost at the same time that counts as a wave.
+// A single one may be lost to a different task.
 constexpr int kMinWaveLosses = 2;
-// A task is given up when a sound one would meet its crashes less often than
-// this.
+// A task is given up if the probability that a sound task meets its crashes is
+// at most this.
 constexpr double kMaxChance = 1e-4;
-// Crashes before a task is given up, and where it is not sure of two of its
-// runs that they had begun. Two may be the doing of what else began there.
+// Minimum number of crashes before a task is given up: kMinCrashes if at least
+// two of the runs are known to have begun, otherwise kMinCrashesUnconfirmed.
+// Two crashes may be caused by other tasks that began on the same workers.
 constexpr size_t kMinCrashes = 3;
 constexpr size_t kMinCrashesUnconfirmed = 4;
-// Crashes in a row after which a task is given up whatever the chance, if so
-// many of them came early: users take more starts than that for an endless
-// repeat. Of the others it may not be known when they came, since the leader
-// changed meanwhile.
+// A task is given up after kMaxConsecutiveCrashes consecutive crashes, whatever
+// their probability, if at least kMinEarlyCrashes of them came early, because
+// users consider more starts than that an endless repetition. The time of the
+// other crashes may be unknown because the leader changed in between.
 constexpr size_t kMaxConsecutiveCrashes = 4;
 constexpr size_t kMinEarlyCrashes = 3;
 
@@ -47,8 +49,9 @@
   return std::min(1.0, time_chance + wave_chance);
 }
 
-// Crashes that come by chance are taken for independent: of `expected` ones on
-// average, n or more come with the upper tail of Poisson's distribution.
+// Chance crashes are modeled as independent: given an expected number of them,
+// the number that occurs has a Poisson distribution. The result is the upper
+// tail, the probability of n or more crashes.
 double ChanceCrashesProbability(const std::vector<CrashedRun>& crashes) {
   double expected = 0;
   for (const CrashedRun& crash : crashes) expected += crash.chance;
--- a/keelbridge/coordination/crash_verdict.h
+++ b/keelbridge/coordination/crash_verdict.h
@@ -1,14 +1,14 @@
-// Whether a task is to be given up since workers crash under it.
+// Decides whether a task is given up because workers crash while they run it.
 //
-// A worker that crashes takes all its runs with it, and does not say which of
-// them did it, if any did. What tells them apart is how soon after their start
-// the crashes come: a task that crashes its workers is lost early again and
-// again, a sound one only by chance. Pure arithmetic on what is on record of
-// one task.
+// A crashed worker takes all its runs with it and does not say which of them
+// caused the crash, if any did. The time from the start of a run to the crash
+// distinguishes the two cases: a task that crashes its workers is lost shortly
+// after each start, a sound task only by chance. The functions are pure and use
+// only the recorded crashes of one task.
 //
-//   CrashContext around;
-//   around.site_workers = 48;
-//   double chance = ChanceCrashProbability(absl::Milliseconds(50), around);
+//   CrashContext context;
+//   context.site_workers = 48;
+//   double chance = ChanceCrashProbability(absl::Milliseconds(50), context);
 //   task.crashes.push_back({run, 50, chance, /*begun=*/true});
 //   if (ShouldGiveUp(task.crashes)) ...
 
@@ -23,42 +23,46 @@
 
 namespace keelbridge {
 
-// A run that went on for this long did not crash its worker by being started:
-// nothing that came before counts against its task any more.
+// A run of at least this duration shows that starting the task does not crash
+// the worker. Earlier crashes no longer count against the task.
 constexpr absl::Duration kSoundRunDuration = absl::Seconds(10);
-// A crash that comes this soon after a start makes that task a suspect, which
-// is started by itself.
+// A crash within this duration of a start makes the task a suspect. Tasks of a
+// step with suspects are started one at a time.
 constexpr absl::Duration kSuspectCrashWindow = absl::Seconds(2);
-// How long a crash counts in the history of its machine, and of the site.
+// For how long a crash counts in the history of its machine
+// (kMachineCrashWindow) and of the site (kSiteCrashWindow).
 constexpr absl::Duration kMachineCrashWindow = absl::Seconds(60);
 constexpr absl::Duration kSiteCrashWindow = absl::Seconds(10);
 
-// What else is known of a crash.
+// The circumstances of a crash, other than the run itself.
 struct CrashContext {
-  // Crashes of the same machine within `kMachineCrashWindow`, without this one:
-  // a worn machine crashes whatever runs there.
+  // Other crashes of the same machine within `kMachineCrashWindow`. A faulty
+  // machine crashes whatever it runs.
   int earlier_machine_crashes = 0;
-  // Crashes of other machines within `kSiteCrashWindow` that ran nothing of the
-  // task's step: beside tasks that crash their workers, or on a bad day, sound
-  // ones lose theirs often.
+  // Crashes within `kSiteCrashWindow` of workers on other machines that ran no
+  // task of this step. When other tasks crash their workers, or many machines
+  // fail, sound tasks often lose their workers too.
   int recent_other_crashes = 0;
-  // Workers that were lost at about the same moment and ran nothing of the
-  // task's step: what takes many at once is not one task's doing.
+  // Workers that were lost at about the same time and ran no task of this step.
+  // One task does not cause the simultaneous loss of many workers.
   int concurrent_other_losses = 0;
   int site_workers = 1;
 };
 
-// The chance that a sound task loses its worker within `ran` of its start.
+// Returns the probability that a sound task loses its worker within `ran` of
+// its start.
 double ChanceCrashProbability(absl::Duration ran, const CrashContext& context);
 
-// The chance that a sound task meets as many crashes as `crashes` by chance.
+// Returns the probability that a sound task meets at least as many crashes by
+// chance as `crashes` lists.
 double ChanceCrashesProbability(const std::vector<CrashedRun>& crashes);
 
-// Whether the crashes under a task's runs, in a row, are held to be its own
-// doing.
+// Returns whether the consecutive crashes during a task's runs are attributed
+// to the task itself.
 bool ShouldGiveUp(const std::vector<CrashedRun>& crashes);
 
-// "3 workers crashed under it, 54, 31 and 40 ms after its starts; ...".
+// Describes the crashes for an operator, for example "2 workers crashed under
+// it: run 4 after 54 ms; run 5 after 31 ms; by chance 8e-06".
 std::string DescribeCrashes(const std::vector<CrashedRun>& crashes);
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/crash_verdict_test.cc
+++ b/keelbridge/coordination/crash_verdict_test.cc
@@ -16,16 +16,17 @@
   return out;
 }
 
-TEST_CASE("crash verdict: early crashes tell, late ones do not") {
+TEST_CASE("crash verdict: early crashes count as evidence, late ones do not") {
   CHECK_FALSE(ShouldGiveUp({}));
   CHECK_FALSE(ShouldGiveUp(Crashes(1, absl::Milliseconds(10))));
-  // Two may be its neighbours' doing.
+  // Two crashes may be caused by other tasks on the same workers.
   CHECK_FALSE(ShouldGiveUp(Crashes(2, absl::Milliseconds(10))));
   CHECK(ShouldGiveUp(Crashes(3, absl::Milliseconds(10))));
   CHECK_FALSE(ShouldGiveUp(Crashes(3, absl::Seconds(9))));
 }
 
-TEST_CASE("crash verdict: what crashes often tells less of a task") {
+TEST_CASE(
+    "crash verdict: crashes of faulty machines and waves are weak evidence") {
   CrashContext faulty_machine;
   faulty_machine.earlier_machine_crashes = 19;
   CHECK_FALSE(ShouldGiveUp(Crashes(3, absl::Seconds(1), faulty_machine)));
@@ -33,12 +34,13 @@
   wave.concurrent_other_losses = 7;
   wave.site_workers = 48;
   CHECK_FALSE(ShouldGiveUp(Crashes(3, absl::Milliseconds(10), wave)));
-  // One other worker may be lost to another task: that is no wave.
+  // A single other loss may be caused by another task, so it is no wave.
   wave.concurrent_other_losses = 1;
   CHECK(ShouldGiveUp(Crashes(3, absl::Milliseconds(10), wave)));
 }
 
-TEST_CASE("crash verdict: early crashes without end are ended all the same") {
+TEST_CASE(
+    "crash verdict: a task is given up after four early crashes in any case") {
   CrashContext worst_case;
   worst_case.earlier_machine_crashes = 50;
   worst_case.concurrent_other_losses = 47;
@@ -47,7 +49,7 @@
   CHECK(ShouldGiveUp(Crashes(4, absl::Milliseconds(10), worst_case)));
 }
 
-TEST_CASE("crash verdict: runs that may not have begun count less") {
+TEST_CASE("crash verdict: runs not known to have begun count less") {
   std::vector<CrashedRun> crashes = Crashes(3, absl::Milliseconds(10));
   for (CrashedRun& crash : crashes) crash.begun = false;
   CHECK_FALSE(ShouldGiveUp(crashes));
@@ -63,7 +65,7 @@
   CHECK(ChanceCrashesProbability({}) == doctest::Approx(1));
 }
 
-TEST_CASE("crash verdict: the evidence names each run") {
+TEST_CASE("crash verdict: the description lists each run") {
   CHECK(DescribeCrashes({{4, 54, 0.002, true}, {5, 31, 0.002, false}}) ==
         "2 workers crashed under it: run 4 after 54 ms; run 5 after 31 ms, "
         "not sure to have begun; by chance 8e-06");
--- a/keelbridge/coordination/job_objective.cc
+++ b/keelbridge/coordination/job_objective.cc
@@ -6,7 +6,8 @@
 namespace keelbridge {
 namespace {
 
-// The workers that one call for advice is reckoned to name in an objective.
+// The number of workers that one advice call is assumed to name when the
+// objective is computed.
 constexpr double kAssumedNamedWorkers = 30;
 
 absl::Duration AdviceTime(const AdviceTerms& advice) {
@@ -15,7 +16,8 @@
                             kAssumedNamedWorkers * advice.per_worker_ms);
 }
 
-// The longest chain from each step on. Steps depend on earlier ones only.
+// Returns the duration of the longest chain from each step on. Steps depend on
+// earlier steps only.
 std::vector<absl::Duration> ChainsFrom(const JobSpec& spec,
                                        const AdviceTerms& advice) {
   std::vector<absl::Duration> chains(spec.steps.size());
--- a/keelbridge/coordination/job_objective.h
+++ b/keelbridge/coordination/job_objective.h
@@ -1,8 +1,8 @@
-// What a job is measured by: how long its steps take one after the other, and
-// by when it should have ended.
+// Computes the timing of a job: how long its chains of steps take, and by when
+// the job should end.
 //
-//   JobTiming times = ComputeJobTiming(job.spec, queue);
-//   absl::Duration slack = times.objective - age - times.work_from[step];
+//   JobTiming timing = ComputeJobTiming(job.spec, queue);
+//   absl::Duration slack = timing.objective - age - timing.work_from[step];
 
 #ifndef KEELBRIDGE_COORDINATION_JOB_OBJECTIVE_H_
 #define KEELBRIDGE_COORDINATION_JOB_OBJECTIVE_H_
@@ -15,14 +15,15 @@
 
 namespace keelbridge {
 
-// A job that takes up to this many objectives still earns a little.
+// A job that ends within this multiple of its objective still earns a part of
+// its value.
 constexpr int kMaxObjectiveFactor = 3;
 
 struct JobTiming {
-  // From the job's acceptance, within which it should end.
+  // The time from the job's acceptance within which it should end.
   absl::Duration objective;
-  // The estimate of the longest chain of steps that begins with each step, with
-  // a call for advice before each where that is needed.
+  // The estimated duration of the longest chain of steps that begins with each
+  // step, including an advice call before each step where one is needed.
   std::vector<absl::Duration> work_from;
 };
 
--- a/keelbridge/coordination/job_scheduler.h
+++ b/keelbridge/coordination/job_scheduler.h
@@ -497,19 +497,22 @@
   void RetireDrainingWorker(Worker& worker);
 
   // job_scheduler_losses.cc
-  // Another life of its machine has answered since the worker did.
+  // Returns whether another incarnation of the worker's machine has answered
+  // more recently than the worker.
   bool AnotherIncarnationAnswered(const Worker& worker) const;
-  // Since when the worker may be gone: its first failed look or order.
+  // Returns since when the worker may be lost: the time of the first unanswered
+  // observation or order.
   static absl::Time LostSince(const Worker& worker, Now now);
-  // All that runs on the worker is lost with it and waits again, but for what
-  // may be on `next`, the worker's life that is there now. Null: none is known.
+  // Handles the loss of a worker. Its tasks wait again, except those whose runs
+  // may be carried out by `next`, the worker's current incarnation. `next` is
+  // null if no other incarnation is known.
   void HandleWorkerLoss(Worker& worker, WorkerLoss loss, Worker* next, Now now);
   static absl::Duration RunDurationUntil(const Allocation& allocation,
                                          absl::Time lost);
   struct Suspicion {
     // Those that had been at work for less.
     absl::Duration within = absl::InfiniteDuration();
-    bool begun_only = false;  // Those that surely had begun.
+    bool begun_only = false;  // Only runs that are known to have begun.
   };
   // A worker that crashed.
   struct Crash {
@@ -517,62 +520,84 @@
     int earlier_machine_crashes = 0;
     Suspicion suspicion;
   };
+  // Returns whether a suspect task had been started on the worker shortly
+  // before it was lost.
   static bool IsCausedBySuspect(const Worker& worker, absl::Time lost);
-  // Runs that were lost with a silent worker are held against their tasks once
-  // another life answers at its machine.
+  // Remembers the suspect runs of an unresponsive worker whose lease has
+  // expired. `AttributeUnresponsiveLosses` attributes the crash to them if
+  // another incarnation answers at the worker's machine.
   void RecordUnresponsiveLoss(const Worker& worker, const Allocations& runs,
                               const Crash& crash, Now now);
+  // Called when `answering` answers. Attributes the earlier loss of an
+  // unresponsive worker at the same machine, if that worker was another
+  // incarnation.
   void AttributeUnresponsiveLosses(const Worker& answering, Now now);
-  // Returns how often the worker's machine had crashed lately.
+  // Records the crash of a worker. Returns how many earlier crashes of its
+  // machine are recorded.
   int RecordCrash(const Worker& worker, const Allocations& runs,
                   absl::Time lost);
-  // Other workers that were lost at that time and ran nothing of the step.
+  // Returns the number of other workers that were lost at about the same time
+  // and ran no task of the step.
   int CountConcurrentLosses(const TaskId& step, const std::string& worker_id,
                             absl::Time lost) const;
-  // Which of the runs that were lost with a worker may have crashed it.
+  // Returns the criteria for the runs that may have crashed the worker.
   static Suspicion FindSuspicion(const Allocations& runs, absl::Time lost,
                                  Now now);
   static bool IsSuspectRun(const Allocation& allocation, absl::Time lost,
                            const Suspicion& suspicion, Now now);
-  // Holds the crash of a worker against a run that was lost with it.
+  // Attributes the crash of a worker to a run that was lost with it, if the run
+  // is a suspect.
   void AttributeCrash(const Worker& worker, const RunKey& key,
                       const Allocations& runs, const Crash& crash, Now now);
-  // A worker was lost: what others that were lost at about the same moment are
-  // charged with weighs less.
+  // Recomputes the probability of the crashes attributed at about the time
+  // `lost`. The loss of another worker at that time weakens the evidence
+  // against each task.
   void ReviseAttributions(absl::Time lost);
+  // Adds a crash to the record of the task, and ends the job if the task is
+  // given up.
   void AddTaskCrash(Job& job, const TaskId& id, CrashedRun crash,
                     const std::string& worker, Now now);
-  // The same for runs that only the record of an earlier leader tells of.
+  // Attributes the crash of a worker to runs that are known only from the
+  // durable record of an earlier leader.
   void AttributeUnobservedCrash(const Worker& worker, Now now);
+  // Loads the recorded suspects of crashes from the jobs of earlier leaders.
   void LoadExposedRuns();
+  // Records on the task that the run may crash, or have crashed, its worker.
   void RecordExposedRun(Job& job, const TaskId& id, ExposedRun run);
-  // A recovered task that this leader had not seen is started.
+  // Records the start of a recovered task that this leader had not observed.
   void RecordUnobservedStart(const ReadyStep& ready, const TaskId& task,
                              const StartAction& action, Now now);
-  // The worker answers no more.
+  // Records the runs that may have crashed a worker that stops responding.
   void RecordUnresponsiveness(Worker& worker, Now now);
-  // Workers crashed under the task's last runs.
+  // Returns whether workers crashed during the task's most recent runs.
   static bool IsSuspectTask(const ReadyStep& ready, const TaskState& task);
-  // So many that its next start must be on record before its order leaves.
+  // Returns whether the task has so many crashes that its next start must be
+  // durable before the order is sent.
   static bool MustBeDurable(const ReadyStep& ready, const TaskState& task);
-  // The task is done, or at work for that long on a worker that answers.
+  // Returns whether the task is done, or has run for `time` on a worker that
+  // still answers.
   bool HasRunFor(const TaskState& task, const TaskId& id, absl::Duration time,
                  Now now);
-  // The worker gave an answer since then; has it asked for one, if not.
+  // Returns whether the worker has answered at or after `since`. If not,
+  // requests an observation once `since` has passed.
   bool AnsweredSince(Worker& worker, absl::Time since, Now now);
   static bool IsOnProbation(const Worker& worker);
-  // Tasks of the step that may start now, for all that is held against it.
+  // Returns how many tasks of the step may start now, given the crashes
+  // attributed to them.
   int32_t SuspectStartLimit(ReadyStep& ready, Now now);
-  // Some workers only, until one of the step's tasks was at work for a while.
+  // Limits the step to some of the workers until one of its tasks has run for
+  // some time.
   WorkerQuota ComputeWorkerQuota(ReadyStep& ready, Now now);
-  // The less, the less is lost should the worker crash.
+  // Returns a score for starting a suspect task on the worker. A lower score
+  // means that less is lost if the worker crashes.
   double ProbeScore(const Worker& worker, Now now) const;
-  // The task was just started there under suspicion: nothing else is for a
-  // while.
+  // Puts a worker on which a suspect task was just started on probation:
+  // nothing else starts there for a while.
   void PutOnProbation(ReadyStep& ready, int32_t index, Worker& worker, Now now);
-  // The worker answers again.
+  // Clears the unresponsive state of a worker that answers again.
   void ClearUnresponsiveness(Worker& worker);
-  // `beside`: other runs that were lost with it.
+  // Logs the loss of a run. `co_located_runs` is the number of other runs that
+  // were lost with the worker.
   void ExplainLostRun(const Worker& worker, const RunKey& key,
                       const Allocation& allocation, size_t co_located_runs,
                       absl::Time lost, Now now);
@@ -671,69 +696,91 @@
   void OnRunEnded(Worker& worker, const EndedTask& end, Now now);
   void OnTaskDone(Job& job, const EndedTask& end, Now now);
   void OnTaskFailed(Worker& worker, Job& job, const EndedTask& end, Now now);
-  // Ends jobs that have used up their attempts by the configuration as it is
-  // now: an end may have been heard before the queue was known.
+  // Ends jobs with a task that has used all its attempts. The configuration
+  // that is in force now decides, because a failure may have been reported
+  // before the queue was known.
   void FailExhaustedJobs(Now now);
-  const Queue* FindQueue(const Job& job) const;  // Null: not known.
+  const Queue* FindQueue(const Job& job) const;  // Null if unknown.
   void OnRunReported(Worker& worker, const RunningTask& running, Now now);
+  // Gives up the runs that a worker's report does not contain although it would
+  // if they were there.
   void GiveUpMissingRuns(Worker& worker, const ObserveReply& reply,
                          absl::Time sent, Now now);
 
   // job_scheduler_placement.cc
-  // By the configuration in force; kept until that changes or the job ends.
+  // Returns the objective and estimates of the job by the configuration in
+  // force. The result is cached until the configuration changes or the job
+  // ends.
   const JobTiming& GetJobTiming(const Job& job, const Queue& queue);
   void PlaceAll(Now now);
   std::vector<ReadyStep> CollectReadySteps(Now now);
-  // What the admission of new jobs goes by.
+  // Reports the backlog and the starts since the last pass to the admission
+  // control.
   void ReportBacklog(const std::vector<ReadyStep>& ready, Now now);
-  // Counts it, and decides whether late steps are looked at.
+  // Counts the placement pass, and decides whether it examines late steps.
   void CountPlacementPass(const std::vector<ReadyStep>& ready, Now now);
   static bool IsLate(const ReadyStep& ready);
+  // Returns whether the step may wait for a later pass when late steps are
+  // skipped.
   static bool MayDefer(const ReadyStep& ready);
   void PlaceSingleTasks(ReadyStep& ready, Now now);
-  // Starts waiting tasks, those under suspicion or the others, `may_start` at
-  // most. False: no more of the step start in this look.
+  // Starts at most `may_start` waiting tasks: the suspects if `suspects`, else
+  // the others. Returns false if no more tasks of the step can start in this
+  // pass.
   bool PlaceTasks(ReadyStep& ready, bool suspects,
                   const std::vector<Worker*>& usable, WorkerQuota& quota,
                   int32_t* may_start, Now now);
-  // Null: none has room. `probe`: where least is lost if it crashes.
+  // Returns the best worker with capacity for the task, or null if there is
+  // none. With `probe`, prefers the worker where a crash would lose the least.
   Worker* FindBestWorker(const ReadyStep& ready, const TaskState& task,
                          bool probe, const std::vector<Worker*>& usable,
                          const WorkerQuota& quota, Now now) const;
-  // Those that may run the step now, with a ticket where one is needed.
+  // Returns the workers that may run the step now, with a ticket where one is
+  // needed.
   std::vector<Worker*> FindUsableWorkers(const ReadyStep& ready, Now now);
-  // The less, the better the worker suits the task.
+  // Returns a score for the task on the worker; lower is better.
   static double PlacementScore(const Worker& worker, const ReadyStep& ready,
                                const TaskState& task);
   void StartTask(ReadyStep& ready, int32_t index, int32_t run, Worker& worker,
                  Now now);
+  // Returns whether the worker may be assigned tasks of the step now, apart
+  // from tickets and free capacity.
   bool MayRun(const Worker& worker, const ReadyStep& ready, Now now);
   int32_t CountFittingTasks(const Worker& worker, const ReadyStep& ready,
                             const Resources& free_capacity) const;
   int32_t CountPlacedTasks(const Worker& worker, const ReadyStep& ready) const;
+  // Records and logs why the step cannot start.
   void RecordBlocked(ReadyStep& ready, const char* why);
-  // The most that any worker has free, each resource by itself.
+  // Returns the maximum free amount of each resource over all workers, each
+  // taken separately.
   Resources MaxFreeResources() const;
-  // Keeps room for a blocked step, if it is among those that may.
+  // Reserves capacity for a blocked step if the limits on reserving steps allow
+  // it.
   void MaybeReserveCapacity(ReadyStep& step, ReservingSteps& kept, Now now);
-  // Asks for advice on a blocked step, if that can bring it anything.
+  // Requests advice for a blocked step unless other requests already cover the
+  // free capacity of the pool.
   void MaybeAskAdvice(ReadyStep& step, const PoolCapacity& pool, Now now);
-  // By the pool's name.
+  // Returns the capacity of each pool, by pool name.
   std::map<std::string, PoolCapacity> FindPoolCapacity() const;
+  // Returns whether the step depends on a step that ended under this leader.
   static bool FollowsStepEndedHere(const Job& job, const Round& round,
                                    size_t step);
+  // Returns whether the task waits and no retry delay, earlier lease or
+  // unanswered order forbids starting it now.
   bool MayStart(const ReadyStep& ready, const TaskState& task, Now now);
-  // Whether tasks of a lasting step have stopped running and wait for longer
-  // than they should.
+  // Returns whether tasks of a long-running step have been down for longer than
+  // is tolerated.
   bool IsDown(const ReadyStep& ready, Now now);
-  // Tasks of a lasting step that are to start again once the lease of their
-  // silent worker has passed, which is soon.
+  // Returns the number of tasks of a long-running step that will start again
+  // soon, when the lease of their unresponsive worker expires.
   int32_t CountSoonLost(const StepSpec& spec, const StepState& step,
                         Now now) const;
-  // Tasks of a lasting step at work on workers that are about to leave.
+  // Returns the indices of the running tasks of a long-running step whose
+  // workers are about to leave.
   std::vector<int32_t> FindTasksOnLeavingWorkers(const StepSpec& spec,
                                                  const StepState& step) const;
-  // Stops one of them for which there is room elsewhere now.
+  // Stops one task on a leaving worker if another worker has capacity for it
+  // now, so that the task starts there.
   void MoveTaskFromLeavingWorker(ReadyStep& ready, Now now);
 
   // job_scheduler_waiting.cc
@@ -747,7 +794,8 @@
     int32_t workers_bad = 0;  // Known not to be allowed to.
   };
   WaitingRoom FindWaitingCapacity(const ReadyStep& ready, Now now) const;
-  // Tells of some of the steps that have waited for long, once in a while.
+  // Logs some of the steps that have waited for long, at most once per
+  // interval.
   void ExplainWaiting(const std::vector<ReadyStep>& ready, Now now);
 
   // job_scheduler_pending_starts.cc
@@ -767,81 +815,93 @@
 
   // job_scheduler_gangs.cc
   void PlaceGang(ReadyStep& ready, Now now);
-  // Of a gang some of whose members are placed: places or stops the rest. False
-  // when none is placed.
+  // Places the remaining members of a partly placed gang, or stops the placed
+  // ones. Returns false if no member is placed.
   bool CompleteGang(ReadyStep& ready, Now now);
 
   // job_scheduler_room.cc
   struct ReservationOption;
-  // Keeps room for a blocked step from all that is ordered behind it, where it
-  // gets room soonest, and stops less urgent runs for it.
+  // Reserves capacity for a blocked step ahead of all steps ordered after it,
+  // where capacity becomes free soonest, and preempts less urgent runs for it.
   void ReserveCapacity(ReadyStep& ready, Now now);
-  // Workers that may run the step once they have room.
+  // Returns the workers that may run the step once they have capacity.
   std::vector<Worker*> FindWorkersToReserve(const ReadyStep& ready, Now now);
   std::vector<ReservationOption> FindReservationOptions(const ReadyStep& ready,
                                                         Now now);
   void AddPreemptibleRuns(const ReadyStep& ready, ReservationOption& option,
                           Now now);
-  // Notes whether and for how long the run may yield.
+  // Records whether and until when the run may be preempted.
   void UpdatePreemptibility(Allocation& allocation, const TaskId& task,
                             Now now);
-  // What stopping the run for `ready` costs; none: it does not yield.
+  // Returns the cost of preempting the run for `ready`, or nullopt if the run
+  // may not be preempted.
   std::optional<double> PreemptionCost(const Worker& worker,
                                        const Allocation& allocation,
                                        const ReadyStep& ready, Now now) const;
   void MarkStopping(Worker& worker, Allocation& allocation);
   void Preempt(Worker& worker, const RunKey& key, const ReadyStep& ready);
   void ReserveOnWorker(Worker& worker, int32_t tasks, ReadyStep& ready);
-  // For a gang: if all that it needs is free now; false: nothing is held.
+  // Reserves free capacity for a whole gang. Returns false, and reserves
+  // nothing, if the gang does not fit.
   bool ReserveFreeCapacity(ReadyStep& ready, Now now);
-  // Holds what is free, ends by request or yields; returns for how many tasks.
+  // Reserves capacity that is free, is being freed by stops in progress, or is
+  // made by preemption. Returns the number of tasks covered.
   int32_t ReserveUpcomingCapacity(ReadyStep& ready,
                                   std::vector<ReservationOption>& options,
                                   Now now);
-  // Holds for so many tasks where room comes without anybody's yielding.
+  // Reserves capacity for `tasks` tasks, without preemption, on the workers
+  // with the most free capacity.
   void ReserveOnLeastUsedWorkers(ReadyStep& ready, int32_t tasks,
                                  std::vector<ReservationOption>& options);
-  // Of one that may run the step.
+  // Returns the share of a worker that one task of the step needs.
   static double TaskShareOfWorker(
       const ReadyStep& ready, const std::vector<ReservationOption>& options);
-  // Keeps what was kept at the last search.
+  // Renews the reservations of the last search.
   void RenewReservation(ReadyStep& ready);
 
   // job_scheduler_advice.cc
-  // Whether an order that leaves now arrives while the ticket holds.
+  // Returns whether the ticket is still valid when an order that is sent now
+  // arrives.
   static bool IsTicketValid(const StepAdvice::Ticket& ticket, Now now);
   bool HasTicket(const Worker& worker, const ReadyStep& ready, Now now) const;
-  // The same when one that is asked for now may come.
+  // Returns whether the step has a ticket of the worker that will still be
+  // valid when the answer to an advice request sent now arrives.
   bool HasTicketBeyondNextCall(const Worker& worker, const ReadyStep& ready,
                                Now now) const;
   // A worker for which a step lacks a ticket.
   struct AdviceCandidate;
-  // Workers that a call for advice on the queue names although fewer would do;
-  // 0: none.
+  // Returns how many workers an advice call for the queue names even if fewer
+  // would suffice, because naming them costs little. 0: the call names no more
+  // than needed.
   size_t CheapNameCount(const Queue& queue) const;
-  // Whether the step keeps room at a worker for which its ticket runs out.
+  // Returns whether the step has reserved capacity on a worker for which its
+  // ticket expires soon.
   bool ReservedTicketExpires(const ReadyStep& ready, Now now) const;
-  // The share of workers that may run a step of the queue, as far as learnt.
+  // Returns the learned share of workers that may run a step of the queue.
   double EligibleShare(const Queue& queue) const;
   // A worker that a call names, and the processors hoped for there.
   struct NamedWorker {
     Worker* worker;
     int32_t expected_cpu_milli;
   };
-  // One call. False: no node is free for it.
+  // Makes one advice call. Returns false if no adviser is free.
   bool AskAdvice(ReadyStep& ready, const NamedWorker* named, size_t count,
                  Now now);
-  // In so many calls side by side, at most, as naming them takes.
+  // Makes as many concurrent advice calls as are needed to name all of `named`,
+  // at most `most_calls`.
   void AskAdvice(ReadyStep& ready, const std::vector<NamedWorker>& named,
                  size_t most_calls, Now now);
-  // Processors of as many tasks of the step as may start at one worker.
+  // Returns the processors, in thousandths, that `tasks` tasks of the step are
+  // expected to use on one worker. Counts at most the waiting tasks.
   static int32_t ExpectedMilli(const ReadyStep& ready, double tasks);
+  // Undoes the expected use of workers that an answered call had named.
   void ReleaseExpectedUse(const AskAdviceAction& action);
-  // What is free on a worker and not kept for others.
+  // Returns the free capacity of a worker that is not reserved.
   static Resources UnreservedCapacity(const Worker& worker) {
     return worker.free - worker.reserved;
   }
-  // The same, without what is hoped for by others.
+  // Returns the free capacity of a worker that is neither reserved nor expected
+  // to be used by pending advice calls.
   static Resources UnclaimedCapacity(const Worker& worker);
   void EnsureSingleTaskAdvice(ReadyStep& ready, Now now);
   void EnsureGangAdvice(ReadyStep& ready, Now now);
@@ -855,10 +915,13 @@
   };
   GangCandidates FindGangCandidates(const ReadyStep& ready, Now now);
   Adviser* FindFreeAdviser(double cost_ms, Now now);
-  // How many calls gangs may make beside the first one of each.
+  // Returns how many further advice calls gangs may have in progress in
+  // addition to the first call of each gang.
   size_t ExtraGangCallsLeft(const std::vector<ReadyStep>& ready) const;
+  // Returns the interval between two candidate searches of a step.
   absl::Duration AdviceSearchInterval() const;
-  // Whether the step may search for whom to ask now; counts the search.
+  // Returns whether the step may search for advice candidates now, and counts
+  // the search.
   bool TryTakeAdviceSearch(const ReadyStep& ready, Now now);
 
   const Options options_;
--- a/keelbridge/coordination/job_scheduler_advice.cc
+++ b/keelbridge/coordination/job_scheduler_advice.cc
@@ -1,4 +1,5 @@
-// Whom to ask which workers may run a step, when, and about how many.
+// Decides which adviser to ask, when, and about which workers, to learn where a
+// step may run.
 
 #include <algorithm>
 
@@ -8,53 +9,61 @@
 namespace keelbridge {
 namespace {
 
-// A ticket must hold for at least this long when the order leaves.
+// Minimum remaining validity of a ticket when the order is sent.
 constexpr absl::Duration kTicketMargin = absl::Milliseconds(150);
-// A ticket counts as that much shorter than told, for the answer's way.
+// Subtracted from the stated validity of a ticket for the time the answer was
+// in transit.
 constexpr absl::Duration kTicketTransitTime = absl::Milliseconds(20);
 constexpr absl::Duration kAdviceRetry = absl::Milliseconds(150);
-// A step that was answered and still lacks workers asks again after this, and
-// after twice as long each time.
+// Delay before a step that received an answer but still lacks workers asks
+// again. It doubles with each call, at most `kMaxDoublings` times.
 constexpr absl::Duration kAskAgainDelay = absl::Milliseconds(60);
 constexpr int32_t kMaxDoublings = 3;
-// Between two searches for whom to ask, for a step that has no reason to ask:
-// the more steps wait, the rarer, so that blocked ones leave searches to those
-// behind them.
+// Interval between two candidate searches for a step that has no reason to ask.
+// It grows with the number of waiting steps, so that blocked steps leave
+// searches to the steps ordered after them.
 constexpr absl::Duration kMinSearchInterval = absl::Milliseconds(20);
 constexpr absl::Duration kSearchIntervalPerStep = absl::Microseconds(500);
 constexpr absl::Duration kMaxSearchInterval = absl::Milliseconds(200);
 constexpr absl::Duration kAdviserAvoidance = absl::Seconds(1);
-// Calls that take less are short: they never stand behind long ones.
+// Calls expected to take less than this are short: they never queue behind long
+// calls.
 constexpr double kShortAdviceMs = 100;
-// At most this much advice may wait at one node, beside what is under way.
+// Maximum time for which a new call, short or long, may have to wait for
+// earlier calls of the same adviser.
 constexpr absl::Duration kShortBacklog = absl::Milliseconds(300);
 constexpr absl::Duration kLongBacklog = absl::Milliseconds(200);
-// The share of workers that may run a step, until it is learnt.
+// Assumed share of workers that may run a step, until it is learned.
 constexpr double kInitialEligibleShare = 0.5;
-constexpr double kEligibleShareWeight = 0.2;  // Of a new answer.
+// Weight of a new answer in the learned share.
+constexpr double kEligibleShareWeight = 0.2;
 constexpr double kMinEligibleShare = 0.1;
-// How much more room to ask for than is needed, since answers scatter, and
-// since others take room while an answer is on its way.
+// Advice is requested for this multiple of the capacity that is needed, because
+// answers scatter, and because other steps use capacity while an answer is in
+// transit.
 constexpr double kAdviceMargin = 1.4;
 constexpr double kGangMargin = 2.0;
-constexpr size_t kMaxNamedWorkers = 100;  // The advice service takes no more.
-// Most calls under way for one gang, only for gangs that may hold room or whose
-// pool idles. Four name 400 workers, of which 100 may run it where a quarter of
-// all may.
+// Limit of the advice service for one call.
+constexpr size_t kMaxNamedWorkers = 100;
+// Maximum number of concurrent calls for one gang; only gangs that may reserve
+// capacity or whose pool is idle make more than one. Four calls name 400
+// workers, of which 100 may run the gang if a quarter of all workers may.
 constexpr size_t kMaxConcurrentCalls = 4;
-// Gangs may keep this share of the advisers busy, so that the others are left
-// to other steps: what each gang asks first, and calls beside. The four gangs
-// that hold room make so many calls beside at any time.
+// Share of the advisers that gangs may use, so that the rest is left to other
+// steps. It covers the first call of each gang and further concurrent calls. At
+// least `kMinExtraGangCalls` further calls are always allowed, enough for the
+// four gangs that reserve capacity.
 constexpr double kGangAdviserShare = 0.5;
 constexpr size_t kMinExtraGangCalls = 16;
 constexpr size_t kMinNamedWorkers = 4;
-// A call may name so many workers that naming them takes this share of what it
-// takes to be called at all: a call that names too few is made again, and that
-// costs all of it.
+// Cost of naming workers in one call, as a share of the fixed cost of the call,
+// up to which a call names more workers than it needs. A call that names too
+// few has to be repeated at its full cost.
 constexpr double kNamingCostShare = 0.5;
-// Short calls name more than they need only while so few steps wait: there are
-// many of them. Naming 35 workers where 4 do served 0.55 of the worth on a site
-// of 350 workers instead of 0.78, by its leader's processor (one play each).
+// Short calls name more workers than they need only while at most this many
+// steps wait, because there are many such calls. Naming 35 workers where 4
+// sufficed earned 0.55 of the value on a site of 350 workers instead of 0.78,
+// limited by the leader's processor (one simulated run each).
 constexpr size_t kMaxStepsForExtraNames = 20;
 
 }  // namespace
@@ -70,7 +79,7 @@
     }
     next.push_back(adviser);
   }
-  // With enough nodes two are kept free of long calls.
+  // With enough nodes, one or two take no long calls.
   std::sort(next.begin(), next.end(), [&](const Adviser& a, const Adviser& b) {
     return std::make_pair(a.node != self, a.node) <
            std::make_pair(b.node != self, b.node);
@@ -116,7 +125,7 @@
                     kMinSearchInterval, kMaxSearchInterval);
 }
 
-// Most steps of a site that is behind find no node free to ask: that is seen
+// On a site with a backlog most steps find no free adviser. This is checked
 // before all workers are searched on their behalf.
 bool JobScheduler::TryTakeAdviceSearch(const ReadyStep& ready, Now now) {
   const StepAdvice& advice = ready.state->advice;
@@ -239,7 +248,8 @@
   if (named.empty()) return;
   const size_t count = std::min(named.size(), most_calls * kMaxNamedWorkers);
   const size_t calls = (count + kMaxNamedWorkers - 1) / kMaxNamedWorkers;
-  // As long as each other: their tickets hold at the same time.
+  // All calls name about equally many workers, so that their answers arrive
+  // together and their tickets are valid at the same time.
   for (size_t call = 0; call < calls; ++call) {
     const size_t begin = count * call / calls;
     const size_t end = count * (call + 1) / calls;
@@ -261,11 +271,11 @@
 
 struct JobScheduler::AdviceCandidate {
   Worker* worker;
-  int32_t fits;           // Tasks, now.
-  int32_t whole;          // Tasks, when nothing else runs there.
-  bool good;              // Known to be allowed to run the step.
-  size_t number;          // In the order of the workers' names.
-  bool reserved = false;  // Room is kept there for the step.
+  int32_t fits;   // Number of tasks that fit now.
+  int32_t whole;  // Number of tasks that fit when nothing else runs there.
+  bool good;      // Known to be allowed to run the step.
+  size_t number;  // Rank in the order of worker ids.
+  bool reserved = false;  // Capacity is reserved there for the step.
 };
 
 void JobScheduler::EnsureSingleTaskAdvice(ReadyStep& ready, Now now) {
@@ -279,7 +289,8 @@
   bool any_unknown = false;
   const Resources need = CapacityNeeded(*ready.spec);
   for (auto& [id, worker] : workers_) {
-    // Most workers of a busy site have no room: the cheapest test comes first.
+    // Most workers of a busy site have no free capacity, so the cheapest test
+    // comes first.
     if (!by_cost && !need.FitsIn(worker->free)) continue;
     if (!MayRun(*worker, ready, now)) continue;
     if (!advice.tickets.empty() && HasTicket(*worker, ready, now)) {
@@ -299,8 +310,8 @@
     any_unknown = any_unknown || !good;
     candidates.push_back({worker.get(), fits, whole, good, candidates.size()});
   }
-  // A blocked step learns who may run it before there is room, and keeps the
-  // tickets fresh where room is kept for it.
+  // A blocked step learns which workers may run it before there is capacity,
+  // and renews the tickets of workers on which capacity is reserved for it.
   const bool asks_ahead = by_cost && options_.policy.hold_room &&
                           ready.may_reserve &&
                           ((any_unknown && ready.state->reserved.empty()) ||
@@ -335,11 +346,11 @@
   AskAdvice(ready, named, 1, now);
 }
 
-// What a call names for a gang: workers, in this order.
+// The workers that advice calls for a gang name, in this order.
 struct JobScheduler::GangCall {
   std::vector<NamedWorker> named;
-  double expected = 0;    // Tasks that those named are hoped to take.
-  double first_call = 0;  // Of these, what one call names.
+  double expected = 0;    // Tasks expected to fit on the named workers.
+  double first_call = 0;  // The part of `expected` that one call covers.
 
   void Add(const AdviceCandidate& candidate, double tasks,
            int32_t expected_gain) {
@@ -362,7 +373,7 @@
     const auto known = advice.known.find(id);
     const bool is_known = known != advice.known.end();
     if (is_known && !known->second) continue;
-    // What is kept here for this step is room that it may have.
+    // Capacity that is reserved for this step is available to it.
     Resources available = UnreservedCapacity(*worker);
     const auto kept = own_reserved.find(id);
     const bool reserved = kept != own_reserved.end();
@@ -383,7 +394,8 @@
       out.good_whole += candidate.whole;
     }
   }
-  // Others may take what is not held while the answer is on its way.
+  // Reserved workers come first: other steps may use unreserved capacity while
+  // the answer is in transit.
   const auto by_capacity = [](const AdviceCandidate& a,
                               const AdviceCandidate& b) {
     const auto rank = [](const AdviceCandidate& one) {
@@ -411,8 +423,9 @@
   for (const AdviceCandidate& candidate : candidates.unknown)
     expected_now += candidate.fits * share;
   const bool fits_now = candidates.good_now >= ready.spec->count;
-  // Others are asked about when those known to be good have no room now and
-  // the others may, or when too few are known to be good at all.
+  // Asks about workers of unknown eligibility when the eligible ones have no
+  // capacity now but the unknown ones may have, or when too few workers are
+  // known to be eligible.
   const bool ask_unknown =
       !fits_now && !candidates.unknown.empty() &&
       (expected_now >= count || candidates.good_whole < count * kAdviceMargin);
@@ -423,8 +436,8 @@
     return;
   }
   const size_t cheap_count = by_cost ? CheapNameCount(*ready.queue) : 0;
-  // Fresh tickets for the good ones that have room, with some to spare: others
-  // take room while the answer is on its way.
+  // Renews the tickets of eligible workers with free capacity, with a margin:
+  // other steps use capacity while the answer is in transit.
   GangCall names;
   for (const AdviceCandidate& candidate : candidates.good) {
     const bool enough =
@@ -447,9 +460,10 @@
   size_t calls = 1;
   if (names.named.size() > kMaxNamedWorkers &&
       names.first_call < kAdviceMargin * count) {
-    // One call may not bring the tickets, and those of calls one after the
-    // other do not hold together: a gang of 91 tasks on half a worker each
-    // asked 24 times in 57 s and did not start, with half of the site free.
+    // One call may not yield enough tickets, and the tickets of consecutive
+    // calls are not valid at the same time: a gang of 91 tasks, each on half a
+    // worker, asked 24 times in 57 s and did not start, with half of the site
+    // free.
     if ((ready.may_reserve && expected_now >= count) ||
         ready.pool_mostly_idle) {
       calls = std::min(kMaxConcurrentCalls, 1 + concurrent_calls_left_);
--- a/keelbridge/coordination/job_scheduler_advice_test.cc
+++ b/keelbridge/coordination/job_scheduler_advice_test.cc
@@ -1,4 +1,5 @@
-// Whom the scheduler asks for advice, and what it starts, moves and holds back.
+// Tests whom the scheduler asks for advice, and which tasks it starts, moves
+// and delays.
 
 #include <doctest/doctest.h>
 
@@ -14,7 +15,7 @@
 namespace {
 
 TEST_CASE(
-    "job scheduler: a gang whose good workers are full asks about others") {
+    "job scheduler: a gang whose eligible workers are full asks about others") {
   SchedulerDriver site(1);
   site.UseAdvice();
   for (const char* id : {"a", "b", "c", "d", "e", "f", "g", "h", "i", "z"}) {
@@ -28,7 +29,8 @@
   gang.steps[0].gang = true;
   JobSpec filler;
   filler.steps.push_back(OneTask(8000));
-  // While the answer is on its way, others take both workers that it will name.
+  // While the answer is in transit, other tasks fill both workers that it will
+  // name.
   site.hold_advice = true;
   site.scheduler().Submit(1, "restore", gang, site.now());
   site.RunUntil(absl::Milliseconds(200));
@@ -43,7 +45,7 @@
   CHECK(site.start_workers[2] == "z");
 }
 
-TEST_CASE("job scheduler: advice is asked only for work that has room") {
+TEST_CASE("job scheduler: advice is requested only for work that fits") {
   SchedulerDriver site(1);
   site.UseAdvice();
   site.UseAdvisers(40);
@@ -52,7 +54,7 @@
     site.AddWorker(id);
     site.reports[id];
   }
-  // Each worker has room for one task at a time: 4 of 40 jobs.
+  // Each worker has capacity for one task at a time, so 4 of 40 jobs can start.
   for (JobId id = 100; id < 140; ++id) {
     JobSpec spec;
     spec.steps.push_back(OneTask(8000));
@@ -63,7 +65,8 @@
   CHECK(site.advice_calls.size() <= 8);
 }
 
-TEST_CASE("job scheduler: steps that ask at once hope for different workers") {
+TEST_CASE(
+    "job scheduler: concurrent requests expect capacity on different workers") {
   SchedulerDriver site(1);
   site.UseAdvice();
   site.UseAdvisers(40);
@@ -92,8 +95,9 @@
   CHECK(expected_workers.size() == expected_uses);
 }
 
-TEST_CASE("job scheduler: steps that ask at once ask about different workers") {
-  // Where all workers are named by each call, only their hopes differ.
+TEST_CASE("job scheduler: concurrent requests name different workers") {
+  // Disables naming additional workers: if each call named all workers, only
+  // the expected use would differ.
   SchedulerPolicy few_named;
   few_named.name_by_cost = false;
   SchedulerDriver site(1, 2, few_named);
@@ -119,7 +123,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: a step whose workers have no room does not ask on and on") {
+    "job scheduler: a step that no worker may run does not ask repeatedly") {
   SchedulerDriver site(1);
   site.UseAdvice();
   site.UseAdvisers(40);
@@ -127,7 +131,8 @@
     site.AddWorker(id);
     site.reports[id];
   }
-  // No worker may run it: all are asked about once, and not each turn again.
+  // No worker may run the step. All are asked about once, not again in each
+  // pass.
   JobSpec spec;
   spec.steps.push_back(OneTask(8000));
   site.scheduler().Submit(100, "restore", spec, site.now());
@@ -135,11 +140,12 @@
   CHECK(site.advice_calls.size() <= 6);
 }
 
-// Seen in a simulated run: a worker was gone at 37.8 s, its lease over at 47.8
-// s, and the advice for where its tasks could go came at 48.6 s.
+// Guards against downtime beyond the lease: a worker was lost at 37.8 s, its
+// lease expired at 47.8 s, and the advice about other workers for its tasks
+// arrived at 48.6 s.
 TEST_CASE(
-    "job scheduler: a lasting task on a silent worker starts again as soon as "
-    "its lease has passed") {
+    "job scheduler: a long-running task on an unresponsive worker restarts as "
+    "soon as its lease expires") {
   SchedulerDriver site(1);
   site.UseAdvice();
   site.UseAdvisers(9);
@@ -166,13 +172,13 @@
   CHECK(site.start_workers[1] == "b");
 }
 
-TEST_CASE("job scheduler: a leader that is late starts little at a time") {
+TEST_CASE("job scheduler: a lagging leader starts few tasks at a time") {
   SchedulerDriver site(1);
   for (char id = 'a'; id < 'm'; ++id) {
     site.AddWorker(std::string(1, id), 64000);
     site.reports[std::string(1, id)];
   }
-  // In nine jobs: one step may not take all workers at once.
+  // Uses nine jobs, since one step may not use all workers at once.
   JobSpec spec;
   spec.steps.push_back(OneTask(1000));
   spec.steps.back().count = 10;
@@ -187,14 +193,14 @@
   CHECK(site.starts.size() == 90);
 }
 
-TEST_CASE("job scheduler: a lasting task moves before its worker leaves") {
+TEST_CASE("job scheduler: a long-running task moves before its worker leaves") {
   SchedulerDriver site(1);
   site.AddWorker("a");
   site.reports["a"];
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(LongRunningTask());
-  spec.steps.push_back(OneTask());  // Runs on to its end there.
+  spec.steps.push_back(OneTask());  // Continues there until its end.
   site.scheduler().Submit(kJob, "restore", spec, site.now());
   site.RunUntil(absl::Milliseconds(200));
   REQUIRE(site.start_workers == std::vector<std::string>{"a", "a"});
@@ -202,7 +208,7 @@
   leaving.draining = true;
   leaving.leaves_in_ms = 9000;
   site.scheduler().OnWorkerRecord(leaving, site.now());
-  // Without room elsewhere it stays at work.
+  // The task keeps running while no other worker has capacity.
   site.RunUntil(absl::Milliseconds(400));
   CHECK(site.stops.empty());
   site.AddWorker("b");
@@ -218,8 +224,8 @@
   CHECK(site.start_workers[2] == "b");
 }
 
-// Tasks that a late leader starts in a second, with so many jobs of four tasks
-// waiting and room for all.
+// Returns the number of tasks that a lagging leader starts in one second while
+// `jobs` jobs of four tasks wait and there is capacity for all.
 size_t StartsInOneSecond(JobId jobs) {
   SchedulerDriver site(1);
   for (char id = 'a'; id < 'm'; ++id) {
@@ -239,9 +245,11 @@
   return site.starts.size() - before;
 }
 
-// What a leader carries must not fall with what waits: it would never get rid
-// of a backlog.
-TEST_CASE("job scheduler: a leader that is behind starts no less for it") {
+// The start rate of a leader must not fall with the size of the backlog, since
+// it could then never reduce the backlog.
+TEST_CASE(
+    "job scheduler: the start rate does not fall with the size of the "
+    "backlog") {
   const size_t some = StartsInOneSecond(300);
   const size_t many = StartsInOneSecond(2500);
   MESSAGE("started in a second with 10,000 tasks waiting: 40 before, ", many,
@@ -250,8 +258,10 @@
   CHECK(static_cast<double>(many) >= 0.9 * static_cast<double>(some));
 }
 
-// Nothing can start: a job that is handed in now would wait for ever.
-TEST_CASE("job scheduler: what cannot begin in time is refused, with a time") {
+// No task can start, so a newly submitted job would wait indefinitely.
+TEST_CASE(
+    "job scheduler: a job that cannot begin in time is refused with a retry "
+    "time") {
   SchedulerDriver site(1);
   JobSpec spec;
   spec.steps.push_back(OneTask());
@@ -269,11 +279,13 @@
   CHECK_FALSE(site.scheduler().Admit("no such queue", spec).has_value());
 }
 
-// Two services, of which one has far more work than room: the other's workers
-// stood idle for 30 s, since advice for all steps was asked as far as the free
-// room of the whole site went, and what waits for the busy one came first.
+// One of two services has far more work than capacity. Guards against a fault
+// that left the workers of the other service idle for 30 s: the limit on advice
+// requests was derived from the free capacity of the whole site, and the steps
+// of the busy service came first.
 TEST_CASE(
-    "job scheduler: a step is asked about though another service is behind") {
+    "job scheduler: a step gets advice although another service has a "
+    "backlog") {
   SchedulerDriver site(1);
   site.UseAdvice();
   auto configuration = std::make_shared<SiteConfiguration>();
--- a/keelbridge/coordination/job_scheduler_gangs.cc
+++ b/keelbridge/coordination/job_scheduler_gangs.cc
@@ -1,4 +1,4 @@
-// Gangs: all members start together, or none.
+// Places gangs, whose members start together or not at all.
 
 #include <algorithm>
 #include <map>
@@ -9,8 +9,8 @@
 namespace keelbridge {
 namespace {
 
-// Missing members of a gang are tried again for this part of the time that the
-// others wait for them.
+// The leader retries missing members of a gang for this share of the time that
+// the placed members wait for them.
 constexpr double kGangRetryShareOfWait = 0.6;
 
 }  // namespace
@@ -23,7 +23,7 @@
   for (int32_t i = 0; i < ready.spec->count; ++i) {
     const TaskState& task = ready.state->tasks[static_cast<size_t>(i)];
     if (task.phase == TaskPhase::kWaiting) {
-      // It may be at work on a worker that was not reached yet.
+      // The member may be running on a worker that has not been reached yet.
       if (WaitsForEarlierLease(ready, task, now)) return true;
       missing.push_back(i);
       continue;
@@ -66,8 +66,10 @@
 }
 
 void JobScheduler::PlaceGang(ReadyStep& ready, Now now) {
-  if (ready.waiting < ready.spec->count) return;  // Some may not be tried yet.
-  // A gang starts whole, whatever that takes.
+  if (ready.waiting < ready.spec->count)
+    return;  // Some members may not start yet.
+  // A gang is started as a whole, even if that exceeds the number of starts
+  // left.
   if (starts_left_ <= 0) {
     placement_wanted_ = true;
     return;
@@ -86,13 +88,14 @@
     total += fits;
   }
   if (total < ready.spec->count) {
-    RecordBlocked(
-        ready, ready.state->advice.calls_in_flight > 0
-                   ? "waits for advice"
-                   : "no room for the whole gang on workers that may run it");
+    RecordBlocked(ready,
+                  ready.state->advice.calls_in_flight > 0
+                      ? "waits for advice"
+                      : "no capacity for the whole gang on eligible workers");
     return;
   }
-  // Workers of one rack first where that matters, else the fullest first.
+  // Orders workers by rack if the gang prefers one, otherwise the fullest
+  // worker first.
   std::map<std::string, int32_t> in_rack;
   for (const GangPlace& place : places)
     in_rack[place.worker->record.rack] += place.fits;
@@ -113,7 +116,8 @@
   std::string checkpoint;
   for (const TaskState& task : ready.state->tasks) {
     run = std::max(run, task.run + 1);
-    // The saved text of any member is good for all, and all bring the same.
+    // The checkpoint of any member is valid for all members, and all members
+    // must start from the same one.
     if (task.checkpoint > checkpoint) checkpoint = task.checkpoint;
   }
   ready.state->gang_started = now.mono;
--- a/keelbridge/coordination/job_scheduler_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_gangs_test.cc
@@ -1,4 +1,5 @@
-// Wide gangs: tickets and room that have to be had together.
+// Tests wide gangs, which need tickets and capacity for all members at the same
+// time.
 
 #include <doctest/doctest.h>
 
@@ -13,25 +14,28 @@
 
 constexpr int32_t kHalfMilli = WideSite::kHalfMilli;
 
-// 180 tasks take 90 workers that may run them, which 360 have to be asked
-// about; calls one after the other never had enough tickets at a time.
-TEST_CASE("job scheduler: a gang that takes several calls for advice starts") {
+// 180 tasks need 90 eligible workers, so the leader has to ask about 360
+// workers. With consecutive calls it never had enough valid tickets at a time.
+TEST_CASE("job scheduler: a gang that needs several advice calls starts") {
   WideSite site;
   site.Submit(1, "restore", 180, kHalfMilli, true);
   site.RunUntil(absl::Seconds(6));
   CHECK(site.Started(1) == 180);
 }
 
-TEST_CASE("job scheduler: a gang wider than one call may name starts") {
+TEST_CASE(
+    "job scheduler: a gang that needs more workers than one call may name "
+    "starts") {
   WideSite site;
   site.Submit(1, "restore", 240, kHalfMilli, true);
   site.RunUntil(absl::Seconds(6));
   CHECK(site.Started(1) == 240);
 }
 
-// Seen in a simulated run: 14 gangs of 55 to 183 tasks waited for up to 57 s,
-// and not one started in the last 15 s, with half of the site free.
-TEST_CASE("job scheduler: wide gangs that wait together all get through") {
+// Guards against wide gangs that starve each other: in a simulated run 14 gangs
+// of 55 to 183 tasks waited for up to 57 s, and none started in the last 15 s,
+// with half of the site free.
+TEST_CASE("job scheduler: wide gangs that wait together all start") {
   WideSite site;
   for (JobId job = 1; job <= 20; ++job)
     site.Submit(job, "restore", 91, kHalfMilli, true);
@@ -39,9 +43,10 @@
   CHECK(site.JobsStarted(1, 20) == 20);
 }
 
-// The room that is held for a gang is the room that it asks about. Here it gets
-// no other: the site is full, and more waits than it can carry.
-TEST_CASE("job scheduler: a gang asks about the room that is held for it") {
+// A gang asks about the workers on which capacity is reserved for it. It gets
+// no other capacity here: the site is full, and more tasks wait than it can
+// run.
+TEST_CASE("job scheduler: a gang asks about the capacity reserved for it") {
   WideSite site;
   JobId next_job = 100;
   for (int i = 0; i < 22; ++i)
@@ -58,8 +63,8 @@
   CHECK(site.Started(1) == 91);
 }
 
-// Calls side by side are for the few gangs that hold room.
-TEST_CASE("job scheduler: wide gangs leave advisers to the others") {
+// Only the few gangs that reserve capacity make concurrent calls.
+TEST_CASE("job scheduler: wide gangs leave advisers to other steps") {
   WideSite site;
   size_t most = 0;
   for (JobId job = 1; job <= 60; ++job)
@@ -71,11 +76,11 @@
   }
   MESSAGE("calls in half a second, at most: ", most);
   CHECK(most > 0);
-  CHECK(most <= 76);  // 4 gangs of 4 calls, and one of each of 60.
+  CHECK(most <= 76);  // 4 gangs make 4 calls each, 60 gangs one each.
 }
 
-// Of 1,100 workers the gangs that hold keep 4 x 90 at most.
-TEST_CASE("job scheduler: small tasks go on beside wide gangs") {
+// The gangs with reservations reserve at most 4 x 90 of 1,100 workers.
+TEST_CASE("job scheduler: small tasks start while wide gangs wait") {
   WideSite site;
   for (JobId job = 1; job <= 30; ++job)
     site.Submit(job, "restore", 180, kHalfMilli, true);
@@ -96,8 +101,8 @@
   CHECK(longest <= absl::Seconds(3));
 }
 
-// Gangs wait on a site that is full, and nobody can be asked for advice from
-// `unadvised` on. Returns how often a worker was tried in a second after that.
+// Gangs wait on a full site, and no adviser is available from `unadvised` on.
+// Returns how many times a worker was tried in one second after that.
 int64_t WorkersTriedInOneSecond(absl::Duration unadvised) {
   WideSite site;
   for (JobId job = 100; job < 122; ++job)
@@ -108,7 +113,7 @@
     site.Submit(job, "restore", 40, kHalfMilli, true);
   site.RunUntil(absl::Seconds(2) + unadvised);
   site.driver().UseAdvisers(0);
-  site.RunUntil(absl::Seconds(4) + unadvised);  // All tickets have run out.
+  site.RunUntil(absl::Seconds(4) + unadvised);  // All tickets have expired.
   const auto before = site.driver().scheduler().figures();
   site.RunUntil(absl::Seconds(5) + unadvised);
   const auto after = site.driver().scheduler().figures();
@@ -117,12 +122,14 @@
   return after.workers_tried - before.workers_tried;
 }
 
-// A look would else cost gangs times workers, however few have a ticket.
+// The cost of a placement pass must not grow with the number of gangs times the
+// number of workers, however few workers have a ticket.
 TEST_CASE(
-    "job scheduler: a waiting gang tries only workers it has tickets of") {
+    "job scheduler: a waiting gang tries only workers that it has tickets "
+    "for") {
   CHECK(WorkersTriedInOneSecond(absl::ZeroDuration()) == 0);
-  // Four gangs look for room to keep, every 50 ms, on the quarter of the
-  // workers that may run them.
+  // Four gangs search for capacity to reserve every 50 ms, on the quarter of
+  // the workers that may run them.
   CHECK(WorkersTriedInOneSecond(absl::Seconds(2)) <=
         4 * 20 * WideSite::kWorkers / 4);
 }
--- a/keelbridge/coordination/job_scheduler_late_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_late_gangs_test.cc
@@ -1,21 +1,20 @@
-// Late wide gangs on a site that has room for them.
+// Tests that late wide gangs start on a site that has capacity for them.
 //
-// What happens: after all nodes lost power, thousands of tasks of wide gangs
-// wait, little else is left, and up to half of the processors idle: accepted
-// work does not run though there is room for it.
+// Guards against idle capacity after a power loss of all nodes: thousands of
+// tasks of wide gangs wait, little else is left, and up to half of the
+// processors idle although the accepted work would fit. A gang starts once the
+// leader knows enough eligible workers and has capacity and tickets on them at
+// the same time. The fault comes about if the leader asks about 100 workers per
+// call, in consecutive calls of 1.5 s, and not at all while earlier gangs ask
+// about twice the free capacity, and if only four gangs reserve capacity until
+// their tickets arrive.
 //
-// Why: a gang starts once it knows enough workers that may run it and has room
-// and tickets there at the same time. It learned of 100 workers a call, one
-// call of 1.5 s after the other, and not at all while those before it asked
-// about twice the free room; only four gangs kept room until their tickets
-// came.
-//
-// What showed it: in the log of such a site the steps that were left when the
-// day ended, of 19 to 137 tasks, had asked 1 to 10 times, about 100 workers
-// each. In this test (60 gangs, seed 1, 10 s after they came) gangs knew 0 to
-// 600 of 1,100 workers; `gangs_waiting` was 19 and `gangs_reserving` 4; these
-// four kept 0.13 of the processors, 0.42 were in use, and 0.45 were neither.
-// The nodes that ask for advice were busy for a quarter of the time.
+// With that fault, gangs of 19 to 137 tasks were left at the end of a day after
+// 1 to 10 calls for about 100 workers each. In this test (60 gangs, seed 1, 10
+// s after they were submitted) the gangs knew 0 to 600 of 1,100 workers;
+// `gangs_waiting` was 19 and `gangs_reserving` 4. These four reserved 0.13 of
+// the processors, 0.42 were in use, and 0.45 were neither. The nodes that ask
+// for advice were busy for a quarter of the time.
 
 #include <doctest/doctest.h>
 
@@ -30,18 +29,18 @@
 namespace keelbridge::testing {
 namespace {
 
-// A job may have nothing running for this long while there is room for it
-// twice over and less than half of the site is in use. Users take it for lost
+// Maximum time for which a job may have no task running while it would fit
+// twice and less than half of the site is in use. Users consider the job lost
 // after that.
 constexpr absl::Duration kMaxIdle = absl::Seconds(3);
 constexpr double kHalfUsed = 0.5;
-// The time after a loss of power in which this is not judged: until then a
-// gang may need two calls for advice, one after the other, to know its workers.
+// Period after a power loss in which idleness is not checked: a gang may need
+// two consecutive advice calls to learn its workers.
 constexpr absl::Duration kPowerLossGracePeriod = absl::Seconds(4);
 constexpr absl::Duration kStep = absl::Milliseconds(100);
 constexpr absl::Duration kDuration = absl::Seconds(30);
 
-// Wide gangs as a site of archive work gets them.
+// Parameters of the wide gangs of a site that runs archive jobs.
 struct GangMix {
   int gangs;
   double mean_width;
@@ -74,8 +73,8 @@
   return work;
 }
 
-// The longest time that a gang should have run and did not, when all come at
-// once.
+// Returns the longest time for which a gang could have run but did not, when
+// all gangs are submitted at once.
 absl::Duration LongestIdle(uint64_t seed, const GangMix& mix) {
   std::mt19937_64 random(seed);
   WideSite site;
@@ -112,13 +111,13 @@
   }
 }
 
-TEST_CASE("job scheduler: late wide gangs use the room that there is") {
+TEST_CASE("job scheduler: late wide gangs use the free capacity") {
   CheckIdle({160, 40, 18000}, 3, 4);
   CheckIdle({80, 80, 18000}, 3, 4);
 }
 
-// Gangs of which most take a tenth to a quarter of the site, with tasks of
-// which two fill a worker, and nothing beside them.
+// Most of these gangs need a tenth to a quarter of the site, with two tasks
+// filling a worker, and there is no other work.
 TEST_CASE("job scheduler: the widest gangs use the room that there is") {
   CheckIdle({60, 100, 24000}, 1, 2);
   CheckIdle({40, 160, 24000}, 1, 4);
--- a/keelbridge/coordination/job_scheduler_losses.cc
+++ b/keelbridge/coordination/job_scheduler_losses.cc
@@ -1,9 +1,10 @@
-// Runs that are lost with their worker, what ended it, and what of that is held
-// against their tasks.
+// Handles runs that are lost with their worker: determines what ended the
+// worker and which of its tasks the loss is attributed to.
 //
-// Only a crash is: another life at the machine of a worker that had not said
-// that it leaves. A worker that is silent may be cut off or suspended: when its
-// lease has passed, nothing is held against anyone until its machine answers.
+// Only a crash is attributed to a task: another incarnation answers at the
+// machine of a worker that had not reported that it leaves. An unresponsive
+// worker may be disconnected or suspended. When its lease expires, nothing is
+// attributed to any task until a worker answers at its machine.
 
 #include <algorithm>
 #include <limits>
@@ -17,34 +18,41 @@
 namespace keelbridge {
 namespace {
 
-// Lines for the log about runs lost with one worker, at most.
+// Maximum number of log lines about the runs lost with one worker.
 constexpr size_t kMaxLostRunLines = 32;
-// A task under suspicion that has been at work for this long did not crash its
-// worker by its start: until then nothing else starts there.
+// A suspect task that has run for this long did not crash its worker by
+// starting. Until then nothing else starts on that worker.
 constexpr absl::Duration kProbationTime = absl::Milliseconds(500);
-// The same for the first tasks of a wide step, of which nothing is known.
+// How long one of the first tasks of a wide step has to run before the step may
+// use more workers.
 constexpr absl::Duration kProvingTime = absl::Milliseconds(300);
-// A crashed worker's next life comes after some seconds. One that stays away
-// does not keep the step's other tasks for longer than this.
+// The next incarnation of a crashed worker appears after some seconds. If the
+// worker stays unreachable, the other tasks of the step wait no longer than
+// this.
 constexpr absl::Duration kProbeTimeout = absl::Seconds(4);
-// Of the pool's workers, what a step may take before one of its tasks was at
-// work for a while, and at least so many: if they crash what they start on,
-// most workers are left.
+// Maximum share of the pool's workers, and the number of workers that are
+// allowed in any case, that a step may use until one of its tasks has run for
+// `kProvingTime`. If the tasks crash the workers that start them, most workers
+// are left.
 constexpr double kMaxUnprovenWorkerShare = 0.25;
 constexpr int32_t kMinUnprovenWorkers = 2;
-// After so many crashes the next start waits until they are on record.
+// From this number of crashes on, the next start of a task waits until the
+// crashes are durable.
 constexpr size_t kCrashesBeforeDurableStart = 2;
-// Starts of recovered work that one leader puts on record so, at most.
+// Maximum number of starts of unobserved recovered tasks that one leader
+// records.
 constexpr int kMaxUnobservedStartRecords = 200;
-// What is added to the used share of a worker, which is at most 1, when a task
-// under suspicion might go there.
+// Penalties added to the used share of a worker (at most 1) when a worker is
+// chosen for a suspect task: a long-running task runs there, the machine
+// crashed recently (per crash), or another task has just started there.
 constexpr double kLongRunningPenalty = 10;
 constexpr double kMachineCrashPenalty = 2;
 constexpr double kRecentStartPenalty = 1;
-// Workers that are lost within this of each other are lost at once.
+// Workers that are lost within this interval count as lost at the same time.
 constexpr absl::Duration kConcurrentLossWindow = absl::Seconds(1);
-// Tasks of one step of which crashes, or runs that may crash, are on record at
-// most: some are enough to end its job, and a record stays small.
+// Maximum number of tasks of one step for which crashes, or runs that may have
+// crashed their worker, are recorded. A few of them suffice to end the job, and
+// the job's record stays small.
 constexpr int kMaxCrashRecordsPerStep = 64;
 
 TaskId StepIdOf(TaskId task) {
@@ -72,13 +80,13 @@
     case WorkerLoss::kLeft:
       return "it left: another life answered";
     case WorkerLoss::kUnresponsive:
-      return "its lease has passed without an answer";
+      return "its lease expired without an answer";
   }
   return "";
 }
 
-// A leader that stood still finds both at once, that the lease has passed and
-// that another life answers.
+// A leader that was suspended may discover at the same time that the lease has
+// expired and that another incarnation answers.
 bool JobScheduler::AnotherIncarnationAnswered(const Worker& worker) const {
   if (worker.record.draining || worker.record.machine.empty()) return false;
   return std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
@@ -140,7 +148,8 @@
   }
 }
 
-// Whether it crashed is known once another life answers at its machine.
+// Whether the worker crashed is known only when another incarnation answers at
+// its machine.
 void JobScheduler::RecordUnresponsiveLoss(const Worker& worker,
                                           const Allocations& runs,
                                           const Crash& crash, Now now) {
@@ -166,7 +175,7 @@
   if (found == unresponsive_losses_.end()) return;
   const UnresponsiveLoss loss = std::move(found->second);
   unresponsive_losses_.erase(found);
-  // It was silent and is back: nothing crashed.
+  // The worker was only unresponsive.
   if (loss.worker == answering.record.id) return;
   for (const auto& [id, crash] : loss.runs) {
     const auto job = jobs_.find(id.job);
@@ -182,8 +191,8 @@
   return std::max(absl::ZeroDuration(), lost - allocation.placed);
 }
 
-// A task under suspicion had just been started there: that the worker was lost
-// tells of that task, not of the machine or of a bad day.
+// A suspect task had just been started on the worker. The loss is evidence
+// against that task, not against the machine or the site.
 bool JobScheduler::IsCausedBySuspect(const Worker& worker, absl::Time lost) {
   return worker.probation_until > absl::InfinitePast() &&
          lost - (worker.probation_until - kProbationTime) < kSuspectCrashWindow;
@@ -213,7 +222,8 @@
   return static_cast<int>(earlier);
 }
 
-// A worker counts that crashed, or that is silent and may have.
+// Counts workers that crashed and workers that are unresponsive and may have
+// crashed.
 int JobScheduler::CountConcurrentLosses(const TaskId& step,
                                         const std::string& worker_id,
                                         absl::Time lost) const {
@@ -240,9 +250,9 @@
   return static_cast<int>(others.size());
 }
 
-// What began just before the crash is the better suspect by far: what had been
-// at work for longer is not charged with it. Without this, sound tasks that
-// serve beside ones that crash their workers gathered crash after crash.
+// A run that began just before the crash is by far the likelier cause, so runs
+// that began earlier are not blamed. Otherwise sound long-running tasks that
+// share workers with crashing tasks would accumulate crashes.
 JobScheduler::Suspicion JobScheduler::FindSuspicion(const Allocations& runs,
                                                     absl::Time lost, Now now) {
   absl::Duration latest = absl::InfiniteDuration();
@@ -260,8 +270,9 @@
 bool JobScheduler::IsSuspectRun(const Allocation& allocation, absl::Time lost,
                                 const Suspicion& suspicion, Now now) {
   const bool begun = allocation.start_answered <= now.mono;
-  // Ordered when the worker was gone already, it never began; and with a better
-  // suspect there it most likely did not.
+  // A run that was ordered after the worker was lost never began. If another
+  // run is a better suspect, a run whose start is unconfirmed most likely did
+  // not begin either.
   if (!begun && (allocation.placed >= lost || suspicion.begun_only))
     return false;
   return RunDurationUntil(allocation, lost) < suspicion.within;
@@ -282,7 +293,7 @@
   const ExposedRun& exposed = task->exposed;
   const bool recorded_before =
       exposed.worker == worker.record.id && exposed.run == key.second;
-  // It has outlived a change of the leader, by which nobody knows how long.
+  // The run has outlived a change of leader, so its running time is unknown.
   if (allocation.adopted && !recorded_before) return;
   CrashedRun crashed_run;
   crashed_run.run = key.second;
@@ -353,8 +364,8 @@
       std::find_if(account.crashes.begin(), account.crashes.end(),
                    [&](const CrashedRun& c) { return c.run == crash.run; });
   if (same_run != account.crashes.end()) {
-    // Several workers of one run of a gang count as one: another gang may have
-    // been on all of them, too.
+    // The losses of several workers during one run of a gang count as one
+    // crash, since a single other gang may have run on all of them.
     same_run->begun = same_run->begun || crash.begun;
   } else if (!account.crashes.empty() ||
              !CrashRecordsFull(
@@ -383,8 +394,8 @@
          now);
 }
 
-// A leader that is replaced before another life answers cannot hold the crash
-// against its task: its successor does, by what is on record.
+// A leader that is replaced before another incarnation answers cannot attribute
+// the crash. Its successor does so from the durable record.
 void JobScheduler::AttributeUnobservedCrash(const Worker& worker, Now now) {
   const auto exposed = exposed_.find(worker.record.id);
   if (exposed == exposed_.end()) return;
@@ -447,9 +458,10 @@
   MarkDirty(job);
 }
 
-// A leader that is lost with the worker, before anything shows, leaves no
-// record. Its successor cannot tell which task did it; what it starts again of
-// the work that it has not seen goes on record, so that the next one can.
+// A leader that is lost together with the worker, before any sign of the crash,
+// leaves no record of it. Its successor cannot determine which task caused the
+// crash. It records each start of recovered tasks that it has not observed, so
+// that the next leader can.
 void JobScheduler::RecordUnobservedStart(const ReadyStep& ready,
                                          const TaskId& task,
                                          const StartAction& action, Now now) {
@@ -462,8 +474,8 @@
       {action.worker.id, action.order.run, ToMillis(now.wall), -1, false});
 }
 
-// Another leader may have to tell by then what crashed the worker: what began
-// there lately goes on record.
+// Another leader may have to determine later what crashed the worker, so the
+// runs that began there recently are recorded.
 void JobScheduler::RecordUnresponsiveness(Worker& worker, Now now) {
   if (worker.record.draining) return;
   const absl::Time lost = LostSince(worker, now);
@@ -494,8 +506,9 @@
   return !account.crashes.empty();
 }
 
-// With the store away, a leader that goes on by memory alone would leave its
-// successor to start again from the account that it found.
+// While the store is unavailable, a leader that started tasks from its
+// in-memory state alone would leave its successor to repeat the starts from the
+// older record.
 bool JobScheduler::MustBeDurable(const ReadyStep& ready,
                                  const TaskState& task) {
   const TaskState& account =
@@ -503,9 +516,9 @@
   return account.crashes.size() >= kCrashesBeforeDurableStart;
 }
 
-// A worker that crashed without closing its connections is silent, and that
-// shows only once a look has had no answer: not what was sent, but what was
-// answered since tells that it is there.
+// A worker that crashed without closing its connections is noticed only when an
+// observation fails. Therefore only an answer that the worker sent after
+// `since`, not an order sent to it, shows that it is alive.
 bool JobScheduler::AnsweredSince(Worker& worker, absl::Time since, Now now) {
   if (worker.last_answer >= since) return true;
   if (now.mono >= since && worker.last_observation_sent < since) {
@@ -550,8 +563,8 @@
   return 1;
 }
 
-// A step of tasks that crash what starts them would else take all workers down
-// before the first crash is heard of.
+// Without the quota a step whose tasks crash their workers could take down all
+// workers before the first crash is detected.
 JobScheduler::WorkerQuota JobScheduler::ComputeWorkerQuota(ReadyStep& ready,
                                                            Now now) {
   StepState& step = *ready.state;
--- a/keelbridge/coordination/job_scheduler_losses_test.cc
+++ b/keelbridge/coordination/job_scheduler_losses_test.cc
@@ -1,4 +1,5 @@
-// What becomes of tasks whose workers crash, and of those beside them.
+// Tests how crashes are attributed to tasks, and what happens to other tasks on
+// the crashed workers.
 
 #include <doctest/doctest.h>
 
@@ -10,8 +11,8 @@
 namespace keelbridge::testing {
 namespace {
 
-// What users allow: a task under which three workers have crashed may be
-// started twice more, and one under which two have crashed may be given up.
+// Limits that users set: a task that has crashed three workers may be started
+// at most twice more, and a task may be given up only after two crashes.
 constexpr int kMaxStartsOfCrashingTask = 5;
 constexpr int kMinCrashes = 2;
 
@@ -30,7 +31,8 @@
   return "";
 }
 
-TEST_CASE("job scheduler: a lost run is told with what ended its worker") {
+TEST_CASE(
+    "job scheduler: a lost run is logged with the cause of its worker's loss") {
   CrashingSite site(1, 1);
   site.work = absl::InfiniteDuration();
   site.Submit(8, OneTask());
@@ -48,7 +50,7 @@
   CHECK(std::stoi(FieldOf(*run, "ran_ms")) <= 200);
 }
 
-TEST_CASE("job scheduler: a leave is told from a crash") {
+TEST_CASE("job scheduler: a worker that leaves is distinguished from a crash") {
   CrashingSite site(1, 1);
   site.work = absl::InfiniteDuration();
   site.Submit(8, OneTask());
@@ -60,15 +62,13 @@
   CHECK(FieldOf(*worker, "why") == "it left: another life answered");
 }
 
-// The story, as users met it: short jobs failed or came late all day. Two jobs
-// of one task each crashed the worker that started them, some 10 ms after each
-// start; 3.4 s later, when another life answered at that machine, they were
-// started on the next worker, beside a dozen others, which were lost with it:
-// 179 crashes in 110 s. The cause: a run that is lost with its worker was put
-// back to wait and nothing was kept of it, since only ends that workers list
-// counted against a task. The evidence: the run numbers of one task rise one
-// by one under one leader, each loss tells "another life answered", 54 ms
-// after the start.
+// Guards against endless restarts of a task that crashes its workers. Two jobs
+// of one task each crashed their worker about 10 ms after each start. When
+// another incarnation answered at the machine, 3.4 s later, they were started
+// on the next worker, and the dozen other tasks there were lost with it: 179
+// crashes in 110 s, which made short jobs fail or run late. The cause was that
+// a run lost with its worker, here 54 ms after its start, was requeued without
+// a record: only ends that workers reported counted against a task.
 TEST_CASE(
     "job scheduler: a task that crashes each worker that starts it is given "
     "up") {
@@ -77,15 +77,15 @@
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(60));
   CHECK(site.Status(7) == JobState::kFailed);
-  // Users take it for an endless repeat at the third start after three crashes,
-  // and for failed without a cause before two crashes.
+  // Users consider the task endlessly repeated at the third start after three
+  // crashes, and failed without a cause before two crashes.
   CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
   CHECK(site.StartsOf(7) >= kMinCrashes);
 }
 
 TEST_CASE(
-    "job scheduler: tasks beside ones that crash their workers are neither "
-    "failed nor kept from working") {
+    "job scheduler: tasks next to ones that crash their workers are neither "
+    "failed nor blocked") {
   CrashingSite site(1, 2);
   site.crashes = [](const TaskId& task) { return task.job < 10; };
   for (JobId job = 1; job <= 3; ++job) site.Submit(job, OneTask());
@@ -101,8 +101,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: one wide step of tasks that crash their workers leaves "
-    "most of the workers") {
+    "job scheduler: a wide step whose tasks crash their workers leaves most "
+    "workers up") {
   constexpr int kWorkers = 40;
   CrashingSite site(1, kWorkers);
   site.crashes = [](const TaskId& task) { return task.job == 7; };
@@ -111,24 +111,24 @@
   site.Submit(7, wide);
   site.Run(absl::Seconds(60));
   CHECK(site.Status(7) == JobState::kFailed);
-  // A wide step may take a quarter of the workers before anything is known of
-  // it, and then one at a time.
+  // A wide step may use a quarter of the workers before one of its tasks has
+  // proven sound, and then one at a time.
   CHECK(site.max_down <= kWorkers / 4);
   CHECK(site.crash_count <= kWorkers / 4 + kMaxStartsOfCrashingTask);
 }
 
 TEST_CASE(
-    "job scheduler: what is held against a task that crashes its workers "
-    "outlives its leaders") {
+    "job scheduler: crashes attributed to a task survive changes of leader") {
   int starts = 0;
   std::map<std::string, Record> stored_records;
   bool failed = false;
   for (int64_t epoch = 1; epoch <= 8 && !failed; ++epoch) {
-    // All power is lost in between: nothing but the records is left.
+    // All nodes lose power in between, so only the durable records are left.
     CrashingSite site(epoch, 3, 16000, stored_records);
     if (epoch == 1) site.Submit(7, OneTask());
     site.crashes = [](const TaskId& task) { return task.job == 7; };
-    // Until the worker is seen to be silent; its next life comes later.
+    // Ends after the worker is found unresponsive and before its next
+    // incarnation appears.
     site.Run(absl::Seconds(2));
     starts += site.StartsOf(7);
     failed = site.Status(7) == JobState::kFailed;
@@ -139,7 +139,8 @@
   CHECK(starts <= kMaxStartsOfCrashingTask);
 }
 
-// A worn machine crashes whatever runs there; so may a whole wave of workers.
+// A faulty machine crashes whatever runs on it, and several workers may crash
+// at the same time for a common reason.
 TEST_CASE("job scheduler: a sound task on machines that crash is not failed") {
   CrashingSite site(1, 1);
   site.work = absl::Seconds(100);
@@ -153,11 +154,12 @@
   CHECK(site.Status(7) == JobState::kRunning);
 }
 
-TEST_CASE("job scheduler: sound tasks on a machine that crashes often end") {
+TEST_CASE(
+    "job scheduler: sound tasks complete on a machine that crashes often") {
   CrashingSite site(1, 1);
   site.work = absl::Seconds(3);
   site.Submit(7, OneTask());
-  // The machine is up for 2.5 s at a time, eight times.
+  // The machine crashes eight times, and is up for 2.5 s in between.
   for (int i = 1; i <= 8; ++i) {
     site.Run(absl::Milliseconds(5500) * i);
     site.Crash(site.WorkerAt("m0"));
@@ -171,7 +173,8 @@
   site.work = absl::Seconds(2);
   for (JobId job = 1; job <= 100; ++job) site.Submit(job, OneTask());
   for (int wave = 0; wave < 7; ++wave) {
-    // Soon after the tasks of the last one have started again.
+    // Each wave comes soon after the tasks of the previous wave have started
+    // again.
     site.Run(absl::Milliseconds(300 + 3600 * wave));
     for (int i = 0; i < 3; ++i)
       site.Crash(site.WorkerAt("m" + std::to_string((wave + i) % 20)));
@@ -181,12 +184,15 @@
     CHECK(site.Status(job) == JobState::kCompleted);
 }
 
-TEST_CASE("job scheduler: a silence and a leave are held against no task") {
+TEST_CASE(
+    "job scheduler: unresponsive and leaving workers are attributed to no "
+    "task") {
   CrashingSite site(1, 2);
   site.work = absl::Seconds(100);
   site.Submit(7, OneTask());
   for (int i = 0; i < 5; ++i) {
-    // Its worker is gone at once, and nobody answers in its place.
+    // The worker of the task disappears soon after the start, and no other
+    // incarnation answers.
     site.Run(absl::Seconds(20 * i) + absl::Milliseconds(100));
     const std::string worker = site.driver.start_workers.back();
     site.driver.reports.erase(worker);
@@ -214,7 +220,7 @@
   gang.count = 8;
   site.gangs = {7};
   site.Submit(7, gang);
-  // One member does it; the others' workers live on.
+  // One member crashes its worker; the workers of the other members stay up.
   site.crashes = [](const TaskId& task) { return task.index == 3; };
   site.work = absl::InfiniteDuration();
   site.Run(absl::Seconds(90));
@@ -226,7 +232,7 @@
 }
 
 TEST_CASE(
-    "job scheduler: a lasting task that crashes its workers is given up") {
+    "job scheduler: a long-running task that crashes its workers is given up") {
   CrashingSite site(1, 4);
   site.Submit(7, LongRunningTask());
   site.crashes = [](const TaskId& task) { return task.job == 7; };
@@ -235,7 +241,8 @@
   CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
 }
 
-TEST_CASE("job scheduler: months of crashes do not end a lasting task") {
+TEST_CASE(
+    "job scheduler: rare crashes over months do not end a long-running task") {
   CrashingSite site(1, 3);
   site.work = absl::InfiniteDuration();
   site.Submit(7, LongRunningTask());
@@ -258,7 +265,7 @@
   CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
 }
 
-TEST_CASE("job scheduler: nothing starts beside a task under suspicion") {
+TEST_CASE("job scheduler: nothing starts on the worker of a suspect task") {
   CrashingSite site(1, 3);
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Submit(7, OneTask());
@@ -273,7 +280,7 @@
       ++concurrent_starts;
     if (order.task.job == 7) last_start[worker] = now;
   };
-  // Short work comes all the time.
+  // Short tasks arrive continuously.
   for (JobId job = 100; job < 400; ++job) {
     site.Submit(job, OneTask());
     site.Run(absl::Seconds(2) + absl::Milliseconds(40) * (job - 99));
@@ -284,15 +291,15 @@
 }
 
 TEST_CASE(
-    "job scheduler: leaders that are lost with the worker before anything "
-    "shows do not start a task for ever") {
+    "job scheduler: leaders that are lost together with the worker do not "
+    "restart a task endlessly") {
   int starts = 0;
   std::map<std::string, Record> stored_records;
   bool failed = false;
   for (int64_t epoch = 1; epoch <= 8 && !failed; ++epoch) {
     CrashingSite site(epoch, 3, 16000, stored_records);
     if (epoch == 1) site.Submit(7, OneTask());
-    // The worker dies of the task when all power is gone.
+    // The task crashes its worker at the moment when all nodes lose power.
     site.work = absl::InfiniteDuration();
     site.Run(absl::Milliseconds(400));
     starts += site.StartsOf(7);
@@ -304,9 +311,10 @@
   CHECK(starts <= kMaxStartsOfCrashingTask);
 }
 
-TEST_CASE("job scheduler: a crash that is first taken for a silence counts") {
+TEST_CASE(
+    "job scheduler: a crash first seen as an unresponsive worker counts") {
   CrashingSite site(1, 6);
-  // Longer than the lease of what ran there.
+  // Longer than the leases of the runs on the worker.
   site.down_for = absl::Seconds(12);
   site.Submit(7, OneTask());
   site.crashes = [](const TaskId& task) { return task.job == 7; };
--- a/keelbridge/coordination/job_scheduler_placement.cc
+++ b/keelbridge/coordination/job_scheduler_placement.cc
@@ -1,5 +1,5 @@
-// In which order waiting steps are tried, and where single tasks start.
-// Gangs are in job_scheduler_gangs.cc, advice in job_scheduler_advice.cc.
+// Orders the steps that have waiting tasks and places single tasks.
+// job_scheduler_gangs.cc places gangs, job_scheduler_advice.cc asks for advice.
 
 #include <algorithm>
 #include <limits>
@@ -14,72 +14,82 @@
 namespace keelbridge {
 namespace {
 
-// Least time from one look for placements to the next, and what is added to it
-// for each step that waits. To collect and order a step takes some 2 us
-// (estimated), so that looks take a third of a processor. Longer pauses starve
-// a site that is behind: with 40 us and 2,500 steps there was a look in 100 ms,
-// and what one leader started fell from 1,400 tasks a second to 100 with 50,000
-// of 70,400 processors idle.
+// Minimum time between two placement passes, and what is added to it for each
+// step that waits. Collecting and ordering a step takes about 2 us (estimated),
+// so passes use about a third of a processor. Longer pauses starve a site with
+// a backlog: with 40 us and 2,500 steps there was one pass in 100 ms, and the
+// starts of one leader fell from 1,400 tasks a second to 100 with 50,000 of
+// 70,400 processors idle.
 constexpr absl::Duration kMinPassInterval = absl::Milliseconds(4);
 constexpr absl::Duration kPassIntervalPerStep = absl::Microseconds(4);
-// Advice is asked for as much work as fits into this many times the free room:
-// some of the room that it is asked about turns out to be of no use.
+// Advice is requested for at most this multiple of the work that fits into the
+// free capacity, because part of the capacity that a request covers turns out
+// to be unusable.
 constexpr double kAdviceOversubscription = 2.0;
-// Tasks that one look for placements starts at most, and when the driver's loop
-// is late by more than `kLagThreshold`; what is left waits for the next look.
-// That then comes after this share of the lag, so that what is under way is
-// answered in time, and the leader still does what it can.
+// Maximum number of tasks started by one placement pass: normally, and when the
+// driver's loop lags by more than `kLagThreshold`. The remaining tasks wait for
+// the next pass, which is delayed by the share `kPassIntervalLagShare` of the
+// lag, so that calls in progress are answered in time while the leader still
+// starts as many tasks as it can.
 constexpr int32_t kMaxStarts = 60;
 constexpr int32_t kMaxStartsWhenLagging = 20;
 constexpr absl::Duration kLagThreshold = absl::Milliseconds(100);
 constexpr double kPassIntervalLagShare = 0.25;
-// Searches of all workers for whom to ask about a step, in one look: each takes
-// some 0.1 ms at 1,100 workers.
+// Maximum number of searches over all workers for advice candidates in one
+// pass. Each takes about 0.1 ms at 1,100 workers.
 constexpr int32_t kMaxAdviceSearches = 16;
-// Advice for tasks that last is asked this long before the lease of their
-// silent worker has passed: calls take up to 0.9 s, and users wait meanwhile (a
-// task was away 10.8 s instead of the 10.2 s that the lease takes).
+// Advice for long-running tasks on an unresponsive worker is requested this
+// long before the worker's lease expires. Advice calls take up to 0.9 s, during
+// which the service is down (a task was down for 10.8 s instead of the 10.2 s
+// that the lease takes).
 constexpr absl::Duration kAdviceLeadTime = absl::Milliseconds(1200);
-// Blocked gangs, and blocked steps of other tasks, that may keep room free at a
-// time.
+// Maximum number of blocked gangs, and of blocked steps of single tasks, that
+// may reserve capacity at a time.
 constexpr int kMaxReservingGangs = 4;
 constexpr int kMaxReservingSingleSteps = 8;
-// Further gangs that keep room while they fetch their tickets: only in a pool
-// that idles, and only if all the room that they need is free. So many gangs of
-// 40 tasks of 18 processors take a third of 1,100 workers of 64, about what is
-// free there when it counts as idle.
+// Maximum number of further gangs that reserve capacity while they obtain their
+// tickets. This applies only in an idle pool, and only to gangs for which all
+// of the capacity they need is free. This many gangs of 40 tasks with 18
+// processors each take a third of 1,100 workers with 64 processors, about what
+// is free in a pool that counts as idle.
 constexpr int kMaxReservingReadyGangs = 32;
-// A pool idles while more than this share of its processors is free. Users take
-// a job for lost that does not run for 3 s while less than half is in use. With
-// 160 gangs of 40 tasks that come at once on 1,100 workers a gang for which
-// there was room twice over waited up to 5.3 s, and 1.8 s since gangs of an
-// idle pool learn side by side and keep free room (simulated, 4 and 12 draws).
-// A pool that is not idle gains nothing: it is full at 0.75 of its processors,
-// and gangs that ask more there cost small tasks a third of what they are worth
-// (0.46 to 0.33, one played day of a site of 1,100 workers).
+// A pool is idle while more than this share of its processors is free. Users
+// consider a job lost that does not run for 3 s while less than half of the
+// processors are in use. With 160 gangs of 40 tasks submitted at once on 1,100
+// workers, a gang that would have fitted twice waited up to 5.3 s; with
+// concurrent advice calls and reservations for the gangs of an idle pool it
+// waited up to 1.8 s (simulated, 4 and 12 seeds).
+//
+// A pool that is not idle gains nothing from this: it is full at 0.75 of its
+// processors, and gangs that request more there cost small tasks a third of
+// their value (0.46 fell to 0.33 on one simulated day of a site of 1,100
+// workers).
 constexpr double kIdlePoolShare = 0.4;
-// A site is behind when more steps wait than this many and than this share of
-// its workers. Whatever ends there is taken at once, and room that is held, or
-// made by runs that have to be restored, is work lost: with 350 workers and 100
-// and more steps waiting 0.61 of the worth was earned, 0.64 without (means of
-// two simulated runs each).
+// A site has a backlog when the number of waiting steps exceeds both this
+// number and this share of its workers. Capacity that becomes free there is
+// used at once, and reserving capacity, or preempting runs that must be
+// restored later, wastes work: with 350 workers and 100 and more steps waiting,
+// 0.61 of the value was earned with reservations and 0.64 without (means of two
+// simulated runs each).
 constexpr size_t kBacklogMinSteps = 40;
 constexpr double kBacklogWorkerShare = 0.25;
-// Steps of jobs that are late already, when there are more than so many, are
-// looked at no more often than this: late by some milliseconds more they are
-// worth the same, and each look at them is time of the leader that timely ones
-// wait for.
+// If more than `kMaxUnthrottledLateSteps` steps belong to jobs that are already
+// late, these steps are examined at most once per `kLateStepInterval`. A few
+// more milliseconds do not change the value of a late job, and examining it
+// takes time of the leader that timely steps need.
 constexpr int64_t kMaxUnthrottledLateSteps = 20;
 constexpr absl::Duration kLateStepInterval = absl::Milliseconds(100);
-// A task that lasts and stopped running comes before all others once it has
-// been away this long. Users take it for lost when it was away for three
-// seconds, however full the site is: this leaves time for advice (up to 0.9 s)
-// and for room of its size to come. At first it has to wait its turn, since
-// many start again together when a worker or a zone is gone.
+// A long-running task that has stopped running precedes all other tasks once it
+// has been down for this long. Users consider it lost after three seconds,
+// however full the site is; this leaves time for advice (up to 0.9 s) and for
+// capacity of its size to become free. Before that it waits its turn, because
+// many tasks start again at once when a worker or a zone is lost.
 constexpr absl::Duration kToleratedDowntime = absl::Milliseconds(500);
 constexpr int kDownTier = -1;
-// Added to the share of a worker that would stay free, which is at most 1.
-constexpr double kOtherRackPenalty = 10;  // Away from the task's data.
+// Penalties added to the share of a worker that would stay free, which is at
+// most 1.
+// The worker is not in the rack of the task's data.
+constexpr double kOtherRackPenalty = 10;
 constexpr double kFailedOnWorkerPenalty = 20;
 constexpr double kFailingWorkerPenalty = 5;
 
@@ -224,8 +234,8 @@
 
 bool JobScheduler::IsLate(const ReadyStep& ready) { return ready.tier > 0; }
 
-// A gang of which a part is placed holds up what it has; what lasts serves
-// users of its own.
+// A partly placed gang keeps its placed members waiting, and a long-running
+// task serves users of its own; neither may be delayed.
 bool JobScheduler::MayDefer(const ReadyStep& ready) {
   const bool begun = ready.spec->gang && ready.waiting < ready.spec->count;
   return IsLate(ready) && !begun && !ready.spec->long_running;
@@ -245,10 +255,11 @@
   return out;
 }
 
-// A task that lasts would run on until its worker is gone, and then be away for
-// the worker's lease (9.7 s, seen where leases are of 9 s): the leader cannot
-// tell a worker that has left from one that is cut off. Stopped while the
-// worker still answers, it is away for the stop and a start.
+// A long-running task on a leaving worker would run until the worker is gone,
+// and would then be down for the worker's lease (9.7 s, seen with leases of 9
+// s), because the leader cannot distinguish a worker that has left from one
+// that is disconnected. A task that is stopped while the worker still answers
+// is down only for the stop and the new start.
 void JobScheduler::MoveTaskFromLeavingWorker(ReadyStep& ready, Now now) {
   const std::vector<int32_t> leaving =
       FindTasksOnLeavingWorkers(*ready.spec, *ready.state);
@@ -299,8 +310,9 @@
   short_advisers_busy_ = false;
   long_advisers_busy_ = false;
   const Resources most_free = MaxFreeResources();
-  // Steps behind those that will fill all free room of their pool do not ask
-  // for advice: their answers would be stale before there is room for them.
+  // Steps ordered after those that will fill all free capacity of their pool do
+  // not request advice: the answers would be stale before there is capacity for
+  // them.
   std::map<std::string, PoolCapacity> pools = FindPoolCapacity();
   for (auto& [id, worker] : workers_) worker->reserved = Resources();
   const auto workers = static_cast<double>(workers_.size());
@@ -311,7 +323,7 @@
   figures_.gangs_waiting = 0;
   figures_.steps_without_advice = 0;
   for (ReadyStep& step : ready) {
-    // Nothing that is ordered behind can be started or asked about now.
+    // Neither starts nor advice searches are left for the remaining steps.
     if (starts_left_ <= 0 && advice_searches_left_ <= 0) {
       placement_wanted_ = true;
       break;
@@ -346,7 +358,8 @@
   }
   figures_.gangs_reserving = kept.gangs + kept.ready_gangs;
   ExplainWaiting(ready, now);
-  // What fills free room as fast as it can be ordered goes on at once.
+  // Late steps that can use free capacity as fast as the leader can order
+  // starts continue in the next pass.
   if (starts_left_ <= 0) next_late_pass_ = now.mono;
 }
 
@@ -368,7 +381,7 @@
     step.may_reserve = ReserveFreeCapacity(step, now);
     if (step.may_reserve) ++kept.ready_gangs;
   }
-  // Room that it kept before is not its own any more.
+  // Drops the earlier reservation of the step.
   if (!step.may_reserve) step.state->reserved.clear();
 }
 
@@ -430,8 +443,8 @@
       worker.known_at_batch > durable_batch_)
     return false;
   if (worker.runs_of_unknown_size > 0 || IsOnProbation(worker)) return false;
-  // It may just have been cut off: what is started there now is not heard of
-  // until its lease has passed.
+  // The worker may have just been disconnected. A run that is started there now
+  // would be unobserved until the worker's lease expires.
   if (options_.policy.settle_soon && worker.unanswered_since <= now.mono)
     return false;
   if (worker.suspect_until > now.mono || !IsReachable(worker, now))
@@ -526,7 +539,8 @@
     }
     return out;
   }
-  // Few workers have a ticket of the step: they are looked up, not searched.
+  // Only a few workers have a ticket of the step, so the tickets are looked up
+  // instead of searching all workers.
   for (const auto& [id, ticket] : ready.state->advice.tickets) {
     if (!IsTicketValid(ticket, now)) continue;
     const auto found = workers_.find(id);
@@ -542,11 +556,11 @@
 void JobScheduler::PlaceSingleTasks(ReadyStep& ready, Now now) {
   int32_t may_start = SuspectStartLimit(ready, now);
   if (may_start == 0)
-    return RecordBlocked(ready,
-                         "a worker crashed under it: one task is tried first");
+    return RecordBlocked(
+        ready, "a worker crashed while running it: one task is tried first");
   const std::vector<Worker*> usable = FindUsableWorkers(ready, now);
   WorkerQuota quota = ComputeWorkerQuota(ready, now);
-  // Suspects first: what becomes of them tells most of the step.
+  // Suspects start first, because their outcome tells most about the step.
   if (ready.state->crashed &&
       !PlaceTasks(ready, /*suspects=*/true, usable, quota, &may_start, now))
     return;
@@ -575,8 +589,7 @@
     if (worker == nullptr) {
       RecordBlocked(ready, ready.state->advice.calls_in_flight > 0
                                ? "waits for advice"
-                               : "no worker that may run it has "
-                                 "room");
+                               : "no eligible worker has free capacity");
       return false;
     }
     quota.used.insert(worker->record.id);
@@ -611,7 +624,8 @@
                                     const ReadyStep& ready,
                                     const TaskState& task) {
   const Resources left = worker.free - ready.spec->need;
-  // The fullest worker that fits, to keep room whole for wide tasks.
+  // Prefers the fullest worker that fits, to keep contiguous capacity for tasks
+  // with large needs.
   double score = DominantShare(left, worker.record.capacity);
   if (!ready.spec->rack.empty() && worker.record.rack != ready.spec->rack)
     score += kOtherRackPenalty;
--- a/keelbridge/coordination/job_scheduler_placement_test.cc
+++ b/keelbridge/coordination/job_scheduler_placement_test.cc
@@ -1,4 +1,5 @@
-// In which order what waits is tried, on a site with more work than room.
+// Tests the order in which waiting steps are placed on a site with more work
+// than capacity.
 
 #include <doctest/doctest.h>
 
@@ -18,8 +19,9 @@
   return step;
 }
 
-// Small tasks take all room, and many more of them wait: some end now and then,
-// never enough at a time for a task of three quarters of a worker.
+// Small tasks fill all workers, and many more of them wait. Some end now and
+// then, but never enough at a time for a task that needs three quarters of a
+// worker.
 class BackloggedSite {
  public:
   explicit BackloggedSite(SchedulerDriver& site) : site_(site) {
@@ -29,7 +31,7 @@
       site.scheduler().Submit(job, "restore", small, site.now());
   }
 
-  // Goes on from `from` to `until`, and ends a small task every 50 ms.
+  // Runs from `from` to `until`, and ends one small task every 50 ms.
   void Run(absl::Duration from, absl::Duration until) {
     for (absl::Duration at = from; at < until;) {
       at += kSmallTaskDuration / 12;
@@ -68,13 +70,13 @@
   }
 }
 
-// A task that lasts is late by the measure of tasks that end as soon as it has
-// stood for longer than its objective. Tried behind all that is not late, it
-// was away for 11 s and more, until the backlog was done, as a run of it failed
-// (seen on a site of 48 workers with 4,500 tasks waiting).
+// A long-running task counts as late, by the objective of tasks that end, as
+// soon as it has existed for longer than its objective. If it were placed after
+// all timely tasks, it would be down until the backlog is done: 11 s and more
+// after a failed run on a site of 48 workers with 4,500 waiting tasks.
 TEST_CASE(
-    "job scheduler: a lasting task whose run failed starts again on a site "
-    "that is behind") {
+    "job scheduler: a long-running task whose run failed restarts on a site "
+    "with a backlog") {
   SchedulerDriver site(1);
   AddWorkers(site);
   site.RunUntil(absl::Milliseconds(100));
@@ -90,11 +92,11 @@
   CHECK(backlogged.StartsOfLongRunning() == 2);
 }
 
-// A later leader does not know whether it had run: where a start was refused
-// last, no placement is on record. It was away for 48 s.
+// A later leader does not know whether the task has run: after a refused start
+// no placement is recorded. The fault left the task down for 48 s.
 TEST_CASE(
-    "job scheduler: a lasting task that a later leader finds not running "
-    "starts on a site that is behind") {
+    "job scheduler: a long-running task that a later leader finds down starts "
+    "on a site with a backlog") {
   SchedulerDriver site(2);
   site.Recover(LargeLongRunningTask());
   site.RunUntil(absl::Seconds(30));
@@ -104,8 +106,8 @@
   CHECK(backlogged.StartsOfLongRunning() == 1);
 }
 
-// Goes on for two seconds in which something comes in at every tick, and
-// returns how many looks for placements that led to.
+// Runs for two seconds with an event at every tick. Returns the number of
+// placement passes.
 int64_t PassesInTwoSeconds(SchedulerDriver& site, JobId* next) {
   const absl::Duration begin = site.now().mono - kBegin;
   const int64_t before = site.scheduler().figures().placement_passes;
@@ -118,8 +120,11 @@
   return site.scheduler().figures().placement_passes - before;
 }
 
-// Looks took all of a leader's time as that got dearer.
-TEST_CASE("job scheduler: looks leave most of a slow leader's time to others") {
+// Guards against placement passes that use all of the leader's time when
+// processor time is scarce.
+TEST_CASE(
+    "job scheduler: placement passes leave most of a slow leader's time to "
+    "other work") {
   SchedulerDriver site(1);
   AddWorkers(site);
   JobId next = 100;
@@ -127,13 +132,14 @@
   CHECK(PassesInTwoSeconds(site, &next) > 50);
   site.tick_duration = absl::Milliseconds(50);
   CHECK(PassesInTwoSeconds(site, &next) <= 2000 / (3 * 50) + 7);
-  // It stood still in its ticks: that is no reason to place nothing.
+  // The leader is paused during its ticks; it still has to place tasks.
   site.tick_duration = absl::Seconds(10);
   CHECK(PassesInTwoSeconds(site, &next) >= 9);
 }
 
-// A leader spent half of its looks on jobs that gain nothing by haste.
-TEST_CASE("job scheduler: late jobs take little of a leader's time") {
+// Guards against a leader that spends half of its placement passes on late
+// jobs, which gain nothing from an early start.
+TEST_CASE("job scheduler: late jobs use little of a leader's time") {
   constexpr int kLateJobs = 200;
   SchedulerDriver site(1);
   AddWorkers(site);
@@ -148,7 +154,8 @@
   CHECK(PassesInTwoSeconds(site, &next) > 50);
   const int64_t late = site.scheduler().figures().late_steps_examined - before;
   CHECK(late >= 10 * kLateJobs);
-  // Every 100 ms; those that came in meanwhile are late at the end, too.
+  // Late steps are examined every 100 ms. The jobs submitted in the meantime
+  // are late at the end, too.
   CHECK(late <= 21 * (kLateJobs + 100));
 }
 
--- a/keelbridge/coordination/job_scheduler_reservations.cc
+++ b/keelbridge/coordination/job_scheduler_reservations.cc
@@ -1,5 +1,5 @@
-// Room for steps that are blocked: kept free for them, and made by less urgent
-// runs that yield.
+// Reserves capacity for blocked steps, and preempts less urgent runs to make
+// it.
 
 #include <algorithm>
 #include <utility>
@@ -11,30 +11,34 @@
 namespace keelbridge {
 namespace {
 
-// A run that yields starts again after about this much, beside its advice: its
-// stop (0.2 to 0.9 s on the sites known), its restore (up to 0.6 s) and a wait
-// for room.
+// Expected delay until a preempted run has started again, without its advice
+// call: its stop (0.2 to 0.9 s on the sites known), its restore (up to 0.6 s)
+// and the wait for capacity.
 constexpr absl::Duration kRestartDelay = absl::Seconds(2);
-// What a run that yields loses of its worker: a restore and a part of its stop,
-// times what it takes. That may be at most so much of the work that gets room:
-// without this bound, short tasks that clear room for themselves on a full site
-// cost more work than they are.
+// Work that preemption wastes: a restore and a part of the stop, multiplied by
+// the share of a worker that the run uses. It may be at most
+// `kMaxLostWorkShare` of the work that gains the capacity. Without this bound,
+// short tasks that preempt runs on a full site cost more work than they
+// contribute.
 constexpr absl::Duration kWorkLostByPreemption = absl::Seconds(1);
 constexpr double kMaxLostWorkShare = 0.5;
-// Others yield to a step once its job has no more than this share of its time
-// to wait left: until then room may come by itself.
+// Runs are preempted for a step only when its job has at most this share of its
+// permitted waiting time left. Until then capacity may become free without
+// preemption.
 constexpr double kPreemptionSlack = 0.5;
-// A run that is done to this many hundredths ends soon by itself.
+// A run at or above this percentage of its progress ends soon and is not
+// preempted.
 constexpr int32_t kNearlyDonePercent = 85;
-// Between two searches for room for one step. Each looks at the workers that
-// may run it and at what runs there.
+// Interval between two capacity searches for one step. A search examines the
+// workers that may run the step and the runs on them.
 constexpr absl::Duration kReservationInterval = absl::Milliseconds(50);
-// A run does not yield again and again: each time costs it a restore.
+// Maximum number of times a task is preempted. Each preemption costs it a
+// restore.
 constexpr int32_t kMaxPreemptions = 2;
-// A task is large when it takes this share of a worker or more: two at most
-// fit. Where such tasks take half of a worker, beside small ones, 0.96 of the
-// worth was earned on a calm day with room held for them, 0.94 without (one
-// play each).
+// A task is large if it needs at least this share of a worker, so that at most
+// two fit. Where such tasks use half of a worker beside small ones, 0.96 of the
+// value was earned on a calm day with capacity reserved for them, 0.94 without
+// (one simulated run each).
 constexpr double kLargeTaskShare = 0.4;
 
 }  // namespace
@@ -42,9 +46,9 @@
 struct JobScheduler::ReservationOption {
   Worker* worker;
   CapacityCandidate candidate;
-  std::vector<RunKey> runs;  // Those of `candidate.runs`.
-  int32_t whole;             // Tasks that fit when nothing else runs there.
-  bool reserved;             // Room was kept there at the last look.
+  std::vector<RunKey> runs;  // Keys of `candidate.runs`, in the same order.
+  int32_t whole;             // Tasks that fit if no other run were there.
+  bool reserved;             // The last pass reserved capacity there.
 };
 
 std::vector<JobScheduler::Worker*> JobScheduler::FindWorkersToReserve(
@@ -106,7 +110,7 @@
   const JobTiming& timing = GetJobTiming(job, *queue);
   const absl::Time last = job.accepted_at + timing.objective -
                           timing.work_from[step] - kRestartDelay;
-  // One that cannot be in time any more has nothing to lose.
+  // A job that can no longer meet its objective loses nothing by preemption.
   allocation.preemptible_until =
       last > now.mono ? last : absl::InfiniteFuture();
 }
@@ -119,12 +123,13 @@
       allocation.should_stop || allocation.unwanted || allocation.uncertain ||
       allocation.start_answered > now.mono)
     return std::nullopt;
-  // What it did since it began counts as time that it has left.
+  // The time since the run began is added to its remaining slack.
   const absl::Duration left =
       allocation.preemptible_until - now.mono + (now.mono - allocation.placed);
   if (left <= absl::ZeroDuration() || allocation.percent >= kNearlyDonePercent)
     return std::nullopt;
-  // In seconds of a whole worker; the one with more time left goes first.
+  // The cost is in seconds of a whole worker. Of equal runs, the one with more
+  // slack is cheaper.
   const double lost = DominantShare(allocation.need, worker.record.capacity) *
                       absl::ToDoubleSeconds(kWorkLostByPreemption);
   return lost * (1 + kRestartDelay / (left + kRestartDelay));
@@ -208,7 +213,8 @@
             });
   int32_t possible = 0;
   for (const ReservationOption& option : options) possible += option.whole;
-  // Nothing is kept for a gang that the workers could not carry.
+  // Nothing is reserved for a gang that the workers could not run even if they
+  // were empty.
   if (ready.spec->gang && possible < tasks) return;
   for (const ReservationOption& option : options) {
     const int32_t here = std::min(option.whole, tasks);
@@ -233,7 +239,7 @@
   ready.state->reserved.clear();
   const int32_t left =
       ready.waiting - ReserveUpcomingCapacity(ready, options, now);
-  // Small tasks find room wherever something ends.
+  // Small tasks fit wherever a run ends, so nothing more is reserved for them.
   const bool large = TaskShareOfWorker(ready, options) >= kLargeTaskShare;
   if (left > 0 && (ready.spec->gang || large))
     ReserveOnLeastUsedWorkers(ready, left, options);
@@ -261,7 +267,7 @@
     total += fits;
   }
   if (total < ready.waiting) return false;
-  // As few workers as can be: each needs a ticket.
+  // Uses as few workers as possible, since each needs a ticket.
   std::stable_sort(
       places.begin(), places.end(),
       [](const Place& a, const Place& b) { return a.fits > b.fits; });
--- a/keelbridge/coordination/job_scheduler_runs.cc
+++ b/keelbridge/coordination/job_scheduler_runs.cc
@@ -1,5 +1,5 @@
-// What becomes of runs: how they ended, which are found running, which are
-// missing.
+// Handles the runs that workers report as ended or running, and runs that are
+// missing from a report.
 
 #include <algorithm>
 #include <set>
@@ -10,7 +10,8 @@
 namespace keelbridge {
 namespace {
 
-// A worker that fails this many first tries in a row gets nothing for a while.
+// A worker on which this many consecutive tasks fail at their first attempt is
+// assigned no tasks for `kSuspectDuration`.
 constexpr int kMaxConsecutiveFailures = 2;
 constexpr absl::Duration kSuspectDuration = absl::Seconds(5);
 
@@ -29,7 +30,8 @@
       const RunKey key{{job.id, end.task.round, end.task.step, index}, one.run};
       if (worker != workers_.end() &&
           (index != end.task.index || one.run != end.run)) {
-        // Another copy, or a member of the gang whose end will be listed too.
+        // Another copy of the task is stopped. The end of another member of a
+        // gang will be reported by its own worker.
         if (!spec.gang) RequestStop(*worker->second, key);
       }
     }
@@ -103,7 +105,7 @@
       for (const StepState& step : round.steps) {
         for (const TaskState& task : step.tasks) {
           const bool open = task.phase != TaskPhase::kDone;
-          // Tasks that last keep no failed runs: they have no limit.
+          // Long-running tasks record no failed runs, so they have no limit.
           if (open && !task.failed_runs.empty() &&
               task.failed_runs.size() >= max_attempts)
             return true;
@@ -187,7 +189,8 @@
     }
     return;
   }
-  // What a run takes whose job's description is gone is not known.
+  // If the job's description is gone, the resources that the run uses are
+  // unknown.
   const bool described =
       job != nullptr &&
       static_cast<size_t>(running.task.step) < job->spec.steps.size();
@@ -238,11 +241,13 @@
   std::vector<RunKey> missing;
   for (const auto& [key, allocation] : worker.allocations) {
     if (reported.count(key) > 0) continue;
-    // Only a listing asked for after the start was answered, or after a stop
-    // that keeps it from starting late, tells that the run is not there.
+    // The run is known to be absent only if the report was requested after the
+    // start was answered, or after the answer to a stop, which prevents a
+    // delayed start.
     const bool is_conclusive =
         allocation.start_answered < sent || allocation.stop_answered < sent;
-    // Its end may be among those that did not fit into the answer.
+    // The end of the run may be among the ends that did not fit into the
+    // report.
     if (is_conclusive && !reply.more_ends) missing.push_back(key);
   }
   for (const RunKey& key : missing) {
--- a/keelbridge/coordination/job_scheduler_waiting.cc
+++ b/keelbridge/coordination/job_scheduler_waiting.cc
@@ -1,5 +1,5 @@
-// Lines for the log about steps that wait: what room there is for them, what is
-// known of who may run them, and what keeps them.
+// Logs steps that wait for long: which capacity is available to them, which
+// workers are known to be eligible, and what blocks the steps.
 
 #include <algorithm>
 
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr absl::Duration kWaitingLogInterval = absl::Seconds(2);
-// A step is told of once it has waited for this long.
+// A step is logged once it has waited for longer than this.
 constexpr absl::Duration kMinLoggedWait = absl::Seconds(3);
-// Lines each time, at most: of the steps that lack most processors.
+// Maximum number of lines per interval, for the steps that lack the most
+// processors.
 constexpr size_t kMaxWaitingLines = 8;
 
 }  // namespace
--- a/keelbridge/coordination/job_scheduler_waiting_test.cc
+++ b/keelbridge/coordination/job_scheduler_waiting_test.cc
@@ -1,4 +1,4 @@
-// What the log tells of steps that wait.
+// Tests the log lines about waiting steps.
 
 #include <doctest/doctest.h>
 
@@ -22,8 +22,9 @@
   return fields;
 }
 
-// A gang with room twice over waits since few may run it, and the log tells so.
-TEST_CASE("job scheduler: the log tells what a step that waits lacks") {
+// A gang that would fit twice waits because few workers may run it. The log
+// line shows this.
+TEST_CASE("job scheduler: the log shows what a waiting step lacks") {
   SchedulerDriver site(1);
   site.UseAdvice();
   for (const char* worker : {"a", "b"}) {
--- a/keelbridge/coordination/scheduler_policy.h
+++ b/keelbridge/coordination/scheduler_policy.h
@@ -1,5 +1,6 @@
-// Mechanisms of the site's scheduler that can be switched off one by one, to
-// measure what each is worth (scripts/ablation). In operation all are on.
+// Mechanisms of the site's scheduler that can be switched off individually, to
+// measure the effect of each (scripts/ablation). All of them are on in
+// production.
 //
 //   SchedulerPolicy policy;
 //   for (const PolicySwitch& one : PolicySwitches())
@@ -13,20 +14,21 @@
 namespace keelbridge {
 
 struct SchedulerPolicy {
-  // An order without an answer is settled within milliseconds by further looks.
+  // Determines the outcome of an unanswered order within milliseconds by
+  // further observations.
   bool settle_soon = true;
-  // A call for advice names all workers whose naming costs little beside the
-  // call itself.
+  // An advice call names all workers whose naming costs little compared with
+  // the call itself.
   bool name_by_cost = true;
-  // Blocked single tasks keep room from work that is ordered behind them, as
-  // gangs do.
+  // Blocked single tasks, like gangs, reserve capacity ahead of work that is
+  // ordered after them.
   bool hold_room = true;
-  // Less urgent runs that save their progress yield to blocked steps.
+  // Less urgent runs that save their progress are preempted for blocked steps.
   bool make_room = true;
 };
 
 struct PolicySwitch {
-  const char* name;  // In settings.
+  const char* name;  // Name in the settings.
   bool SchedulerPolicy::*on;
 };
 
