--- a/keelbridge/coordination/decider.cc
+++ b/keelbridge/coordination/decider.cc
@@ -7,9 +7,10 @@
 namespace keelbridge {
 namespace {
 
-// A team without quota is last among equals, but not infinitely so.
+// Lower bound of a quota that is used as a divisor. A team without quota comes
+// last among equals, but its weighted share stays finite.
 constexpr double kMinQuota = 0.001;
-// How many tasks are promoted in one call, to bound its work.
+// Maximum number of promotions per call of `Decide`, to bound its work.
 constexpr int kMaxPromotions = 200;
 
 template <typename T>
@@ -30,8 +31,8 @@
   } else {
     options.headroom = 0;
     options.interactive_preempts = false;
-    // Taking room back by stopping others costs 1 to 2% of the cell here; a
-    // team below its quota gets its turn when work ends instead.
+    // Reclaiming capacity by preemption costs 1 to 2% of the cell under this
+    // policy. A team below its quota is served when other work ends instead.
     options.reclaim = false;
     options.queue.largest_first = true;
   }
@@ -80,8 +81,8 @@
 }
 
 int32_t Decider::ShapeOf(const TaskRow& row) {
-  // Work that must be spread is blocked for its own reason, so each group of it
-  // has a shape of its own.
+  // Tasks with a spread constraint are blocked per group, so each of their
+  // groups has a shape of its own.
   if (row.spread) return -1 - row.group;
   return shapes_.emplace(row.need, static_cast<int32_t>(shapes_.size()))
       .first->second;
@@ -132,7 +133,7 @@
   return id;
 }
 
-// Accounts of room.
+// Capacity accounting.
 
 void Decider::AddUsage(const TaskRow& row, int sign) {
   Team& team = teams_[row.team];
@@ -158,7 +159,8 @@
 
 void Decider::AllocateCapacity(TaskId id, WorkerId worker, int64_t now_ms) {
   TaskRow& row = tasks_[id];
-  // Who others yield for is charged from then on.
+  // A preemptor has counted towards its team's usage since the preemption
+  // began.
   if (row.state != TaskState::kAwaitingPreemption) AddUsage(row, 1);
   row.state = TaskState::kPlaced;
   row.worker = worker;
@@ -176,13 +178,14 @@
   TaskRow& row = tasks_[id];
   cell_.Release(row.worker, row.need);
   Erase(on_worker_[row.worker], id);
-  // What yields was taken off its team's account when it was asked to.
+  // A task that is being preempted was removed from its team's usage when the
+  // preemption began.
   if (row.state != TaskState::kBeingPreempted) AddUsage(row, -1);
   if (row.spread) --group_by_rack_[row.group][cell_.Rack(row.worker)];
   OnCapacityFreed(row.worker);
 }
 
-// What really happened.
+// Events reported by the caller.
 
 void Decider::Detach(TaskId id, int64_t now_ms) {
   TaskRow& row = tasks_[id];
@@ -193,7 +196,8 @@
       break;
     case TaskState::kPlaced:
       ReleaseCapacity(id);
-      // A task may end by itself while others yield beside it.
+      // This task is no victim, so its end completes no preemption, even if
+      // other tasks of the worker are being preempted.
       break;
     case TaskState::kBeingPreempted: {
       ReleaseCapacity(id);
@@ -254,7 +258,7 @@
   }
   AllocateCapacity(id, worker, now_ms);
   ++counts_.placements;
-  // The decision to make others yield, carried out.
+  // Completes the record of the decision to preempt.
   Decision record = LastDecision(id).value_or(Decision());
   record.task = id;
   record.at_ms = now_ms;
@@ -308,7 +312,7 @@
   row.work_class = work_class;
 }
 
-// Decisions.
+// Placement.
 
 void Decider::OnCapacityFreed(WorkerId worker) {
   if (cell_.Schedulable(worker))
@@ -320,7 +324,8 @@
   pending_orders_.clear();
   queue_.Promote(tasks_, now_ms, kMaxPromotions);
   if (now_ms >= next_full_pass_ms_) {
-    // What openings do not show: shares that changed, shelter that ended.
+    // Retries everything, because the record of freed capacity does not show
+    // that shares changed or that preemption protection expired.
     next_full_pass_ms_ = now_ms + options_.full_pass_interval_ms;
     queue_.UnblockAll();
   }
@@ -355,7 +360,8 @@
     Start(id, found, now_ms, orders);
     return PlacementOutcome::kDone;
   }
-  // New room that turned out too small changes nothing else.
+  // If freed capacity turned out to be too small, nothing else has changed
+  // since the task was blocked.
   if (!offer.only.empty()) return PlacementOutcome::kWaitsForCapacity;
   Record(found.record);
   if (MayPreempt(row) && PreemptFor(id, now_ms, orders)) {
@@ -397,8 +403,8 @@
   if (ViolatesSpread(row, worker)) return Rejection::kSpread;
   for (const Reservation& reservation : reservations_) {
     if (reservation.worker != worker) continue;
-    // Work of a higher rank may use the room; the reservation is then made
-    // anew.
+    // Work of a higher rank may use the reserved capacity. The reservation is
+    // then made anew.
     if (row.rank < tasks_[reservation.task].rank) continue;
     if (&row == &tasks_[reservation.task]) continue;
     if (!RespectsReservation(row, reservation, now_ms))
@@ -416,9 +422,9 @@
 }
 
 double Decider::Score(const TaskRow& row, WorkerId worker) const {
-  // Lower is better. What is left over on a worker is of use only as far as its
-  // dimensions stay in balance, so the score is the room left plus how uneven
-  // it is left.
+  // Lower is better. Remaining capacity is useful only as far as processors and
+  // memory stay in balance, so the score is the remaining capacity plus its
+  // imbalance.
   const Resources total = cell_.Total(worker);
   const Resources left = cell_.Free(worker) - row.need;
   const double cpu =
@@ -426,8 +432,8 @@
   const double memory =
       static_cast<double>(left.memory_mib) / std::max(1, total.memory_mib);
   const double imbalance = std::abs(cpu - memory);
-  // Free accelerators beside work that needs none are stranded when the
-  // processors run out.
+  // Free accelerators are stranded if work that needs none uses up the worker's
+  // processors.
   const double stranded = row.need.accelerators == 0 && left.accelerators > 0
                               ? (1 - cpu) * left.accelerators
                               : 0;
@@ -437,7 +443,8 @@
 }
 
 bool Decider::UsesBestFit(const TaskRow& row) const {
-  // Services are kept apart, so that a lost worker takes few of them.
+  // Services are spread over workers, so that the loss of a worker affects few
+  // of them.
   return options_.best_fit && (!row.service || options_.pack_services);
 }
 
@@ -513,7 +520,7 @@
   orders.push_back({Order::Kind::kStart, id, found.worker, false, kNoTask});
 }
 
-// Records.
+// Decision records.
 
 void Decider::Record(const Decision& decision) {
   decisions_.push_back(decision);
--- a/keelbridge/coordination/decider.h
+++ b/keelbridge/coordination/decider.h
@@ -1,9 +1,10 @@
-// Decides where tasks run, when they start and what yields: the decision core
-// of a zone.
+// Decides where tasks run, when they start and which tasks are preempted: the
+// decision core of a zone.
 //
-// Pure and copyable: a plan is computed by running a copy. It owns the cell's
-// accounts; whoever drives it tells it what really happened (started, ended,
-// stopped, lost) and carries out its orders.
+// The class is pure and copyable, so that a plan can be computed by running a
+// copy. It owns the accounting of the cell's capacity. Its caller carries out
+// the returned orders and reports what happened to the tasks (ended, stopped,
+// lost, or failed to start).
 //
 //   Decider decider(options);
 //   TaskId id = decider.Submit(spec, now_ms);
@@ -37,52 +38,68 @@
   WorkClass work_class = WorkClass::kStandard;
   bool checkpoints = false;
   bool spread = false;
-  bool non_preemptible = false;  // Never yields: it could not be run again.
-  int64_t duration_ms = 0;       // 0: a service.
+  // Never preempted, because the task could not be run again.
+  bool non_preemptible = false;
+  int64_t duration_ms = 0;  // 0 for a service.
   double estimate_error = 0;
-  int64_t deadline_ms = kNever;  // Monotonic.
+  int64_t deadline_ms = kNever;  // Monotonic clock.
   int64_t saved_progress_ms = 0;
 };
 
-// What a policy weighs. Times in milliseconds.
+// Parameters of a scheduling policy. The suffixes `_ms` and `_s` stand for
+// milliseconds and seconds.
 struct DeciderOptions {
-  int candidates = 12;  // Workers that fit, compared for one placement.
-  int max_examined =
-      48;  // Workers looked at before the first that fits is taken.
-  bool best_fit = true;        // Otherwise the roomiest.
-  bool pack_services = false;  // Services too; otherwise they get the roomiest.
-  double headroom =
-      0;  // Share of processors that standard and bulk work leaves free.
-  bool interactive_preempts =
-      true;  // Interactive work may make others yield; urgent work always may.
-  bool reclaim = true;  // A team below its quota may take room back from teams
-                        // above theirs.
-  int max_workers_compared = 48;  // Workers that are weighed for a yield.
-  int64_t preemption_protection_ms = 30000;  // A task that started within this
-                                             // yields only if nothing else can.
-  double preemption_base_cost_s =
-      5;  // Cost of touching one task, in seconds of its work.
-  double interactive_cost_factor = 10;  // Times as dear as standard work.
-  int max_preemptions_per_worker = 8;   // At a time.
-  double repeat_preemption_factor =
-      1;  // How much each earlier yield of a task adds to its cost.
+  // Number of suitable workers that are scored for one placement.
+  int candidates = 12;
+  // After this many workers have been examined, the first suitable one is
+  // taken.
+  int max_examined = 48;
+  // Best fit: prefer the worker with the least remaining capacity. Otherwise
+  // worst fit: prefer the one with the most.
+  bool best_fit = true;
+  // Apply best fit to services too. Otherwise they are placed by worst fit.
+  bool pack_services = false;
+  // Fraction of the cell's processors that standard and bulk tasks leave free.
+  double headroom = 0;
+  // Interactive tasks may preempt others. Urgent tasks always may.
+  bool interactive_preempts = true;
+  // A team below its quota may preempt tasks of teams above theirs.
+  bool reclaim = true;
+  // Number of suitable workers that are compared for a preemption or a
+  // reservation.
+  int max_workers_compared = 48;
+  // A task that started less than this time ago is preempted only if preempting
+  // other tasks does not suffice.
+  int64_t preemption_protection_ms = 30000;
+  // Fixed cost of preempting one task, in seconds of its work.
+  double preemption_base_cost_s = 5;
+  // Factor by which preempting interactive work costs more than preempting
+  // standard work.
+  double interactive_cost_factor = 10;
+  // Maximum number of concurrent preemptions on one worker.
+  int max_preemptions_per_worker = 8;
+  // Each earlier preemption of a task increases its cost by this multiple.
+  double repeat_preemption_factor = 1;
   int max_reservations = 16;
-  int64_t full_pass_interval_ms =
-      1000;  // When waiting work looks at every worker again.
-  int max_decisions_kept = 4096;  // Decisions kept for `explain`.
+  // Interval at which waiting tasks are tried on every worker again.
+  int64_t full_pass_interval_ms = 1000;
+  // Number of most recent decisions that are kept for explanations.
+  int max_decisions_kept = 4096;
   TaskQueue::Options queue;
 
   static DeciderOptions ForPolicy(PolicyKind policy);
 };
 
-// What to carry out.
+// An action that the caller has to carry out.
 struct Order {
   enum class Kind { kStart, kPreempt };
   Kind kind = Kind::kStart;
   TaskId task = kNoTask;
   WorkerId worker = kNoWorker;
-  bool checkpoint = false;     // Of a yield: save progress first.
-  TaskId preemptor = kNoTask;  // Of a yield.
+  // For `kPreempt`: the task saves a checkpoint before it stops.
+  bool checkpoint = false;
+  // For `kPreempt`: the task for which capacity is freed.
+  TaskId preemptor = kNoTask;
 };
 
 struct DeciderCounts {
@@ -97,7 +114,8 @@
  public:
   explicit Decider(DeciderOptions options);
 
-  // Quota: the share of the cell that the team can always get back.
+  // Adds a team, or changes the quota of a known one. `quota` is the fraction
+  // of the cell that the team can always reclaim.
   int16_t AddTeam(const std::string& name, double quota);
   int16_t FindTeam(const std::string& name) const;
   WorkerId AddWorker(const std::string& name, const std::string& rack,
@@ -106,18 +124,21 @@
   void SetTotal(WorkerId worker, const Resources& total);
 
   TaskId Submit(const TaskSpec& spec, int64_t now_ms);
-  // Takes in a task that was found running, as a lease that already stands.
+  // Adds a task that was found running on `worker`, where it already holds a
+  // lease.
   TaskId Adopt(const TaskSpec& spec, WorkerId worker, int64_t started_ms,
                int64_t now_ms);
 
-  // The orders that are due, after at most `budget` placements tried.
+  // Tries at most `budget` placements. Returns the orders to carry out.
   std::vector<Order> Decide(int64_t now_ms, int budget);
 
-  // A start was refused, or proved not to have happened: back to the queue.
+  // Requeues a task whose start was refused or certainly did not happen.
   void OnStartFailed(TaskId task, int64_t now_ms);
-  // Stopped for certain, with the progress it saved: back to the queue.
+  // Requeues a task that has certainly stopped, after it saved the given
+  // progress.
   void OnStopped(TaskId task, int64_t saved_progress_ms, int64_t now_ms);
-  // Gone for certain: finished, failed, or cancelled while waiting.
+  // Removes a task that has certainly ended: it finished, failed, or was
+  // cancelled while waiting.
   void OnEnded(TaskId task, int64_t now_ms);
   void SetClass(TaskId task, WorkClass work_class, int64_t now_ms);
 
@@ -129,12 +150,13 @@
   size_t waiting() const { return queue_.size(); }
   size_t live() const { return tasks_.live(); }
   const DeciderCounts& counts() const { return counts_; }
-  // A team's dominant share of the cell, 0 to 1.
+  // Returns the team's dominant share of the cell, from 0 to 1.
   double ShareOf(int16_t team) const;
   double ComputeWorkerQuota(int16_t team) const { return teams_[team].quota; }
   const std::string& TeamName(int16_t team) const { return teams_[team].name; }
   int Teams() const { return static_cast<int>(teams_.size()); }
-  // The newest decision about `task` that is still kept.
+  // Returns the most recent decision about `task`, or nullopt if it is no
+  // longer kept.
   std::optional<Decision> LastDecision(TaskId task) const;
   const std::deque<Decision>& decisions() const { return decisions_; }
 
@@ -144,20 +166,25 @@
     double quota = 0;
     std::array<int64_t, 3> used{};
   };
-  // Room that is kept on a worker for a task that fits nowhere now.
+  // Capacity that is reserved on a worker for a task that fits nowhere at
+  // present.
   struct Reservation {
     TaskId task = kNoTask;
     WorkerId worker = kNoWorker;
     int64_t start_ms = 0;
-    Resources spare;  // What is left beside it at that time, for work that does
-                      // not end before.
+    // Capacity that remains beside the task at `start_ms`, for work that does
+    // not end before then.
+    Resources spare;
   };
-  // Tasks of one worker that yield for one beneficiary.
+  // Tasks on one worker that are being preempted for one other task.
   struct Preemption {
-    TaskId preemptor = kNoTask;  // `kNoTask`: it went away meanwhile.
+    // `kNoTask` if the preemptor ended or was cancelled meanwhile.
+    TaskId preemptor = kNoTask;
     WorkerId worker = kNoWorker;
-    Resources need;               // Of the beneficiary.
-    std::vector<TaskId> victims;  // That have not stopped yet.
+    // Resources that the preemptor needs.
+    Resources need;
+    // Victims that have not stopped yet.
+    std::vector<TaskId> victims;
   };
   struct SearchResult {
     WorkerId worker = kNoWorker;
@@ -175,7 +202,7 @@
   void Detach(TaskId id, int64_t now_ms);
   void OnVictimStopped(TaskId victim, int64_t now_ms);
   void UpdateReserved(WorkerId worker);
-  // Room that is neither given out nor held for those that others yield for.
+  // Returns the capacity that is neither allocated nor reserved for preemptors.
   Resources UnreservedCapacity(WorkerId worker) const {
     return cell_.Free(worker) - reserved_[worker];
   }
@@ -185,7 +212,7 @@
                             std::vector<Order>& orders);
   SearchResult FindWorker(TaskId id, const std::vector<WorkerId>& only,
                           int64_t now_ms) const;
-  // Weighs one worker; false when the search can end.
+  // Scores one worker for a task. Returns false when the search can end.
   bool EvaluateWorker(const TaskRow& row, WorkerId worker, int64_t now_ms,
                       SearchResult& found) const;
   std::optional<Rejection> FindRejection(const TaskRow& row, WorkerId worker,
@@ -217,18 +244,20 @@
   TaskTable tasks_;
   TaskQueue queue_;
   std::vector<Team> teams_;
-  std::vector<double> shares_;  // Of each team: dominant share over quota.
+  // Indexed by team: dominant share divided by quota.
+  std::vector<double> shares_;
   absl::flat_hash_map<std::string, int16_t> team_by_name_;
   std::vector<std::vector<TaskId>> on_worker_;
   absl::flat_hash_map<Resources, int32_t> shapes_;
-  absl::flat_hash_map<int32_t, std::vector<int32_t>>
-      group_by_rack_;  // Tasks of a group on each rack.
+  // Number of tasks of each group, indexed by rack.
+  absl::flat_hash_map<int32_t, std::vector<int32_t>> group_by_rack_;
   absl::flat_hash_map<int32_t, int32_t> group_size_;
   std::vector<Reservation> reservations_;
   std::vector<Preemption> preemptions_;
-  std::vector<Resources> reserved_;  // By worker.
-  std::vector<Order>
-      pending_orders_;  // Starts that became possible outside `Decide`.
+  // Indexed by worker: capacity reserved for preemptors.
+  std::vector<Resources> reserved_;
+  // Start orders that became possible outside `Decide`.
+  std::vector<Order> pending_orders_;
   std::deque<Decision> decisions_;
   DeciderCounts counts_;
   int64_t next_full_pass_ms_ = 0;
--- a/keelbridge/coordination/decider_benchmark.cc
+++ b/keelbridge/coordination/decider_benchmark.cc
@@ -1,5 +1,5 @@
-// What a decision costs at several sizes of the cell, ours and the naive one's,
-// in a cell that is nearly full and in steady change.
+// Measures the cost of a decision at several sizes of the cell, for `Decider`
+// and for `NaiveDecider`. The cell is nearly full and changes steadily.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -16,7 +16,8 @@
 namespace {
 
 constexpr int kTeams = 39;
-constexpr int kTasksPerWorker = 16;  // 18,000 on 1,100.
+// About 18,000 tasks on 1,100 workers.
+constexpr int kTasksPerWorker = 16;
 
 TaskSpec RandomTask(std::mt19937_64& random) {
   const auto pick = [&random](int a, int b) {
@@ -51,7 +52,7 @@
   return decider;
 }
 
-// One task ends, one comes, a decision is taken.
+// Per iteration, one task ends, one is submitted, and one decision is made.
 void BM_Placement(benchmark::State& state) {
   const int workers = static_cast<int>(state.range(0));
   std::mt19937_64 random(7);
@@ -147,7 +148,7 @@
     ->Iterations(3000)
     ->Unit(benchmark::kMicrosecond);
 
-// An urgent task on a full cell: the search for victims.
+// Submits an urgent task to a full cell, which requires a search for victims.
 void BM_Yield(benchmark::State& state) {
   const int workers = static_cast<int>(state.range(0));
   std::mt19937_64 random(7);
@@ -177,7 +178,7 @@
         decider.OnStopped(order.task, 0, now);
     }
     decider.OnEnded(urgent, now);
-    // What yielded fills the cell again.
+    // The preempted tasks fill the cell again.
     (void)decider.Decide(now, 50);
     now += 40;
   }
--- a/keelbridge/coordination/decider_preemption.cc
+++ b/keelbridge/coordination/decider_preemption.cc
@@ -1,5 +1,5 @@
-// The part of `Decider` that makes room: what yields, and what is kept free for
-// work that has to wait.
+// The part of `Decider` that implements preemption, and the reservation of
+// capacity for tasks that have to wait.
 
 #include <algorithm>
 #include <utility>
@@ -13,9 +13,10 @@
 
 }  // namespace
 
-// Yields. Urgent and interactive work, and work of a team below its quota,
-// makes others yield. What has yielded once never makes others yield, so that a
-// yield cannot cause another; services never yield to anything but a reclaim.
+// Preemption. Urgent and interactive tasks, and tasks of a team below its
+// quota, may preempt others. A task that was preempted never preempts unless it
+// is urgent, so that preemptions do not cascade. Urgent tasks and interactive
+// services are never preempted.
 
 bool Decider::MayPreempt(const TaskRow& row) const {
   if (row.rank == kUrgentRank) return true;
@@ -128,8 +129,9 @@
   return true;
 }
 
-// Reservations: room is kept for large work that fits nowhere, and smaller work
-// fills the time before it as long as it ends before, or fits beside it.
+// Reservations. Capacity is reserved for large tasks that fit nowhere. Smaller
+// tasks backfill the worker as long as they end before the reservation starts
+// or fit beside the reserved capacity.
 
 int64_t Decider::EarliestStart(WorkerId worker, const Resources& need,
                                int64_t now_ms, Resources* spare) const {
--- a/keelbridge/coordination/decider_test.cc
+++ b/keelbridge/coordination/decider_test.cc
@@ -43,7 +43,8 @@
 }
 
 TEST_CASE(
-    "placement: finds room whenever exhaustive search does, over 1000 seeds") {
+    "placement: finds a worker whenever exhaustive search does, over 1000 "
+    "seeds") {
   int64_t examined = 0;
   int64_t decisions = 0;
   for (uint64_t seed = 1; seed <= 1000; ++seed) {
@@ -76,12 +77,13 @@
       if (started != fits) CAPTURE(seed);
       CHECK(started == fits);
       for (const Order& order : orders) running.push_back(order.task);
-      // What waits is taken away, so that the next task meets only the cell.
+      // Removes a waiting task, so that the next one competes only with running
+      // tasks.
       if (!started) decider.OnEnded(id, now);
     }
     examined += decider.counts().examined;
   }
-  MESSAGE("workers looked at a decision, of 8: ",
+  MESSAGE("workers examined per decision, of 8: ",
           static_cast<double>(examined) / static_cast<double>(decisions));
 }
 
@@ -101,7 +103,9 @@
   return best;
 }
 
-TEST_CASE("victims: least cost as by exhaustive search, over 1000 seeds") {
+TEST_CASE(
+    "victims: cost equals the minimum of an exhaustive search, over 1000 "
+    "seeds") {
   double naive_cost = 0;
   double cost = 0;
   for (uint64_t seed = 1; seed <= 1000; ++seed) {
@@ -124,7 +128,7 @@
     if (!found.found) continue;
     CHECK(found.cost == doctest::Approx(best));
     cost += found.cost;
-    // First that fits: in order, until enough is free.
+    // First fit: takes candidates in order until enough is free.
     Resources freed;
     for (const VictimCandidate& c : candidates) {
       if (shortfall.FitsIn(freed)) break;
@@ -132,11 +136,11 @@
       naive_cost += c.cost;
     }
   }
-  MESSAGE("cost of victims against the first that fit: ", cost / naive_cost);
+  MESSAGE("cost of victims relative to first fit: ", cost / naive_cost);
   CHECK(cost < 0.6 * naive_cost);
 }
 
-// Random work through a decider; checks what must hold after every step.
+// Runs random operations and checks the invariants after each of them.
 void CheckInvariants(const std::vector<uint32_t>& steps,
                      const DeciderOptions& options) {
   Decider decider = MakeDecider(options, 6);
@@ -192,7 +196,8 @@
     for (const Order& order : decider.Decide(now, 20)) {
       if (order.kind == Order::Kind::kPreempt) {
         RC_ASSERT(running.count(order.task) == 1U);
-        // What has yielded once makes nobody yield, so a yield causes no other.
+        // A task that was preempted never preempts others unless it is urgent,
+        // so that preemptions do not cascade.
         const TaskRow& cause = decider.task(order.preemptor);
         RC_ASSERT(cause.work_class == WorkClass::kUrgent || cause.yields == 0);
         being_preempted.insert(order.task);
@@ -201,7 +206,8 @@
       RC_ASSERT(running.insert(order.task).second);
       RC_ASSERT(decider.cell().Schedulable(order.worker));
     }
-    // Accounts and tasks agree; nothing is given twice or lost.
+    // The accounting matches the running tasks: no capacity is allocated twice
+    // or lost.
     std::map<WorkerId, Resources> used;
     for (const TaskId id : running)
       used[decider.task(id).worker] += decider.task(id).need;
@@ -214,7 +220,9 @@
   }
 }
 
-TEST_CASE("decider: accounts, conservation and yields, for any sequence") {
+TEST_CASE(
+    "decider: accounting, conservation and preemption invariants hold for any "
+    "sequence") {
   const bool plain = rc::check([](const std::vector<uint32_t>& steps) {
     CheckInvariants(steps, NoPreemptionOptions());
   });
@@ -246,7 +254,7 @@
   for (const auto& [rack, count] : by_rack) CHECK(count == 3);
 }
 
-TEST_CASE("reservation: backfill never delays the large task it is kept for") {
+TEST_CASE("reservation: backfill never delays the large task that holds it") {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     const auto pick = [&random](int a, int b) {
@@ -263,14 +271,14 @@
       }
       return seen;
     };
-    // Few enough that all of them start at once.
+    // Nine tasks are few enough to start at once.
     for (int i = 0; i < 9; ++i)
       decider.Submit(
           MakeTask(pick(3, 5), 4, WorkClass::kStandard, pick(1000, 20000)),
           now);
     decide(kNoTask);
-    // Without backfill the large task starts at the latest when one worker is
-    // empty.
+    // Without backfill, the large task starts when the first worker is empty at
+    // the latest.
     int64_t latest = 0;
     std::map<WorkerId, int64_t> empty_at;
     for (const auto& [at, id] : ends)
@@ -285,7 +293,7 @@
       now = ends.begin()->first;
       decider.OnEnded(ends.begin()->second, now);
       ends.erase(ends.begin());
-      // Small work keeps coming and would take every gap.
+      // Small tasks keep arriving and would fill every gap.
       for (int i = 0; i < 3; ++i)
         decider.Submit(
             MakeTask(pick(1, 4), 1, WorkClass::kBulk, pick(500, 30000)), now);
@@ -298,8 +306,8 @@
 }
 
 TEST_CASE(
-    "no starvation: bulk work is promoted and starts though standard work "
-    "never ends") {
+    "no starvation: bulk work is promoted and starts while standard work keeps "
+    "arriving") {
   DeciderOptions options = NoPreemptionOptions();
   options.queue.promote_after_ms = 60000;
   Decider decider = MakeDecider(options, 2);
@@ -311,7 +319,7 @@
       decider.OnEnded(ends.begin()->second, now);
       ends.erase(ends.begin());
     }
-    // More standard work than the cell holds.
+    // More standard work than the cell can run.
     for (int i = 0; i < 6; ++i)
       decider.Submit(MakeTask(8, 8, WorkClass::kStandard, 3000), now);
     for (const Order& order : decider.Decide(now, 100)) {
@@ -324,7 +332,8 @@
 }
 
 TEST_CASE(
-    "a team below its quota takes room back from one above, and no further") {
+    "a team below its quota reclaims capacity from one above, up to its "
+    "quota") {
   DeciderOptions options;
   options.interactive_preempts = false;
   options.preemption_protection_ms = 0;
@@ -353,7 +362,7 @@
   CHECK(decider.counts().yields == 4);
 }
 
-TEST_CASE("explanation: what others yielded for says so once it runs") {
+TEST_CASE("explanation: a task that preempted others says so once it runs") {
   Decider decider = MakeDecider(NoPreemptionOptions(), 1);
   const TaskId bulk = decider.Submit(MakeTask(16, 8, WorkClass::kBulk), 0);
   (void)decider.Decide(0, 10);
@@ -370,7 +379,9 @@
   CHECK(why.find("it starts") == std::string::npos);
 }
 
-TEST_CASE("explanation: says why here, why not there, and what would help") {
+TEST_CASE(
+    "explanation: states the placement rule, the search and what would let a "
+    "task start") {
   Decider decider = MakeDecider(NoPreemptionOptions(), 4);
   const TaskId first = decider.Submit(MakeTask(16, 8), 0);
   for (int i = 0; i < 3; ++i) decider.Submit(MakeTask(16, 8), 0);
--- a/keelbridge/coordination/decision.cc
+++ b/keelbridge/coordination/decision.cc
@@ -12,7 +12,7 @@
     "too few free accelerators", "its rack already has its share",
     "room is reserved for other work"};
 
-// What an operator could change so that a waiting task starts.
+// Returns what would let a waiting task start, or an empty string.
 const char* WhatWouldHelp(Rule rule) {
   switch (rule) {
     case Rule::kWaitsForCapacity:
--- a/keelbridge/coordination/decision.h
+++ b/keelbridge/coordination/decision.h
@@ -1,11 +1,11 @@
-// The record of one decision: what was looked at, what ruled it out, what won
-// and why.
+// The record of one placement decision: how many workers were examined, why
+// workers were rejected, which worker was chosen, and why.
 //
-// Records are small and fixed in size; text is made only when somebody asks.
-// The text also travels with the task's lease, so that the next leader can
-// explain what still runs.
+// Records are small and have a fixed size; text is produced only on request.
+// The text is also stored with the task's lease, so that the next leader can
+// explain tasks that are still running.
 //
-//   std::string why = decision.ToText(cell);
+//   std::string explanation = decision.ToText(cell);
 
 #ifndef KEELBRIDGE_COORDINATION_DECISION_H_
 #define KEELBRIDGE_COORDINATION_DECISION_H_
@@ -21,7 +21,7 @@
 using TaskId = int32_t;
 constexpr TaskId kNoTask = -1;
 
-// Why a worker could not take a task.
+// Why a worker cannot run a task.
 enum class Rejection {
   kProcessors,
   kMemory,
@@ -31,16 +31,16 @@
 };
 constexpr int kRejectionReasons = 5;
 
-// By which rule a task was placed, or is waiting.
+// The rule by which a task was placed, or for which it waits.
 enum class Rule {
-  kBestFit,             // The least room that holds it.
-  kWorstFit,            // The most room, to keep work apart.
-  kAfterPreemption,     // Others yielded for it.
-  kReservation,         // Room was kept for it.
-  kAdopted,             // Found running by a new leader.
-  kWaitsForCapacity,    // No worker has room now.
-  kWaitsForPreemption,  // Others are yielding for it.
-  kWaitsForHeadroom,    // Room is kept free for interactive work.
+  kBestFit,             // The worker with the least capacity that suffices.
+  kWorstFit,            // The worker with the most capacity, to spread tasks.
+  kAfterPreemption,     // Other tasks were preempted for it.
+  kReservation,         // Capacity was reserved for it.
+  kAdopted,             // A new leader found it running.
+  kWaitsForCapacity,    // No worker has enough free capacity now.
+  kWaitsForPreemption,  // Other tasks are being preempted for it.
+  kWaitsForHeadroom,    // Headroom is kept free for interactive work.
 };
 
 const char* RuleText(Rule rule);
@@ -49,7 +49,7 @@
   static constexpr int kMaxRunnersUp = 3;
 
   TaskId task = kNoTask;
-  int64_t at_ms = 0;  // Monotonic.
+  int64_t at_ms = 0;  // Monotonic clock.
   Rule rule = Rule::kWaitsForCapacity;
   WorkerId worker = kNoWorker;
   float score = 0;
@@ -58,11 +58,12 @@
   std::array<WorkerId, kMaxRunnersUp> runner_up{kNoWorker, kNoWorker,
                                                 kNoWorker};
   std::array<float, kMaxRunnersUp> runner_up_score{};
-  int16_t preempted = 0;        // How many tasks yielded for it.
-  float preemption_cost_s = 0;  // Seconds of work that this lost.
+  int16_t preempted = 0;  // Number of tasks preempted for it.
+  // Cost of the preemption, in seconds of lost work.
+  float preemption_cost_s = 0;
 
-  // One line of plain English: why here, why not there, why not yet, what would
-  // have to change.
+  // Returns a one-line explanation: why this worker, why not others, why the
+  // task still waits, and what would have to change.
   std::string ToText(const Cell& cell) const;
 };
 
--- a/keelbridge/coordination/lease_tracker.cc
+++ b/keelbridge/coordination/lease_tracker.cc
@@ -31,8 +31,8 @@
   stopping_.clear();
   for (auto& [name, view] : workers_) {
     view = WorkerView();
-    // The leader before could send until its leadership ended, which was before
-    // now; our own campaign renewed too.
+    // The previous leader could send until its leadership ended, which was
+    // before `now`. The election campaign of this node sent renewals too.
     view.renewed_until = now + options_.command_validity;
   }
 }
@@ -42,8 +42,8 @@
   for (auto it = workers_.begin(); it != workers_.end();) {
     const bool present =
         std::find(names.begin(), names.end(), it->first) != names.end();
-    // A worker that is no longer configured is kept until nothing of ours can
-    // run there.
+    // A worker that is no longer configured is kept until no task of this
+    // leader can run there.
     it = present || !it->second.tasks.empty() ? std::next(it)
                                               : workers_.erase(it);
   }
@@ -99,7 +99,8 @@
 
 void LeaseTracker::StopUnwanted(const std::string& worker, const LeaseRow& row,
                                 absl::Time now) {
-  // Under a name of its own, since the task may have a wanted lease elsewhere.
+  // Tracked under a name of its own, because the task may have a wanted lease
+  // elsewhere.
   LeaseRow renamed = row;
   renamed.task = row.task + "#" + std::to_string(row.attempt);
   Adopt(worker, renamed, now);
@@ -211,7 +212,7 @@
   if (reply->has_rows) {
     ApplyRows(view, worker, sent_at, *reply, now, events);
   } else {
-    // The tables agree, so no row of an ended task is left there.
+    // The tables agree, so the worker has no row of an ended task left.
     view.acknowledged.clear();
     ResolveStarts(view, sent_at, now, events);
   }
@@ -256,7 +257,8 @@
     lease.phase_since = now;
     events.push_back(MakeLeaseEvent(LeaseEventKind::kRunning, lease));
   }
-  // The worker has dropped the rows that it was told to drop.
+  // The worker has removed an acknowledged attempt that has no row, so the
+  // attempt need not be acknowledged again.
   for (auto it = view.acknowledged.begin(); it != view.acknowledged.end();) {
     it = ended.count(*it) == 0 ? view.acknowledged.erase(it) : std::next(it);
   }
@@ -303,9 +305,10 @@
   events.push_back(std::move(event));
 }
 
-// A listing, or a digest that agrees, was asked for at `sent_at` and does not
-// hold the unsettled starts whose time is over. They never happened, unless the
-// worker restarted or their leases lapsed meanwhile: both leave no row.
+// Resolves starts after a worker report, or a matching digest, that was
+// requested at `sent_at` and lacks them. An unresolved start whose command has
+// expired by `sent_at` never happened, unless the worker restarted or the lease
+// lapsed meanwhile. Both leave no row.
 void LeaseTracker::ResolveStarts(WorkerView& view, absl::Time sent_at,
                                  absl::Time now,
                                  std::vector<LeaseEvent>& events) {
@@ -365,7 +368,7 @@
   }
   LeaseEvent event = MakeLeaseEvent(LeaseEventKind::kNotStarted, lease);
   event.refusal = reply ? reply->refusal : "";
-  // The worker's table is not what this book thinks.
+  // The worker's table differs from what this tracker assumed.
   view.needs_report = true;
   Remove(task);
   events.push_back(std::move(event));
@@ -383,8 +386,8 @@
       it->second.phase != LeasePhase::kStopping)
     return events;
   WorkerView& view = workers_[it->second.worker];
-  // Otherwise the table will tell; an answer that names no such task may be of
-  // another incarnation.
+  // Unless the reply confirms the end, the worker's next report decides. An
+  // answer that the task is unknown may come from another incarnation.
   if (!reply || !reply->done || !reply->ended) return events;
   LeaseEvent event = MakeLeaseEvent(LeaseEventKind::kStopped, it->second);
   event.progress_ms = reply->progress_ms;
--- a/keelbridge/coordination/lease_tracker.h
+++ b/keelbridge/coordination/lease_tracker.h
@@ -1,18 +1,21 @@
-// Which task holds which lease on which worker, as far as can be known from
-// here.
+// Tracks which task holds which lease on which worker, as far as one leader
+// knows.
 //
-// The worker's own table is the truth; this book is what one leader knows of
-// it. An answer that is lost leaves a lease *unsettled*: neither running nor
-// free until a listing that was asked for after the command could no longer
-// take effect says which. A worker that stops answering is *silent*: its leases
-// end for certain only when the last message that could have renewed them has
-// lapsed; until then nothing exclusive of it starts elsewhere.
+// The worker's own table is authoritative. If the answer to a start is lost,
+// the lease is *unresolved*: it counts neither as running nor as free until a
+// worker report resolves it. That report must have been requested after the
+// last moment at which the start could take effect. A worker that stops
+// answering is *unresponsive*: its leases have certainly ended only when the
+// last message that could have renewed them has expired. Until then no
+// exclusive task of that worker starts elsewhere.
 //
-//   LeaseTracker book(options);
-//   book.BeginLeadership(epoch, now);
-//   book.Starting(task, attempt, worker, need, sent_at);
-//   for (const LeaseEvent& event : book.OnHoldReply(worker, sent_at, reply,
-//   now)) Handle(event);
+//   LeaseTracker tracker(options);
+//   tracker.BeginLeadership(now);
+//   tracker.OnStartSent(task, attempt, worker, resources, decision, now);
+//   for (const LeaseEvent& event :
+//        tracker.OnHoldReply(worker, mode, sent_at, reply, now)) {
+//     Handle(event);
+//   }
 
 #ifndef KEELBRIDGE_COORDINATION_LEASE_TRACKER_H_
 #define KEELBRIDGE_COORDINATION_LEASE_TRACKER_H_
@@ -31,8 +34,8 @@
 namespace keelbridge {
 
 enum class LeasePhase {
-  kStarting,    // The start is on its way.
-  kUnresolved,  // Its answer was lost.
+  kStarting,    // The start command was sent.
+  kUnresolved,  // The answer to the start command was lost.
   kRunning,
   kStopping,  // Asked to stop, or to save its progress and stop.
 };
@@ -43,31 +46,39 @@
   std::string worker;
   Resources resources;
   LeasePhase phase = LeasePhase::kStarting;
-  absl::Time phase_since;  // When the phase began; a listing asked for earlier
-                           // says nothing about it.
-  // Of an unsettled one: a listing asked for between these times proves by the
-  // task's absence that it never started. Later, its lease may have lapsed.
+  // When the phase began. A worker report requested before then says nothing
+  // about it.
+  absl::Time phase_since;
+  // For `kUnresolved`: if a worker report requested between `resolvable_after`
+  // and the expiry of the lease, counted from `sent_at`, lacks the task, the
+  // task never started. If a later report lacks it, the lease may have lapsed.
   absl::Time resolvable_after;
   absl::Time sent_at;
-  uint64_t incarnation = 0;  // Of the worker that the start was sent to.
-  int64_t started_ms = 0;    // Wall clock of the worker.
+  // Incarnation of the worker to which the start was sent.
+  uint64_t incarnation = 0;
+  // On the worker's wall clock.
+  int64_t started_ms = 0;
   std::string decision;
   StopMode stop_mode = StopMode::kStop;
-  absl::Time next_stop;  // When to ask again.
+  // When to send the next stop command.
+  absl::Time next_stop;
 };
 
 enum class LeaseEventKind {
   kRunning,     // The start took effect.
-  kNotStarted,  // It is certain that the attempt did not start and will not.
-  kFinished,    // The worker says that it finished, or failed.
-  kStopped,     // The worker says that it stopped; `progress_ms` is saved.
-  kVanished,    // It ended for certain, and nobody knows how far it came.
-  kFound,       // The worker runs a lease that this book does not know.
-  kReconciled,  // The worker's table is known, anew after a doubt or for the
-                // first time in this leadership.
-  kUnresponsive,  // The worker does not answer; its leases are unknown.
-  kLapsed,  // Every lease that the silent worker may have had has ended for
-            // certain.
+  kNotStarted,  // The attempt certainly did not start and never will.
+  kFinished,    // The worker reports that the task finished or failed.
+  kStopped,     // The worker reports that the task stopped; `progress_ms` is
+                // saved.
+  kVanished,    // The task certainly ended, but its progress is unknown.
+  kFound,       // The worker runs a lease that is not tracked.
+  // The worker's table is known, either again after a doubt or for the first
+  // time in this leadership.
+  kReconciled,
+  // The worker does not answer, so the state of its leases is unknown.
+  kUnresponsive,
+  // Every lease that the unresponsive worker may have had has certainly ended.
+  kLapsed,
 };
 
 struct LeaseEvent {
@@ -77,56 +88,59 @@
   int64_t attempt = 0;
   bool failed = false;
   int64_t progress_ms = 0;
-  std::string refusal;  // Of a start that was refused: why.
-  LeaseRow row;         // Of a lease that was found.
+  std::string refusal;  // For `kNotStarted`: why the start was refused.
+  LeaseRow row;         // The row that the worker reported.
 };
 
-// Pure. Times are monotonic.
+// Pure: does no I/O and gets the time from its caller. Times are on the
+// monotonic clock.
 class LeaseTracker {
  public:
   struct Options {
     absl::Duration lease_ttl = absl::Seconds(10);
-    absl::Duration command_validity =
-        absl::Seconds(1);  // From sending a command to its not-after.
-    absl::Duration clock_error = absl::Milliseconds(
-        250);  // Most that two wall clocks differ from true time.
+    // Time from sending a command to its not-after time.
+    absl::Duration command_validity = absl::Seconds(1);
+    // Maximum difference of a wall clock from true time.
+    absl::Duration clock_error = absl::Milliseconds(250);
     absl::Duration margin = absl::Milliseconds(250);
-    int unresponsive_after = 3;  // Holds without answer.
-    // Test builds only: without it an unsettled start counts as not started at
-    // once, and a silent worker's leases as ended.
+    // Number of consecutive unanswered holds after which a worker is
+    // unresponsive.
+    int unresponsive_after = 3;
+    // For tests only. If false, an unresolved start counts as not started at
+    // once, and the leases of an unresponsive worker count as ended at once.
     bool wait_for_certainty = true;
   };
 
   explicit LeaseTracker(Options options) : options_(options) {}
 
-  // Forgets everything: each worker has to be sealed anew.
+  // Discards all state, so that each worker has to be reconciled again.
   void BeginLeadership(absl::Time now);
   void SetWorkers(const std::vector<std::string>& names);
 
-  // A start is being sent.
+  // Records that a start command is being sent.
   void OnStartSent(const std::string& task, int64_t attempt,
                    const std::string& worker, const Resources& resources,
                    const std::string& decision, absl::Time now);
-  // Takes in a lease that was found, as running.
+  // Tracks a lease that was found running.
   void Adopt(const std::string& worker, const LeaseRow& row, absl::Time now);
-  // A stop is wanted; `TakeDueStops` repeats it until the worker's table says
+  // Requests a stop. `TakeDueStops` repeats it until the worker's table shows
   // that the lease is gone.
   void RequestStop(const std::string& task, StopMode mode, absl::Time now);
   std::vector<Lease> TakeDueStops(absl::Time now);
-  // A found lease that nobody wants; it is stopped like one of ours.
+  // Stops an unwanted lease that was found, in the same way as a tracked one.
   void StopUnwanted(const std::string& worker, const LeaseRow& row,
                     absl::Time now);
 
-  // A hold was sent; `mode` is what `HoldModeFor` said.
+  // Records that a hold was sent. `mode` is the result of `HoldModeFor`.
   void OnHoldSent(const std::string& worker, HoldMode mode, absl::Time now);
-  // What to send in place of a renewal: a silent worker is only asked, so that
-  // its leases can lapse.
+  // Returns the mode in which to send the next hold. An unresponsive worker is
+  // only queried, not renewed, so that its leases can lapse.
   HoldMode HoldModeFor(const std::string& worker) const;
-  // The digest that the worker's table has if it agrees with this book; 0 asks
-  // for the rows.
+  // Returns the digest that the worker's table has if it agrees with this
+  // tracker. 0 requests the rows.
   uint64_t ExpectedDigest(const std::string& worker) const;
-  // Attempts whose end is dealt with. They are forgotten when the worker has
-  // taken them in.
+  // Returns attempts whose end has been processed. They are forgotten once the
+  // worker has received the acknowledgement.
   std::vector<int64_t> Acknowledgements(const std::string& worker) const;
   void Acknowledge(const std::string& worker, int64_t attempt);
 
@@ -139,27 +153,27 @@
                                        absl::Time now);
   std::vector<LeaseEvent> OnStopReply(const std::string& task, int64_t attempt,
                                       const std::optional<CommandReply>& reply);
-  // What ended because time passed.
+  // Returns the events that the passing of time caused.
   std::vector<LeaseEvent> Tick(absl::Time now);
 
-  // Forgets a lease whose task may run twice; should the worker come back with
-  // it, it is found and stopped.
+  // Stops tracking a lease whose task may run twice. If the worker reports it
+  // again, it is found and stopped.
   void Abandon(const std::string& task) { Remove(task); }
 
-  // The worker answers, and its table is as this book says.
+  // Returns true if the worker answers and its table agrees with this tracker.
   bool IsReconciled(const std::string& worker) const;
-  // True while the worker runs a lease that nobody wants: its room is not what
-  // the accounts say.
+  // Returns true while the worker runs an unwanted lease, which means that its
+  // free capacity differs from the accounting.
   bool HasUnwanted(const std::string& worker) const;
-  // True while an unwanted lease of this task may still run somewhere.
+  // Returns true while an unwanted lease of this task may still run somewhere.
   bool HasUnwantedOf(const std::string& task) const;
-  // Every worker is sealed, or what it had has lapsed: a task that nobody has
-  // found runs nowhere.
+  // Returns true if every worker is reconciled or its leases have lapsed. A
+  // task that was not found then runs nowhere.
   bool AllResolved() const;
   const Lease* Find(const std::string& task) const;
   const std::map<std::string, Lease>& leases() const { return leases_; }
-  // Workers on which a stop is under way, so that it is worth asking them more
-  // often.
+  // Returns the workers on which a stop is in progress, so that they can be
+  // polled more often.
   std::set<std::string> WorkersWithPendingStops() const;
 
  private:
@@ -171,10 +185,11 @@
   };
   struct WorkerView {
     ContactState contact = ContactState::kUnreconciled;
-    absl::Time renewed_until;  // The last moment at which a message of ours, or
-                               // of the leader before, may take effect.
+    // Last time at which a message of this leader or of the previous one may
+    // take effect.
+    absl::Time renewed_until;
     int missed_replies = 0;
-    uint64_t incarnation = 0;  // As of the last answer.
+    uint64_t incarnation = 0;  // As of the worker's last answer.
     bool needs_report = true;
     std::set<int64_t> acknowledged;
     std::set<std::string> tasks;
@@ -196,8 +211,8 @@
 
   const Options options_;
   std::map<std::string, WorkerView> workers_;
-  std::map<std::string, Lease> leases_;  // By task.
-  std::set<std::string> stopping_;       // Those in phase `kStopping`.
+  std::map<std::string, Lease> leases_;  // Keyed by task.
+  std::set<std::string> stopping_;       // Tasks in phase `kStopping`.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/planner.cc
+++ b/keelbridge/coordination/planner.cc
@@ -13,14 +13,14 @@
 namespace keelbridge {
 namespace {
 
-// The forecast stops after this many starts and ends; what is later is said to
-// be beyond it.
+// The forecast stops after this many starts and ends. Later starts are reported
+// as beyond the forecast.
 constexpr int kMaxForecastEvents = 60000;
 constexpr int kDecideBudget = 4000;
 constexpr int kMaxWorkersShown = 4;
 constexpr int32_t kFirstForecastGroup = 1 << 30;
-constexpr absl::Duration kForecastStopTime =
-    absl::Seconds(1);  // What a yield takes in the forecast.
+// Time that a preempted task takes to stop in the forecast.
+constexpr absl::Duration kForecastStopTime = absl::Seconds(1);
 
 int64_t MonoMillis(Now now) { return ToMillis(now.mono); }
 
@@ -29,7 +29,8 @@
          intent.kind == IntentKind::kBatch;
 }
 
-// Everything that is wrong with one intent against the state of the zone.
+// Checks one intent against the state of the zone and appends every error to
+// `faults`.
 void CheckIntent(const Intent& intent, const PlanContext& context,
                  std::vector<std::string>& faults) {
   const auto fault = [&](const std::string& what) {
@@ -73,7 +74,7 @@
   }
 }
 
-// What the forecast saw of one intent.
+// Forecast for one intent.
 struct ForecastSummary {
   int64_t started = 0;
   int64_t started_at_once = 0;
@@ -82,7 +83,7 @@
   std::map<std::string, int64_t> workers;
 };
 
-// Runs a copy of the decision core on a clock of its own.
+// Simulates a copy of the decision core on a virtual clock.
 class Forecast {
  public:
   Forecast(const Decider& decider, Now now)
@@ -283,7 +284,8 @@
   }
 }
 
-// Intents that change what is there; the forecast does not need to run them.
+// Describes an intent that changes existing work. Such an intent needs no
+// simulation.
 void DescribeChange(const Intent& intent, Plan& plan) {
   const std::string kind = IntentKindName(intent.kind);
   std::string detail = kind + " " + intent.subject;
--- a/keelbridge/coordination/planner.h
+++ b/keelbridge/coordination/planner.h
@@ -1,7 +1,7 @@
-// Computes what confirming intents would do, by running a copy of the decision
-// core ahead of time.
+// Computes what confirming intents would do, by simulating a copy of the
+// decision core.
 //
-//   Result<Plan> plan = MakePlan(intents, state, decider, now);
+//   Result<Plan> plan = MakePlan(intents, context, now);
 
 #ifndef KEELBRIDGE_COORDINATION_PLANNER_H_
 #define KEELBRIDGE_COORDINATION_PLANNER_H_
@@ -22,18 +22,18 @@
   std::string zone;
   const ZoneState& state;
   const Decider& decider;
-  // The task's name, for people.
+  // Returns the task's human-readable name.
   std::function<std::string(TaskId)> name_of;
   std::string plan_id;
 };
 
-// Refuses intents that cannot be carried out at all, with every reason at once.
-// A deadline that cannot be kept is no refusal: the plan says so under `risks`,
-// with the earliest time that can be kept.
+// Returns the plan, or an error that lists every reason why the intents cannot
+// be carried out. A deadline that cannot be met is not an error: the plan lists
+// it under `risks`, with the earliest time that can be met.
 Result<Plan> MakePlan(std::vector<Intent> intents, const PlanContext& context,
                       Now now);
 
-// How the decision core sees one task of `intent`.
+// Returns the decision core's specification of one task of `intent`.
 TaskSpec MakeTaskSpec(const Intent& intent, int32_t group, int16_t team,
                       Now now);
 
--- a/keelbridge/coordination/task_queue.cc
+++ b/keelbridge/coordination/task_queue.cc
@@ -5,7 +5,7 @@
 namespace keelbridge {
 namespace {
 
-// With more openings than this it is cheaper to look at the whole cell.
+// With more entries than this, it is cheaper to examine the whole cell.
 constexpr size_t kMaxFreedEntries = 64;
 
 }  // namespace
@@ -32,7 +32,7 @@
 TaskQueue::Key TaskQueue::KeyOf(TaskId id, const TaskRow& row) const {
   int64_t first = row.latest_start_ms;
   if (options_.largest_first && row.latest_start_ms == kNever) {
-    // Behind every deadline, larger needs before smaller ones.
+    // After all tasks with a deadline, larger needs before smaller ones.
     first = kNever - row.need.cpu_milli - row.need.memory_mib;
   }
   return {first, row.sequence, id};
--- a/keelbridge/coordination/task_queue.h
+++ b/keelbridge/coordination/task_queue.h
@@ -1,15 +1,17 @@
-// Waiting tasks in the order in which they should be tried.
+// A priority queue of waiting tasks.
 //
-// Rank first (urgent before interactive before promoted before standard before
-// bulk), then the team with the smallest share for its quota, then the least
-// slack, then the first come. A shape that found no room is blocked until room
-// appears, so a full cell costs little.
+// Tasks are ordered by rank (urgent, interactive, promoted, standard, bulk),
+// then by their team's share relative to its quota (smallest first), then by
+// slack (least first), then by submission. If no worker has capacity for a
+// shape, which is a class of tasks with equal needs, the shape is blocked until
+// capacity is freed. A full cell thus costs little.
 //
-//   queue.Push(id, row);
+//   queue.Push(id, row, now_ms);
 //   TaskQueue::Offer next = queue.Next(shares);
-//   queue.Block(row, true);    // Nothing of this need fits now.
-//   queue.Open(worker, free);  // Room appeared there: offered to blocked
-//                              // shapes, without another look elsewhere.
+//   // No worker has capacity for this need now.
+//   queue.Block(row, true);
+//   // Offers the worker to blocked shapes; no other worker is examined.
+//   queue.AddFreedCapacity(worker, free);
 
 #ifndef KEELBRIDGE_COORDINATION_TASK_QUEUE_H_
 #define KEELBRIDGE_COORDINATION_TASK_QUEUE_H_
@@ -25,11 +27,13 @@
 
 namespace keelbridge {
 
-// Ranks of the queue. Only `kUrgentRank` and `kInteractiveRank` may make others
-// yield.
+// Ranks of the queue, in the order in which they are served. Urgent and
+// interactive tasks may preempt others by their rank. Tasks down to
+// `kStandardRank` may also do so to reclaim their team's quota.
 constexpr int kUrgentRank = 0;
 constexpr int kInteractiveRank = 1;
-constexpr int kPromotedRank = 2;  // A deadline is near, or it waited for long.
+// Its deadline is near, or it has waited long.
+constexpr int kPromotedRank = 2;
 constexpr int kStandardRank = 3;
 constexpr int kBulkRank = 4;
 constexpr int kRanks = 5;
@@ -37,11 +41,12 @@
 class TaskQueue {
  public:
   struct Options {
-    bool largest_first = false;  // Among tasks without deadline, for packing.
-    int64_t promote_after_ms =
-        1800000;  // Waiting time after which a task of a low class is promoted.
-    int64_t promotion_slack_ms =
-        120000;  // Slack below which a task with a deadline is promoted.
+    // Serve larger tasks first among those without a deadline, for packing.
+    bool largest_first = false;
+    // Waiting time after which a standard or bulk task is promoted.
+    int64_t promote_after_ms = 1800000;
+    // Slack below which a standard or bulk task with a deadline is promoted.
+    int64_t promotion_slack_ms = 120000;
   };
 
   explicit TaskQueue(Options options) : options_(options) {}
@@ -49,48 +54,53 @@
   void Push(TaskId id, TaskRow& row, int64_t now_ms);
   void Remove(TaskId id, const TaskRow& row);
 
-  // Moves tasks whose time has come to the promoted rank. At most `most` in a
-  // call.
+  // Moves tasks whose promotion time has come to the promoted rank, at most
+  // `max_promotions` per call.
   void Promote(TaskTable& tasks, int64_t now_ms, int max_promotions);
 
-  // What to try next.
+  // The task to try next.
   struct Offer {
-    TaskId task = kNoTask;  // `kNoTask`: all that wait are blocked.
-    // Where room has appeared since its shape was blocked; empty: anywhere.
+    // `kNoTask` if all waiting tasks are blocked.
+    TaskId task = kNoTask;
+    // Workers on which capacity was freed since the task's shape was blocked.
+    // If empty, any worker may be tried.
     std::vector<WorkerId> only;
   };
-  // `shares` is the share of each team divided by its quota.
+  // Returns the task to try next. `shares` is each team's share divided by its
+  // quota.
   Offer Next(const std::vector<double>& shares) const;
 
-  // No task with this rank, team and shape is offered again before room
-  // appears. `waits_for_capacity`: room on a worker is all that it waits for,
-  // so that only workers with new room need to be looked at.
+  // Offers no task of this rank, team and shape again before capacity is freed.
+  // `waits_for_capacity` means that the tasks wait only for capacity on a
+  // worker, so that only workers with freed capacity have to be examined.
   void Block(const TaskRow& row, bool waits_for_capacity);
-  // Room appeared on `worker`, which now has `free`.
+  // Records that capacity was freed on `worker`, which now has `free`.
   void AddFreedCapacity(WorkerId worker, const Resources& free);
-  // Everything is offered again, anywhere.
+  // Offers all tasks again, for any worker.
   void UnblockAll();
-  // Every line that waits has seen the openings (`Next` offers nothing).
+  // Forgets the freed capacity. To be called when `Next` offers nothing, which
+  // means that every waiting shape has been tried on it.
   void ClearFreedCapacity();
 
   size_t size() const { return size_; }
   size_t WaitingInRank(int rank) const { return waiting_by_rank_[rank]; }
 
  private:
-  using Key = std::tuple<int64_t, int32_t,
-                         TaskId>;  // Latest start (or size), sequence, task.
+  // Latest start (or size), sequence number, task.
+  using Key = std::tuple<int64_t, int32_t, TaskId>;
   struct ShapeQueue {
     absl::btree_set<Key> tasks;
     Resources need;
     bool blocked = false;
     bool waits_for_capacity = false;
-    size_t freed_seen = 0;  // Openings that were there when it was blocked.
+    // Size of `freed_` when the shape was blocked.
+    size_t freed_seen = 0;
   };
   struct FreedCapacity {
     WorkerId worker = kNoWorker;
     Resources free;
   };
-  using ShapeQueues = absl::btree_map<int32_t, ShapeQueue>;  // By shape.
+  using ShapeQueues = absl::btree_map<int32_t, ShapeQueue>;  // Keyed by shape.
 
   Key KeyOf(TaskId id, const TaskRow& row) const;
   int RankOf(const TaskRow& row, int64_t now_ms) const;
@@ -99,10 +109,11 @@
   bool IsEligible(const ShapeQueue& queue) const;
 
   const Options options_;
-  std::array<std::vector<ShapeQueues>, kRanks> ranks_;  // By team.
+  // Indexed by rank, then by team.
+  std::array<std::vector<ShapeQueues>, kRanks> ranks_;
   std::array<size_t, kRanks> waiting_by_rank_{};
   absl::btree_set<std::pair<int64_t, TaskId>> promotions_;
-  // Since the last `UnblockAll`, or since every line had seen them all.
+  // Capacity freed since the last `UnblockAll` or `ClearFreedCapacity`.
   std::vector<FreedCapacity> freed_;
   size_t size_ = 0;
 };
--- a/keelbridge/coordination/task_table.h
+++ b/keelbridge/coordination/task_table.h
@@ -1,5 +1,5 @@
-// The tasks of a zone as decisions see them: compact rows, reused when a task
-// is gone.
+// The tasks of a zone as the decision core sees them, in compact rows. The row
+// of a removed task is reused.
 //
 //   TaskId id = table.Add(row);
 //   table[id].state = TaskState::kPlaced;
@@ -19,24 +19,27 @@
 enum class TaskState : uint8_t {
   kGone,                // The row is free.
   kWaiting,             // In the queue.
-  kPlaced,              // Capacity is taken on `worker`.
-  kBeingPreempted,      // Placed, and asked to make room.
-  kAwaitingPreemption,  // Waits on `worker` for others that yield for it.
+  kPlaced,              // Capacity is allocated on `worker`.
+  kBeingPreempted,      // Placed, and asked to stop for another task.
+  kAwaitingPreemption,  // Waits for the victims on `worker` to stop.
 };
 
 constexpr int64_t kNever = INT64_MAX;
 
-// Times are monotonic milliseconds.
+// Times are in milliseconds of the monotonic clock.
 struct TaskRow {
   Resources need;
-  int32_t group = -1;  // Tasks of one intent, for spread over racks; -1: none.
-  int32_t shape = -1;  // Equal needs have equal shapes.
+  // Number shared by the tasks of one intent, for spreading them over racks; -1
+  // for none.
+  int32_t group = -1;
+  // Number shared by tasks with equal needs.
+  int32_t shape = -1;
   int32_t sequence = 0;
   int16_t team = 0;
   WorkClass work_class = WorkClass::kStandard;
   TaskState state = TaskState::kGone;
-  uint8_t rank = 0;    // Of the queue it is in.
-  uint8_t yields = 0;  // How often it made room for others.
+  uint8_t rank = 0;    // Rank in the queue.
+  uint8_t yields = 0;  // Number of times it was preempted.
   bool checkpoints = false;
   bool spread = false;
   bool service = false;
@@ -44,11 +47,13 @@
   WorkerId worker = kNoWorker;
   int64_t submitted_ms = 0;
   int64_t started_ms = 0;
-  int64_t duration_ms = 0;  // Estimate of what is left; 0 for a service.
-  int64_t max_duration_ms =
-      kNever;  // Estimate with its error: what reservations reckon with.
+  // Estimated remaining duration; 0 for a service.
+  int64_t duration_ms = 0;
+  // Estimated remaining duration plus the estimation error, which reservations
+  // use.
+  int64_t max_duration_ms = kNever;
   int64_t latest_start_ms = kNever;
-  int64_t saved_progress_ms = 0;  // Work that a checkpoint saved.
+  int64_t saved_progress_ms = 0;  // Progress saved by a checkpoint.
 };
 
 class TaskTable {
--- a/keelbridge/coordination/victim_search.cc
+++ b/keelbridge/coordination/victim_search.cc
@@ -9,7 +9,8 @@
 constexpr int kMaxSteps = 4000;
 constexpr Resources kNothing{};
 
-// Depth first: take or leave each candidate, cheapest for its use first.
+// Depth-first search that includes or excludes each candidate, in the given
+// order.
 class Search {
  public:
   Search(const std::vector<VictimCandidate>& candidates,
@@ -48,7 +49,8 @@
   }
 
   const std::vector<VictimCandidate>& candidates_;
-  std::vector<Resources> suffix_totals_;  // What all from here on would free.
+  // Element i: what all candidates from i on would free together.
+  std::vector<Resources> suffix_totals_;
   std::vector<size_t> chosen_;
   std::vector<size_t> best_;
   double best_cost_ = std::numeric_limits<double>::infinity();
--- a/keelbridge/coordination/victim_search.h
+++ b/keelbridge/coordination/victim_search.h
@@ -1,11 +1,12 @@
-// Which tasks of one worker should make room, at least cost.
+// Selects the tasks of one worker to preempt, at the least cost.
 //
-// Exact for the sizes that occur: branch and bound over the cheapest
-// candidates, started from a greedy answer, with a bound on the steps; past the
-// bound the best found so far stands.
+// A branch-and-bound search that tries candidates with the best ratio of
+// benefit to cost first, so that its first result is the greedy one. The result
+// is optimal for the sizes that occur. The number of steps is bounded; if the
+// bound is reached, the best set found so far is returned.
 //
 //   VictimSet set = FindVictims(candidates, shortfall);
-//   if (set.found) for (TaskId id : set.tasks) Yield(id);
+//   if (set.found) for (TaskId id : set.tasks) Preempt(id);
 
 #ifndef KEELBRIDGE_COORDINATION_VICTIM_SEARCH_H_
 #define KEELBRIDGE_COORDINATION_VICTIM_SEARCH_H_
@@ -20,7 +21,8 @@
 struct VictimCandidate {
   TaskId task = kNoTask;
   Resources freed_resources;
-  double cost = 0;  // More than zero: what yielding it loses.
+  // Cost of preempting the task, which must be positive.
+  double cost = 0;
 };
 
 struct VictimSet {
@@ -29,8 +31,8 @@
   double cost = 0;
 };
 
-// The set of least total cost whose resources cover `shortfall`, if any set
-// does.
+// Returns the set of least total cost whose resources cover `shortfall`, if
+// there is one.
 VictimSet FindVictims(std::vector<VictimCandidate> candidates,
                       const Resources& shortfall);
 
--- a/keelbridge/coordination/zone_scheduler.cc
+++ b/keelbridge/coordination/zone_scheduler.cc
@@ -8,8 +8,8 @@
 namespace keelbridge {
 namespace {
 
-// An attempt is unique for all time: the epoch in the high bits, a counter
-// below.
+// Attempt numbers are never reused: the epoch is in the high bits and a counter
+// in the low bits.
 constexpr int kAttemptBits = 31;
 
 int64_t MonoMillis(Now now) { return ToMillis(now.mono); }
@@ -37,8 +37,8 @@
   lease_tracker_.SetWorkers(names);
   workers_changed_ = true;
   if (!leading_ || new_policy) {
-    // A changed policy needs a new decision core; its tasks are adopted from
-    // the workers' tables as after a win.
+    // A changed policy needs a new decision core. Its tasks are adopted from
+    // the workers' tables, as after an election.
     if (leading_) StopLeading();
     BuildDecider();
     return;
@@ -113,7 +113,8 @@
     leader_offset_ = replica_.next() - 1;
   }
   for (const std::string& name : ended) OnEndRecorded(name, now);
-  // After a gap the ends that were dropped show only in the state.
+  // After a gap in the log, the ends in the missing records show only in the
+  // state.
   if (gaps != replica_.gaps()) {
     const std::set<std::string> ending = ending_;
     for (const std::string& name : ending) OnEndRecorded(name, now);
@@ -141,14 +142,15 @@
 // Leadership.
 
 bool ZoneScheduler::Authoritative() const {
-  // Everything that earlier leaders recorded is applied.
+  // All records of earlier leaders have been applied.
   return replica_.state().epoch() == led_epoch_;
 }
 
 bool ZoneScheduler::Ready(Now now) {
-  // While the log is down, what was read before has to do; work that needs a
-  // record waits. A scheduler that never read the log only renews leases. Once
-  // tasks are in hand they stay so, also while the log is coming back.
+  // While the log is down, the records read before must suffice, and work that
+  // needs a new record waits. A scheduler that has never read the log only
+  // renews leases. Once tasks have been taken over they stay so, even while the
+  // log recovers.
   ready_ = ready_ || Authoritative() || (LogDown(now.mono) && was_current_);
   return ready_;
 }
@@ -157,7 +159,8 @@
   leading_ = true;
   ready_ = false;
   led_epoch_ = leadership_.epoch();
-  // The epoch stays when only the policy changed; attempts are never reused.
+  // The epoch does not change when only the policy changed. Attempt numbers are
+  // never reused.
   next_attempt_ = std::max(next_attempt_, led_epoch_ << kAttemptBits);
   leader_offset_ = INT64_MAX;
   synced_plan_ = kNeverSynced;
@@ -183,8 +186,8 @@
 
 std::vector<Action> ZoneScheduler::HandOver(Now now) {
   std::vector<Action> actions;
-  // The others get the time to take over before this one, should it not stop
-  // after all, tries again.
+  // If this scheduler does not stop after all, it campaigns again only after
+  // the others have had time to take over.
   for (const HoldOrder& order :
        leadership_.Resign(now.mono, 10 * options_.leadership.hold_ttl)) {
     PushHold(order.worker, order.mode, order.epoch, now, actions);
@@ -213,8 +216,8 @@
   hold.request.hold_ttl = options_.leadership.hold_ttl;
   hold.request.not_after_ms = NotAfter(now);
   if (leading_ && mode == HoldMode::kAcquire) {
-    // Only a leader renews task leases: a candidate that did would keep alive
-    // what the leader counts as lapsed.
+    // Only a leader renews task leases. A candidate that did so would keep
+    // leases alive that the leader counts as lapsed.
     hold.request.lease_ttl = options_.leases.lease_ttl;
     hold.request.known_digest = lease_tracker_.ExpectedDigest(worker);
     hold.request.acknowledged = lease_tracker_.Acknowledgements(worker);
@@ -298,7 +301,7 @@
   const bool many_records =
       replica_.OffsetsSinceSnapshot() > options_.snapshot_every;
   if (!overdue && !many_records) return;
-  // Not again until this one can have been read back.
+  // Prevents another snapshot before this one can have been read back.
   snapshot_seen_at_ = now.mono;
   const std::string id =
       absl::StrFormat("%x-%d", options_.incarnation, replica_.next());
--- a/keelbridge/coordination/zone_scheduler.h
+++ b/keelbridge/coordination/zone_scheduler.h
@@ -1,12 +1,12 @@
-// One scheduler of a zone: leadership, leases, the log and the decision core
-// put together.
+// A scheduler of one zone. Combines leadership, leases, the log and the
+// decision core.
 //
-// Pure: whoever drives it passes events and the time, carries out the actions
-// and reports what came of them. It starts no thread and does bounded work a
-// call, so that another event loop can drive it.
+// The class is pure: its caller passes events and the time, carries out the
+// returned actions and reports their results. It starts no thread and does a
+// bounded amount of work per call, so that any event loop can drive it.
 //
 //   ZoneScheduler scheduler(options);
-//   scheduler.OnConfiguration(configuration, now);
+//   scheduler.OnConfiguration(configuration);
 //   for (const Action& action : scheduler.Tick(now)) CarryOut(action);
 
 #ifndef KEELBRIDGE_COORDINATION_ZONE_SCHEDULER_H_
@@ -48,7 +48,7 @@
   std::string worker;
   StopRequest request;
 };
-// To the zone's stream; the answer goes to `OnAppendAnswer`.
+// Appends to the zone's stream. The answer goes to `OnAppendAnswer`.
 struct SendAppend {
   Envelope envelope;
 };
@@ -60,7 +60,7 @@
   int64_t starts = 0;
   int64_t restarts = 0;  // Starts of a task that had started before.
   int64_t holds = 0;
-  int64_t hold_rows = 0;  // Rows that travelled with hold replies.
+  int64_t hold_rows = 0;  // Rows received in hold replies.
   int64_t vanished = 0;
 };
 
@@ -74,28 +74,31 @@
     Leadership::Options leadership;
     LeaseTracker::Options leases;
     LogWriter::Options log;
-    absl::Duration stopping_poll_interval = absl::Milliseconds(
-        250);  // How often a worker is asked while tasks stop on it.
-    absl::Duration log_down_after = absl::Seconds(
-        2);  // After so long without an answer the log counts as down.
-    absl::Duration drain_grace = absl::Seconds(
-        30);  // A task that ends within this is not stopped by a drain.
-    int decide_budget = 400;        // Placements tried in one tick.
-    int64_t snapshot_every = 2000;  // Records.
-    absl::Duration snapshot_interval =
-        absl::Minutes(10);  // Well under half of the log's retention.
+    // Interval at which a worker is polled while tasks are stopping on it.
+    absl::Duration stopping_poll_interval = absl::Milliseconds(250);
+    // The log counts as down after this time without an answer.
+    absl::Duration log_down_after = absl::Seconds(2);
+    // A drain does not stop a task that is due to end within this time.
+    absl::Duration drain_grace = absl::Seconds(30);
+    int decide_budget = 400;  // Maximum number of placements tried per tick.
+    // A snapshot is taken after this many records.
+    int64_t snapshot_every = 2000;
+    // Must be well under half of the log's retention time.
+    absl::Duration snapshot_interval = absl::Minutes(10);
     size_t snapshot_piece_bytes = 64 << 10;
   };
 
   explicit ZoneScheduler(Options options);
 
   void OnConfiguration(const Configuration& configuration);
-  // Workers that the platform lists as leaving.
+  // Sets the workers that the platform lists as leaving.
   void OnLeaving(const std::set<std::string>& names);
-  // A read of the zone's stream from `replica().next()`.
+  // Handles records read from the zone's stream, starting at
+  // `replica().next()`.
   void OnLogBatch(const LogBatch& batch, Now now);
   void OnAppendAnswer(std::optional<int64_t> offset, Now now);
-  // Replies carry the action back; nothing means that no answer came.
+  // Handle the reply to an action. A nullopt reply means that no answer
+  // arrived.
   void OnHoldReply(const SendHold& sent, absl::Time sent_at,
                    const std::optional<HoldReply>& reply, Now now);
   void OnStartReply(const SendStart& sent,
@@ -103,25 +106,26 @@
   void OnStopReply(const SendStop& sent,
                    const std::optional<CommandReply>& reply, Now now);
 
-  // The actions that are due. Call at least every 50 ms or so, and after
-  // replies.
+  // Returns the actions that are due. To be called at least about every 50 ms,
+  // and after replies.
   std::vector<Action> Tick(Now now);
 
-  // Gives up leadership for a planned stop. Carry out the actions, then stop.
+  // Gives up leadership for a planned stop. The caller carries out the actions
+  // and then stops.
   std::vector<Action> HandOver(Now now);
 
   Result<Plan> Propose(const std::vector<Intent>& intents, Now now);
-  // Puts the confirmation on its way to the log; `GetPlanOutcome` tells what
-  // became of it. Only the leader does this.
+  // Queues the confirmation for the log. `GetPlanOutcome` returns its outcome.
+  // Only the leader can confirm a plan.
   Result<void> Confirm(const Plan& plan, Now now);
   ZoneState::PlanOutcome GetPlanOutcome(const std::string& plan) const {
     return replica_.state().GetPlanOutcome(plan);
   }
 
-  // Why a task is where it is, or why it waits.
+  // Explains why a task runs where it does, or why it waits.
   Result<std::string> Explain(const std::string& task) const;
-  // Decisions in the order in which they were taken, from number `after` on,
-  // and the number to ask from next.
+  // Returns decisions in order, from number `after` on. Sets `next` to the
+  // number from which to continue.
   std::vector<std::string> Watch(int64_t after, int64_t* next) const;
 
   bool Leads(absl::Time now) const { return leadership_.Leads(now); }
@@ -138,13 +142,16 @@
 
  private:
   enum class Stage {
-    kUnobserved,  // May run on a worker that has not been heard of in this
-                  // leadership.
-    kWaiting,     // With the decision core.
-    kClaiming,    // Placed; the record that it may start is on its way to the
-                  // log.
-    kLeased,      // In the lease book.
-    kEnding,      // Ended; the record is on its way to the log.
+    // May run on a worker that has not reported in this leadership.
+    kUnobserved,
+    // Waiting in the decision core.
+    kWaiting,
+    // Placed; the record that permits its start is being written to the log.
+    kClaiming,
+    // Tracked by `lease_tracker_`.
+    kLeased,
+    // Ended; the record of its end is being written to the log.
+    kEnding,
   };
   struct TaskEntry {
     std::string intent;
@@ -157,14 +164,17 @@
     bool repeatable = true;
     bool exclusive = true;
     int64_t progress_ms = 0;
-    bool unwanted = false;  // Cancelled: when it has stopped, it is forgotten.
-    bool end_queued = false;    // The record of its end is with the log writer.
-    std::string outcome;        // Of an ended task.
-    std::string ending_worker;  // Who has to be told when the record of the end
-                                // is in the log.
+    // Cancelled; its entry is removed when it has stopped.
+    bool unwanted = false;
+    // The log writer has accepted the record of its end.
+    bool end_queued = false;
+    // How it ended.
+    std::string outcome;
+    // The worker to acknowledge when the record of the end is in the log.
+    std::string ending_worker;
   };
 
-  // Whether the zone's work is known well enough to act on it.
+  // Returns true if the zone's work is known well enough to act on it.
   bool Ready(Now now);
   bool Authoritative() const;
   bool IsWanted(const TaskEntry& entry) const;
@@ -176,7 +186,8 @@
   void SyncIntent(const WorkRecord& record, Now now);
   void AddTask(const WorkRecord& record, int64_t index, Now now);
   void RemoveUnwanted(Now now);
-  // False when nothing of the task is left and its entry can go.
+  // Stops a leased task, or else forgets it. Returns false if nothing of the
+  // task remains, so that its entry can be erased.
   bool StopOrForget(const std::string& name, TaskEntry& entry, Now now);
   void ResolveUnobserved(Now now);
   void ResolveUnobservedTask(const std::string& name, TaskEntry& entry,
@@ -213,7 +224,7 @@
   std::string DecisionText(TaskId id) const;
   const WorkRecord* FindWorkRecord(const std::string& intent) const;
 
-  // No plan has this offset, and -1 stands for "none yet".
+  // No plan has this offset; -1 means that no plan has been confirmed.
   static constexpr int64_t kNeverSynced = -2;
 
   const Options options_;
@@ -225,21 +236,25 @@
   std::unique_ptr<Decider> decider_;
   std::map<std::string, TaskEntry> tasks_;
   absl::flat_hash_map<TaskId, std::string> names_;
-  // Numbers for the decision core, of intents that are there.
+  // Numbers of the current intents, used by the decision core.
   absl::flat_hash_map<std::string, int32_t> groups_;
   int32_t next_group_ = 0;
-  // Found, or ended, before the zone's state was known; by worker and attempt,
-  // since each listing tells of them again.
+  // Events of leases that were found, or that ended, before the zone's state
+  // was known. Keyed by worker and attempt, because each worker report repeats
+  // them.
   std::map<std::pair<std::string, int64_t>, LeaseEvent> deferred_events_;
   std::set<std::string> leaving_;
   std::set<std::string> holds_in_flight_;
   std::map<std::string, absl::Time> next_extra_hold_;
   bool leading_ = false;
   int64_t led_epoch_ = 0;
-  int64_t leader_offset_ = INT64_MAX;   // Plans confirmed after this were never
-                                        // started by an earlier leader.
-  int64_t synced_plan_ = kNeverSynced;  // As of this confirmed plan.
-  bool was_current_ = false;  // The log has been read to its end once.
+  // Tasks of plans confirmed after this offset were never started by an earlier
+  // leader.
+  int64_t leader_offset_ = INT64_MAX;
+  // The confirmed plan that the tasks reflect.
+  int64_t synced_plan_ = kNeverSynced;
+  // The log has been read to its end at least once.
+  bool was_current_ = false;
   int64_t next_attempt_ = 0;
   std::set<std::string> unobserved_;  // Tasks in stage `kUnobserved`.
   bool ready_ = false;
@@ -248,8 +263,8 @@
   bool workers_changed_ = true;
   std::set<std::string> claiming_;
   std::set<std::string> ending_;
-  std::map<std::string, Intent>
-      synced_;  // As last taken over from the zone's state.
+  // Intents as last copied from the zone's state.
+  std::map<std::string, Intent> synced_;
   int64_t plans_made_ = 0;
   absl::Time last_log_answer_ = absl::InfinitePast();
   ZoneSchedulerCounts counts_;
--- a/keelbridge/coordination/zone_scheduler_operators.cc
+++ b/keelbridge/coordination/zone_scheduler_operators.cc
@@ -1,4 +1,4 @@
-// The part of `ZoneScheduler` that operators talk to: plans, confirmations,
+// The part of `ZoneScheduler` that serves operators: plans, confirmations and
 // explanations.
 
 #include <algorithm>
--- a/keelbridge/coordination/zone_scheduler_test.cc
+++ b/keelbridge/coordination/zone_scheduler_test.cc
@@ -10,7 +10,7 @@
 namespace keelbridge::testing {
 namespace {
 
-// Random failures for `time`, each at a random moment; everything heals at the
+// Injects faults at random times for `time`, and repairs all of them at the
 // end.
 void InjectRandomFaults(ZoneHarness& zone, absl::Duration time) {
   const absl::Time end = zone.now() + time;
@@ -73,7 +73,7 @@
   for (const auto& [at, repair] : repairs) repair();
 }
 
-// What the leader says of every task, to follow one seed.
+// Prints the leader's explanation of every task, to debug one seed.
 void PrintTasks(ZoneHarness& zone) {
   ZoneScheduler& leader = zone.scheduler(zone.Leader());
   for (const auto& [id, record] : leader.replica().state().work()) {
@@ -85,7 +85,8 @@
   }
 }
 
-// Runs a mixed load through random failures and returns what the checker finds.
+// Runs a mixed load under random faults and returns the violations that the
+// checker finds.
 std::vector<std::string> RandomFaultViolations(
     uint64_t seed, const SafetyMechanisms& mechanisms,
     bool* recovered = nullptr) {
@@ -105,8 +106,7 @@
                 ZoneHarness::Batch("scans", 12, absl::Seconds(20))});
   InjectRandomFaults(zone, absl::Seconds(60));
   if (recovered != nullptr) {
-    // What must run again does, once the failures are over; batches come to
-    // their end.
+    // After the faults are repaired, services run again and batches complete.
     *recovered = zone.RunUntil(
         [&zone] {
           const int leader = zone.Leader();
@@ -124,10 +124,10 @@
 }
 
 TEST_CASE(
-    "random failures: capacity, exclusiveness and at-most-once hold for every "
-    "seed, and work resumes") {
+    "random failures: capacity, exclusivity and at-most-once execution hold "
+    "for every seed, and work resumes") {
   int unrecovered = 0;
-  // KEELBRIDGE_SEED=N replays one seed and prints what happens.
+  // KEELBRIDGE_SEED=N replays one seed and prints a trace.
   const char* only = std::getenv("KEELBRIDGE_SEED");
   const uint64_t first = only == nullptr ? 1 : std::stoull(only);
   const uint64_t last = only == nullptr ? 300 : first;
@@ -140,11 +140,11 @@
     CHECK(recovered);
     unrecovered += recovered ? 0 : 1;
   }
-  MESSAGE("unsettled seeds of 300: ", unrecovered);
+  MESSAGE("seeds without recovery, of 300: ", unrecovered);
 }
 
-// A worker freezes with a start in its buffer, and thaws when its tasks have
-// long been started elsewhere.
+// A worker is paused with a start in its buffer, and resumes long after its
+// tasks were started elsewhere.
 std::vector<std::string> PausedWorkerViolations(
     uint64_t seed, const SafetyMechanisms& mechanisms) {
   ZoneHarness::Options options;
@@ -163,8 +163,8 @@
   return zone.FindViolations();
 }
 
-// The leader is paused after it decided on a start and resumed when another
-// leads and has started that task.
+// The leader is paused after it decided on a start, and resumes when another
+// leader has started that task.
 std::vector<std::string> PausedLeaderViolations(
     uint64_t seed, const SafetyMechanisms& mechanisms) {
   ZoneHarness::Options options;
@@ -204,17 +204,18 @@
   return RandomFaultViolations(seed, mechanisms);
 }
 
-TEST_CASE("a frozen worker that thaws starts nothing that runs elsewhere") {
+TEST_CASE("a paused worker that resumes starts no task that runs elsewhere") {
   CHECK(CountSeedsWithViolations(PausedWorkerViolations, SafetyMechanisms(),
                                  100) == 0);
 }
 
-TEST_CASE("a paused leader that resumes starts nothing that runs elsewhere") {
+TEST_CASE("a paused leader that resumes starts no task that runs elsewhere") {
   CHECK(CountSeedsWithViolations(PausedLeaderViolations, SafetyMechanisms(),
                                  100) == 0);
 }
 
-TEST_CASE("each mechanism is needed: without it the checker finds a fault") {
+TEST_CASE(
+    "each mechanism is needed: without it the checker finds a violation") {
   SafetyMechanisms no_certainty;
   no_certainty.wait_for_certainty = false;
   SafetyMechanisms no_not_after;
@@ -227,9 +228,9 @@
       CountSeedsWithViolations(RandomFaultScenario, no_epochs, 60);
   const int paused_worker =
       CountSeedsWithViolations(PausedWorkerViolations, no_not_after, 60);
-  MESSAGE("seeds of 60 with a fault: without waiting for certainty ", certainty,
-          ", without holds and epochs ", epochs, ", without not-after ",
-          paused_worker);
+  MESSAGE("seeds with a violation, of 60: without waiting for certainty ",
+          certainty, ", without holds and epochs ", epochs,
+          ", without not-after ", paused_worker);
   CHECK(certainty > 0);
   CHECK(epochs > 0);
   CHECK(paused_worker > 0);
@@ -245,7 +246,7 @@
     REQUIRE(zone.Confirm({ZoneHarness::Service("index", 20)}));
     zone.RunFor(absl::Seconds(3));
     REQUIRE(zone.Running() == 20);
-    // With every other seed the log is away too.
+    // For every other seed, the log is down too.
     zone.SetLogDown(seed % 2 == 0);
     const absl::Time killed = zone.now();
     zone.Kill(zone.Leader());
@@ -277,13 +278,15 @@
   CHECK(zone.FindViolations().empty());
 }
 
-TEST_CASE("planned stops in turn: a new leader soon, nothing restarts") {
+TEST_CASE(
+    "planned stops in turn: a new leader within one hold time, nothing "
+    "restarts") {
   absl::Duration longest;
   for (uint64_t seed = 1; seed <= 100; ++seed) {
     CAPTURE(seed);
     ZoneHarness zone({.schedulers = 2, .workers = 7, .seed = seed});
     REQUIRE(zone.Confirm({ZoneHarness::Service("index", 14)}));
-    // Stops fall anywhere between two renewals.
+    // Varies the moment of the stop between two renewals.
     zone.RunFor(absl::Milliseconds(2000 + 20 * (seed % 60)));
     for (int round = 0; round < 4; ++round) {
       const int leader = zone.Leader();
@@ -314,10 +317,10 @@
   Result<Plan> b = leader.Propose({ZoneHarness::Service("b", 2)}, now);
   REQUIRE(a.has_value());
   REQUIRE(b.has_value());
-  // Both are put on their way before either is read back.
+  // Queues both before either is read back from the log.
   CHECK(leader.Confirm(a.value(), now).has_value());
   CHECK(leader.Confirm(b.value(), now).has_value());
-  // Twice is harmless.
+  // Confirming a plan twice is harmless.
   CHECK(leader.Confirm(a.value(), now).has_value());
   zone.RunFor(absl::Seconds(3));
   CHECK(leader.GetPlanOutcome(a.value().id) ==
@@ -329,7 +332,7 @@
   CHECK(late.error().code == ErrorCode::kStale);
 }
 
-TEST_CASE("another policy: what runs goes on, and what comes starts") {
+TEST_CASE("another policy: running tasks continue and new tasks start") {
   ZoneHarness zone({.schedulers = 1, .workers = 5, .seed = 13});
   REQUIRE(zone.Confirm({ZoneHarness::Service("a", 10)}));
   zone.RunFor(absl::Seconds(2));
@@ -340,13 +343,14 @@
   CHECK(zone.Running() == 20);
   CHECK(zone.facts().size() == 20);
   CHECK(zone.FindViolations().empty());
-  // No attempt is used twice.
+  // No attempt number is used twice.
   std::set<int64_t> attempts;
   for (const RunEvent& fact : zone.facts()) attempts.insert(fact.attempt);
   CHECK(attempts.size() == 20);
 }
 
-TEST_CASE("only the leader explains; a standby sends to another") {
+TEST_CASE(
+    "only the leader explains; a standby answers that it is unavailable") {
   ZoneHarness zone({.schedulers = 2, .workers = 5, .seed = 12});
   REQUIRE(zone.Confirm({ZoneHarness::Service("a", 2)}));
   const int leader = zone.AwaitLeader();
@@ -370,7 +374,8 @@
   CHECK(zone.facts().size() == 18);
 }
 
-TEST_CASE("records dropped by retention: a fresh scheduler rebuilds the same") {
+TEST_CASE(
+    "records dropped by retention: a new scheduler rebuilds the same state") {
   ZoneHarness::Options options;
   options.schedulers = 2;
   options.seed = 31;
@@ -400,7 +405,8 @@
   CHECK(zone.FindViolations().empty());
 }
 
-TEST_CASE("control cost: holds a worker and second, appends for task starts") {
+TEST_CASE(
+    "control cost: holds per worker and second, appends for task starts") {
   ZoneHarness zone({.schedulers = 2, .workers = 10, .seed = 41});
   REQUIRE(zone.Confirm({ZoneHarness::Service("index", 8)}));
   zone.RunFor(absl::Seconds(5));
@@ -418,9 +424,9 @@
       },
       absl::Seconds(200));
   const int64_t used = zone.log().appends() - appends;
-  MESSAGE("holds a worker and second: ", rate,
+  MESSAGE("holds per worker and second: ", rate,
           "; appends for 1,000 starts: ", used,
-          " (one a start would be 1,000)");
+          " (1,000 with one append per start)");
   CHECK(rate <= 1.05);
   CHECK(used < 400);
   CHECK(zone.FindViolations().empty());
--- a/keelbridge/coordination/zone_scheduler_work.cc
+++ b/keelbridge/coordination/zone_scheduler_work.cc
@@ -1,5 +1,5 @@
-// The part of `ZoneScheduler` that keeps the zone's work in step with what
-// operators confirmed and with what happens on workers.
+// The part of `ZoneScheduler` that synchronizes the zone's work with confirmed
+// plans and with events from workers.
 
 #include <algorithm>
 #include <utility>
@@ -9,15 +9,15 @@
 namespace keelbridge {
 namespace {
 
-// After a change of leader, work that may run twice waits for this long to be
-// found running.
+// After a change of leader, tasks that may run twice wait this long to be found
+// running.
 constexpr absl::Duration kDiscoveryWait = absl::Seconds(2);
 
 int64_t MonoMillis(Now now) { return ToMillis(now.mono); }
 
 }  // namespace
 
-// Work as it was confirmed.
+// Synchronization with confirmed plans.
 
 int32_t ZoneScheduler::GroupOf(const std::string& intent) {
   const auto [it, inserted] = groups_.emplace(intent, next_group_);
@@ -130,7 +130,7 @@
   for (const std::string& name : unobserved) {
     TaskEntry& entry = tasks_[name];
     if (lease_tracker_.HasUnwantedOf(name)) continue;
-    // Whether it may run at all stands in the log.
+    // The log shows whether the task may run at all.
     if (!entry.repeatable && !Authoritative()) continue;
     if (all_resolved || (!entry.exclusive && entry.repeatable)) {
       ResolveUnobservedTask(name, entry, now);
@@ -140,7 +140,8 @@
 
 void ZoneScheduler::ResolveUnobservedTask(const std::string& name,
                                           TaskEntry& entry, Now now) {
-  // It was about to start, it is found nowhere, and its end was not recorded.
+  // An earlier leader recorded a start of the task, but the task is found
+  // nowhere and its end was not recorded.
   if (!entry.repeatable && replica_.state().ClaimedAttempt(name) != 0) {
     RecordEnd(name, entry, "unknown", "", 0, now);
     return;
@@ -149,7 +150,7 @@
   SubmitTask(name, entry, now);
 }
 
-// What happens on workers.
+// Events from workers.
 
 void ZoneScheduler::Handle(const LeaseEvent& event, Now now) {
   switch (event.kind) {
@@ -159,7 +160,8 @@
       return;
     case LeaseEventKind::kUnresponsive: {
       workers_changed_ = true;
-      // Work that may run twice does not wait for certainty.
+      // Tasks that may run twice are started elsewhere without waiting until
+      // their leases have certainly ended.
       std::vector<std::string> repeatable_tasks;
       for (const auto& [name, lease] : lease_tracker_.leases()) {
         const auto it = tasks_.find(name);
@@ -203,7 +205,7 @@
     return;
   }
   if (!Authoritative() || synced_plan_ == kNeverSynced) {
-    // Not known here does not mean not wanted.
+    // The task may be wanted although it is not known here yet.
     deferred_events_[{event.worker, event.attempt}] = event;
     return;
   }
@@ -266,7 +268,8 @@
     const TaskEntry old = entry;
     Forget(event.task, entry, now);
     tasks_.erase(it);
-    // Wanted again meanwhile, for example by a second resize.
+    // The task may be wanted again meanwhile, for example after a second
+    // resize.
     if (IsWanted(old)) AddTask(*FindWorkRecord(old.intent), old.index, now);
     return;
   }
@@ -311,8 +314,7 @@
 }
 
 void ZoneScheduler::QueueEndRecord(const std::string& name, TaskEntry& entry) {
-  // When the writer is full the row stays with its worker, which tells of it
-  // again.
+  // If the writer is full, the worker keeps the row and reports it again.
   entry.end_queued =
       writer_.Add(TaskEndedEntry{led_epoch_, name, entry.outcome});
 }
