--- a/keelbridge/coordination/call_outcome.cc
+++ b/keelbridge/coordination/call_outcome.cc
@@ -13,7 +13,8 @@
       earlier_try_may_run_ = true;
       return false;
     case TryResult::kRejected:
-      // It is this try that was not taken; an earlier one may have been.
+      // The leader rejected this try, but an earlier one may have been
+      // accepted.
       return !earlier_try_may_run_;
     case TryResult::kAnswered:
       return true;
--- a/keelbridge/coordination/call_outcome.h
+++ b/keelbridge/coordination/call_outcome.h
@@ -1,17 +1,17 @@
-// Whether a client's call may have run, by what came of its tries.
+// Decides from the results of its tries whether a client's call may have run.
 //
-// A node carries a call to the leader in one or more tries, and may tell the
-// client "not taken, will never run" only if no copy of the call is left
-// anywhere that could still run: not with a leader that is out of reach, not on
-// a connection that hangs, not in a term that has just ended.
+// A node forwards a call to the leader in one or more tries. It may tell the
+// client that the call was rejected and will never run only if no copy of the
+// call is left that could still run: neither at an unreachable leader, nor on a
+// stalled connection, nor in a term that has just ended.
 //
-// Pure: no time, no I/O.
+// CallOutcome performs no I/O and reads no clock.
 //
-//   CallOutcome fate;
-//   fate.BeginTry();
-//   ... the leader's answer is lost ...
-//   fate.EndTry(CallOutcome::TryResult::kNoAnswer);  // False: try again.
-//   if (!fate.MayHaveRun()) AnswerNotTaken();
+//   CallOutcome outcome;
+//   outcome.BeginTry();
+//   // The leader's answer is lost: EndTry() returns false, so try again.
+//   outcome.EndTry(CallOutcome::TryResult::kNoAnswer);
+//   if (!outcome.MayHaveRun()) AnswerRejected();
 
 #ifndef KEELBRIDGE_COORDINATION_CALL_OUTCOME_H_
 #define KEELBRIDGE_COORDINATION_CALL_OUTCOME_H_
@@ -21,26 +21,26 @@
 class CallOutcome {
  public:
   enum class TryResult {
-    kNothingSent,  // No byte of it left.
-    kNotLeader,    // Who was asked does not lead, and has not run it.
-    kNoAnswer,     // It was sent, and nothing came back.
-    kTermEnded,    // The leader had it when its term ended.
-    kRejected,     // The leader says that it does not take it.
-    kAnswered,     // Any other answer of the leader's.
+    kNothingSent,  // No byte of the call was sent.
+    kNotLeader,    // The node does not lead and has not run the call.
+    kNoAnswer,     // The call was sent and no answer arrived.
+    kTermEnded,    // The leader's term ended while the call was pending there.
+    kRejected,     // The leader rejected the call.
+    kAnswered,     // The leader gave any other answer.
   };
 
-  // A try is with the leader, or on its way there.
+  // Records that a try has been sent to the leader or is being processed there.
   void BeginTry() { try_in_flight_ = true; }
-  // Whether the leader's answer is the client's; if not, the call is to be
-  // tried again.
+  // Records the result of a try. Returns true if the leader's answer is to be
+  // passed to the client, and false if the call must be tried again.
   bool EndTry(TryResult end);
-  // Whether a try may have run or may still do so.
+  // Returns true if a try may have run or may still run.
   bool MayHaveRun() const { return try_in_flight_ || earlier_try_may_run_; }
 
  private:
   bool try_in_flight_ = false;
-  bool earlier_try_may_run_ =
-      false;  // An ended try may have run, or may still.
+  // A finished try may have run or may still run.
+  bool earlier_try_may_run_ = false;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/call_outcome_test.cc
+++ b/keelbridge/coordination/call_outcome_test.cc
@@ -12,7 +12,7 @@
 
 using TryResult = CallOutcome::TryResult;
 
-TEST_CASE("call fate: what reached no leader has not run") {
+TEST_CASE("call fate: a call that reached no leader has not run") {
   CallOutcome outcome;
   CHECK(!outcome.MayHaveRun());
   for (const TryResult end : {TryResult::kNothingSent, TryResult::kNotLeader}) {
@@ -24,13 +24,13 @@
   CHECK(outcome.EndTry(TryResult::kRejected));
 }
 
-TEST_CASE("call fate: a try that is under way may run") {
+TEST_CASE("call fate: a try in flight may run") {
   CallOutcome outcome;
   outcome.BeginTry();
   CHECK(outcome.MayHaveRun());
 }
 
-TEST_CASE("call fate: a refusal does not undo an earlier try") {
+TEST_CASE("call fate: a rejection does not rule out that an earlier try ran") {
   for (const TryResult earlier :
        {TryResult::kNoAnswer, TryResult::kTermEnded}) {
     CallOutcome outcome;
@@ -50,15 +50,17 @@
 
 struct Session {
   int64_t epoch = 0;
-  bool fenced = false;  // Those before it, in the store.
+  bool fenced = false;  // Earlier epochs are fenced in the store.
   bool active = false;
   bool knows_job = false;
-  std::vector<int> awaiting_term;  // Tries that wait for the term to be active.
-  std::vector<int>
-      awaiting_append;  // Tries that wait for the job to be durable.
+  // Tries that wait for the term to become active.
+  std::vector<int> awaiting_term;
+  // Tries that wait for the job to become durable.
+  std::vector<int> awaiting_append;
 };
 struct Node {
-  int64_t claimed = 0;  // An epoch whose claim it has not heard of yet.
+  // An epoch whose claim this node has not learned of yet, or 0.
+  int64_t claimed = 0;
   std::optional<Session> session;
 };
 struct Call {
@@ -70,10 +72,11 @@
   TryResult end;
 };
 
-// A site that one client hands one job to, one attempt after the other, each at
-// a node of its own. All that is lost, late, refused or replaced is drawn.
-// Whom a node takes for the leader is drawn as well, so that every belief that
-// a real node could hold is met, and more.
+// A simulated site to which one client submits one job in several consecutive
+// attempts, each at a randomly chosen node. Losses, delays, rejections and
+// changes of leader are random. The node that each node takes for the leader is
+// random as well, which covers every belief that a real node can hold, and
+// more.
 class Site {
  public:
   static constexpr int kNodes = 3;
@@ -88,7 +91,7 @@
 
   void Step() {
     const int node = Draw(kNodes);
-    // By how often: what replaces leaders is rarer than what they do.
+    // The weights make changes of leader rarer than calls and replies.
     switch (std::discrete_distribution<>({2, 4, 4, 1, 4, 3, 8, 6, 8, 2, 1})(
         random_)) {
       case 0:
@@ -112,7 +115,7 @@
       case 8:
         return DeliverReply();
       case 9:
-        // The node stops waiting for an answer; the call may still arrive.
+        // The node stops waiting for the answer. The call may still arrive.
         if (remote_) OnTryEnd(current_try_, TryResult::kNoAnswer);
         return;
       default:
@@ -120,7 +123,7 @@
     }
   }
 
-  // Everything that is still on its way arrives; the store is back.
+  // Makes the store writable and delivers everything that is in flight.
   void Settle() {
     while (attempt_) GiveUp();
     store_writable_ = true;
@@ -152,7 +155,7 @@
     return removed;
   }
 
-  // --- Leaders ---
+  // Leaders.
   void BeginTerm(int node) {
     Node& node_state = nodes_[Index(node)];
     if (node_state.claimed == 0 || node_state.session) return;
@@ -207,9 +210,9 @@
     }
   }
 
-  // --- The node that carries the attempt ---
+  // The node that forwards the attempt.
   void Answer(int node, int number, TryResult end) {
-    // At once when the leader is the node itself.
+    // The answer is immediate if the forwarding node is itself the leader.
     if (number == current_try_ && !remote_ && node == attempt_node_)
       return OnTryEnd(number, end);
     replies_.push_back({number, end});
@@ -268,21 +271,21 @@
   int64_t fence_ = 0;
   bool store_writable_ = true;
   bool durable_ = false;
-  std::vector<int64_t> appends_;  // By the epoch of who sent them.
+  std::vector<int64_t> appends_;  // Epochs of the senders.
   std::vector<Call> calls_;
   std::vector<Reply> replies_;
 
   std::optional<CallOutcome> attempt_;
-  int attempt_node_ = 0;  // The node of the attempt.
-  int current_try_ = 0;   // The number of the try under way; 0: none.
-  bool remote_ = false;   // It is with another node.
+  int attempt_node_ = 0;  // The node that forwards the attempt.
+  int current_try_ = 0;   // Number of the try in flight, or 0.
+  bool remote_ = false;   // The try was sent to another node.
   int last_try_ = 0;
   int max_attempts_ = 1;
   int attempts_ = 0;
   int rejected_ = 0;
 };
 
-TEST_CASE("call fate: no job runs all of whose attempts were rejected") {
+TEST_CASE("call fate: a job does not run if all its attempts were rejected") {
   constexpr uint64_t kSeeds = 200000;
   constexpr int kSteps = 60;
   int all_rejected = 0;
@@ -298,7 +301,7 @@
     const bool broken = rejected && site.durable();
     REQUIRE(!broken);
   }
-  // Both ends are met often, so that the check above means something.
+  // Both outcomes must be frequent for the check above to be meaningful.
   CHECK(all_rejected > static_cast<int>(kSeeds) / 10);
   CHECK(ran > static_cast<int>(kSeeds) / 10);
 }
--- a/keelbridge/coordination/earlier_leaders.cc
+++ b/keelbridge/coordination/earlier_leaders.cc
@@ -6,8 +6,8 @@
 namespace keelbridge {
 namespace {
 
-// By what share the clock of another node may run faster than this one's: the
-// bound that leases allow for, too (JobScheduler::Options::clock_error).
+// Fraction by which the clock of another node may run faster than the local
+// one. Leases allow for the same error (JobScheduler::Options::clock_error).
 constexpr double kClockError = 0.02;
 
 }  // namespace
--- a/keelbridge/coordination/earlier_leaders.h
+++ b/keelbridge/coordination/earlier_leaders.h
@@ -1,9 +1,12 @@
-// Since when the leaders before this one give no more orders.
+// Tracks whether the earlier leaders have stopped, and when the last of their
+// orders was sent.
 //
-// A lease on a worker ends a fixed time after the last order that extended it.
-// A new leader asks those before it, again and again, whether they still lead;
-// each answer also tells for how long that node has given no order, so that
-// leases count from the last order and not from the answer. Pure.
+// A lease on a worker expires a fixed time after the last order that extended
+// it. A new leader asks each earlier leader repeatedly whether it still leads.
+// The answer also reports for how long that node has sent no order, so that
+// leases are counted from the last order instead of from the answer.
+//
+// EarlierLeaders performs no I/O and reads no clock.
 //
 //   EarlierLeaders earlier({"10.0.0.2:7580"}, own_last_order);
 //   earlier.OnStopped("10.0.0.2:7580", absl::Seconds(4), now);
@@ -21,22 +24,24 @@
 
 class EarlierLeaders {
  public:
-  // None: all have stopped.
+  // Constructs an empty set of earlier leaders: AllStopped() is true.
   EarlierLeaders() = default;
-  // `own_last_order`: of this node as an earlier leader, or when its process
-  // started.
+  // `own_last_order` is the time of the last order that this node sent as a
+  // earlier leader, or the time its process started if it sent none.
   EarlierLeaders(std::vector<std::string> addresses, absl::Time own_last_order);
 
-  // The node at `address` answered at `now` that it does not lead, and that it
-  // has given no order for `idle`: as an earlier leader, or since its process
-  // started.
+  // Records that the node at `address` answered at `now` that it does not lead
+  // and that it has sent no order for `idle`, either since its last order as a
+  // leader or since its process started.
   void OnStopped(const std::string& address, absl::Duration idle,
                  absl::Time now);
 
-  // Those that have not answered so.
+  // Returns the addresses of the earlier leaders that have not confirmed that
+  // they stopped.
   const std::vector<std::string>& Unconfirmed() const { return unconfirmed_; }
   bool AllStopped() const { return unconfirmed_.empty(); }
-  // When the last order of those heard was given, at the latest.
+  // Returns the latest time at which an earlier leader that has answered, or
+  // this node, may have sent its last order.
   absl::Time LastOrder() const { return last_order_; }
 
  private:
--- a/keelbridge/coordination/freshness.h
+++ b/keelbridge/coordination/freshness.h
@@ -1,15 +1,15 @@
-// How old the knowledge of something is that changes elsewhere, and when to ask
-// again.
+// Tracks the age of data that changes elsewhere and decides when to refresh it.
 //
-// A reader that waits to be told cannot tell "nothing changed" from a lost
-// answer, a cut or a dead connection: in each case nothing arrives.
-// So knowledge has an age: since when it was last confirmed to be the newest.
-// Past a bound the reader asks, and what is too old denies nothing.
+// A reader that waits for notifications cannot distinguish "nothing changed"
+// from a lost answer, a network partition or a dead connection: in each case
+// nothing arrives. The age of the data is therefore the time since it was last
+// confirmed to be current. Beyond a limit the reader asks the store, and data
+// that is too old must not be used to deny that something exists.
 //
-// Pure: the time comes in. Times are of the steady clock.
+// Freshness performs no I/O and reads no clock. Times are monotonic.
 //
 //   Freshness freshness({});
-//   freshness.OnConfirmed(sent);        // An answer to what was sent then.
+//   freshness.OnConfirmed(sent);  // The time at which the request was sent.
 //   if (freshness.RefreshDue(role, now)) Ask();
 //   if (!freshness.MayDeny(now)) return kTryLater;
 
@@ -22,33 +22,36 @@
 
 class Freshness {
  public:
-  // How soon a reader asks the store itself.
+  // Determines how soon a reader asks the store.
   enum class Role {
-    kLeader,    // Others rely on this reader: it asks early.
-    kFollower,  // Is told by such a reader, and asks when that falls silent.
+    kLeader,    // Other readers depend on this one, so it asks early.
+    kFollower,  // Receives updates from a leader and asks the store if they
+                // stop.
   };
   struct Options {
-    // Unconfirmed for this long: ask. A change must be in force within 2 s; a
-    // leader that asks after 0.8 s and tells its followers every
-    // 0.4 s keeps theirs under 1.5 s.
+    // Data that has not been confirmed for this long is refreshed. A change
+    // must be in force within 2 s. A leader that asks after 0.8 s and updates
+    // its followers every 0.4 s keeps the age of their data under 1.5 s.
     absl::Duration leader_refresh_after = absl::Milliseconds(800);
     absl::Duration follower_refresh_after = absl::Milliseconds(1500);
-    // Unconfirmed for longer: nothing is denied on this knowledge. An old
-    // version may be served for 2 s.
+    // Data that has not been confirmed for longer than this must not be used to
+    // deny that something exists. An old version may be served for 2 s.
     absl::Duration max_age_for_denial = absl::Milliseconds(2000);
   };
 
   explicit Freshness(Options options) : options_(options) {}
 
-  // The knowledge was the newest at `at`. An answer confirms for the moment at
-  // which its request was sent, since it may have been under way for long.
+  // Records that the data was current at `at`. For an answer, `at` is the time
+  // at which the request was sent, since the answer may have been delayed.
   void OnConfirmed(absl::Time at);
 
-  // Whether it is old enough to ask; how often is for `SourceReads` to say.
+  // Returns true if the data is old enough to be refreshed. SourceReads limits
+  // how often the store is asked.
   bool RefreshDue(Role role, absl::Time now) const;
-  // Whether it is fresh enough to say that something does not exist.
+  // Returns true if the data is recent enough to deny that something exists.
   bool MayDeny(absl::Time now) const;
-  // How long ago it was confirmed; infinite before the first time.
+  // Returns the time since the last confirmation, or infinity if there was
+  // none.
   absl::Duration Age(absl::Time now) const { return now - confirmed_; }
 
  private:
--- a/keelbridge/coordination/freshness_test.cc
+++ b/keelbridge/coordination/freshness_test.cc
@@ -11,14 +11,16 @@
 
 absl::Time At(int64_t ms) { return kStart + absl::Milliseconds(ms); }
 
-TEST_CASE("freshness: what was never confirmed is asked for, and denies not") {
+TEST_CASE(
+    "freshness: data that was never confirmed is due for refresh and denies "
+    "nothing") {
   Freshness freshness({});
   CHECK(freshness.Age(kStart) == absl::InfiniteDuration());
   CHECK_FALSE(freshness.MayDeny(kStart));
   CHECK(freshness.RefreshDue(Role::kFollower, kStart));
 }
 
-TEST_CASE("freshness: silence is asked about, again and again until answered") {
+TEST_CASE("freshness: a refresh stays due until the data is confirmed") {
   Freshness freshness({});
   freshness.OnConfirmed(At(0));
   CHECK(freshness.MayDeny(At(500)));
@@ -33,7 +35,7 @@
   CHECK(freshness.MayDeny(At(2500)));
 }
 
-TEST_CASE("freshness: a source asks before its followers do") {
+TEST_CASE("freshness: a leader refreshes before its followers do") {
   Freshness freshness({});
   freshness.OnConfirmed(At(0));
   CHECK_FALSE(freshness.RefreshDue(Role::kLeader, At(799)));
@@ -41,7 +43,7 @@
   CHECK(freshness.RefreshDue(Role::kLeader, At(800)));
 }
 
-TEST_CASE("freshness: an answer that comes late confirms no later time") {
+TEST_CASE("freshness: an older confirmation does not replace a newer one") {
   Freshness freshness({});
   freshness.OnConfirmed(At(1000));
   freshness.OnConfirmed(At(200));
--- a/keelbridge/coordination/idempotency.cc
+++ b/keelbridge/coordination/idempotency.cc
@@ -50,7 +50,8 @@
 void ClaimTable::OnBatch(const LogBatch& batch) {
   if (batch.first > next_) next_ = batch.first;
   while (!by_offset_.empty() && by_offset_.front().first < batch.first) {
-    // Beyond the log's memory. Keys are promised for that long and no longer.
+    // The log no longer retains this record. Keys are guaranteed only for the
+    // log's retention time.
     const auto it = owners_.find(by_offset_.front().second);
     if (it != owners_.end() && it->second.offset == by_offset_.front().first)
       owners_.erase(it);
--- a/keelbridge/coordination/idempotency.h
+++ b/keelbridge/coordination/idempotency.h
@@ -1,18 +1,20 @@
-// At most once, also when a caller or the balancer sends the same request again
-// at another entry host.
+// Executes each request at most once, even if a caller or the load balancer
+// sends it again through another entry host.
 //
-// Two ways, chosen by the caller:
-//   - a *ticket*, which one gateway run issued: only that run dispatches a
-//   request with it, once; other gateways pass
-//     the request on to it. Needs no log. When that run is gone the verdict is
-//     MayHaveRun, and nothing runs.
-//   - an *idempotency key*, claimed in the log before dispatch: whoever's claim
-//   is first in the log dispatches.
-//     Survives the gateway, needs the log.
+// The caller chooses one of two mechanisms:
 //
-//   TicketTable tickets(incarnation, "gw-1");
-//   std::string ticket = tickets.Issue(now);
-//   if (tickets.Use(ticket, now) == TicketUse::kFirst) Dispatch();
+// - A *ticket* is issued by one gateway run. Only that run dispatches the
+//   request with this ticket, once; other gateways forward the request to it.
+//   Tickets do not need the log. Once that run has ended, the verdict is
+//   MayHaveRun and nothing is dispatched.
+// - An *idempotency key* is claimed in the log before dispatch. The gateway
+//   whose claim comes first in the log dispatches the request. Keys survive the
+//   gateway and need the log.
+//
+//   TicketTable tickets("gw-1", incarnation);
+//   std::string text = tickets.Issue(now);
+//   Result<Ticket> ticket = TicketFromText(text);
+//   if (tickets.Use(ticket.value(), now) == TicketUse::kFirst) Dispatch();
 
 #ifndef KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
 #define KEELBRIDGE_COORDINATION_IDEMPOTENCY_H_
@@ -31,23 +33,24 @@
 
 namespace keelbridge {
 
-// What a ticket says of itself.
+// The contents of a ticket.
 struct Ticket {
   std::string gateway;  // Name of the entry host that issued it.
   uint64_t incarnation = 0;
   uint64_t number = 0;
-  int64_t expires_ms = 0;  // Wall clock of the issuer.
+  int64_t expires_ms = 0;  // Wall clock time of the issuer.
 };
 
 std::string TicketToText(const Ticket& ticket);
 Result<Ticket> TicketFromText(const std::string& text);
 
 enum class TicketUse {
-  kFirst,  // Dispatch it, now or never.
-  kUsed,   // It was dispatched before, or may have been.
+  kFirst,  // The ticket is unused: dispatch the request.
+  kUsed,   // The request was or may have been dispatched.
 };
 
-// The tickets that one gateway run issued and saw used. Pure.
+// Tracks the tickets that one gateway run has issued and which of them are
+// used. Performs no I/O and reads no clock.
 class TicketTable {
  public:
   TicketTable(std::string gateway, uint64_t incarnation,
@@ -60,9 +63,9 @@
   bool IssuedByThisRun(const Ticket& ticket) const {
     return ticket.incarnation == incarnation_;
   }
-  // Only for tickets of this run.
+  // Marks a ticket as used. Requires IssuedByThisRun(ticket).
   TicketUse Use(const Ticket& ticket, absl::Time wall);
-  // The request with it did not run: the ticket may be used again.
+  // Makes the ticket usable again, because its request did not run.
   void Release(const Ticket& ticket) {
     used_.erase({ticket.expires_ms, ticket.number});
   }
@@ -73,11 +76,13 @@
   const uint64_t incarnation_;
   const absl::Duration lifetime_;
   uint64_t next_ = 0;
-  std::set<std::pair<int64_t, uint64_t>>
-      used_;  // Expiry and number; an expired ticket is refused by its date.
+  // Expiry time and number of each used ticket. Entries are dropped on expiry,
+  // because an expired ticket is refused by its date.
+  std::set<std::pair<int64_t, uint64_t>> used_;
 };
 
-// Claims of idempotency keys as the log's stream of claims says them. Pure.
+// Tracks the owners of idempotency keys from the claims stream of the log.
+// Performs no I/O and reads no clock.
 class ClaimTable {
  public:
   enum class Owner { kNobody, kSelf, kOther };
@@ -87,7 +92,8 @@
   void OnBatch(const LogBatch& batch);
   int64_t next() const { return next_; }
   bool caught_up() const { return caught_up_; }
-  // True when the log holds this envelope, or a later one of its writer.
+  // Returns true if the log holds this envelope or a later one of the same
+  // writer.
   bool Applied(const EnvelopeId& id) const { return writers_.WasAccepted(id); }
   Owner OwnerOf(const std::string& key) const;
   size_t size() const { return owners_.size(); }
--- a/keelbridge/coordination/idempotency_test.cc
+++ b/keelbridge/coordination/idempotency_test.cc
@@ -15,7 +15,7 @@
 const absl::Time kWall = absl::FromUnixSeconds(1000000);
 
 TEST_CASE(
-    "ticket: once only, only in the run that issued it, not after expiry") {
+    "ticket: valid once, only in the run that issued it, until it expires") {
   TicketTable table("gw", 7, absl::Seconds(60));
   Result<Ticket> ticket = TicketFromText(table.Issue(kWall));
   REQUIRE(ticket.has_value());
@@ -37,7 +37,7 @@
   CHECK_FALSE(TicketFromText("nonsense").has_value());
 }
 
-TEST_CASE("tickets that expired are forgotten, and still refused") {
+TEST_CASE("expired tickets are dropped from memory and still refused") {
   TicketTable table("gw", 7, absl::Seconds(1));
   for (int i = 0; i < 1000; ++i) {
     const absl::Time wall = kWall + absl::Seconds(i);
@@ -55,7 +55,7 @@
   return options;
 }
 
-// One gateway's side of a claim, step by step.
+// The claim protocol of one gateway.
 struct Claimant {
   explicit Claimant(uint64_t id) : table(id), writer(WriterOptions(id)) {
     writer.Add(KeyClaimEntry{"k", id});
@@ -65,8 +65,10 @@
   bool dispatched = false;
 };
 
-// Several gateways get the same request. Appends and reads fall in any order,
-// answers are lost, and a gateway may stop at any step. Returns dispatches.
+// Three gateways receive the same request. Appends and reads happen in random
+// order, answers are lost, and a gateway may stop at any step. If `claims` is
+// false, the gateways dispatch without a claim. Returns the number of
+// dispatches.
 int CountDispatches(uint64_t seed, bool claims) {
   std::mt19937_64 random(seed);
   const auto pick = [&random](int n) {
@@ -116,14 +118,14 @@
     dispatched += count;
     duplicates_without_claims += CountDispatches(seed, false) > 1 ? 1 : 0;
   }
-  MESSAGE("seeds of 1000: dispatched in ", dispatched,
+  MESSAGE("of 1000 seeds: dispatched in ", dispatched,
           ", without claims dispatched twice in ", duplicates_without_claims);
   CHECK(dispatched > 900);
   CHECK(duplicates_without_claims > 0);
 }
 
 TEST_CASE(
-    "claims: a released key can be claimed again, by its owner's word only") {
+    "claims: a key can be claimed again only after its owner released it") {
   testing::FakeLog log;
   ClaimTable table(2);
   const auto append = [&log](EnvelopeId id, LogEntry entry) {
--- a/keelbridge/coordination/leadership.cc
+++ b/keelbridge/coordination/leadership.cc
@@ -8,7 +8,7 @@
 namespace keelbridge {
 namespace {
 
-// Between two requests for the same hold.
+// Minimum delay before a refused hold is requested again.
 constexpr absl::Duration kMinRetryDelay = absl::Milliseconds(30);
 
 }  // namespace
@@ -61,7 +61,8 @@
         StartCampaign(clocks);
         return OrdersToAll(HoldMode::kAcquire);
       }
-      // Those that were held are asked again when that hold has lapsed.
+      // Workers that are held by another scheduler are asked again when that
+      // hold expires.
       if (now < campaign_ends_) return DueRenewals(now);
       return Resign(now, Jitter(0.1, 0.6));
     case Role::kLeader:
@@ -71,7 +72,7 @@
         return {};
       }
       if (saw_higher_epoch_) {
-        // The holds are still ours, so nobody can come between.
+        // This scheduler still has the holds, so no other can win in between.
         StartCampaign(clocks);
         return OrdersToAll(HoldMode::kAcquire);
       }
@@ -108,8 +109,8 @@
 
 void Leadership::OnQueryReply(Vote& vote, const HoldReply& reply,
                               absl::Time now) {
-  // A worker that restarted may have promised a hold that it no longer knows
-  // of.
+  // A worker that restarted recently may have granted a hold that it has
+  // forgotten.
   vote.free = reply.hold_remaining <= absl::ZeroDuration() &&
               reply.uptime >= options_.hold_ttl + options_.margin;
   if (role_ == Role::kStandby) {
@@ -153,8 +154,8 @@
     it->second.held_until = absl::InfinitePast();
     it->second.next_renewal =
         now + std::max(reply->hold_remaining, kMinRetryDelay);
-    // A campaign that failed left a higher epoch there, and this worker will
-    // never take our orders again.
+    // A failed campaign left a higher epoch on this worker, which will reject
+    // all orders with the current epoch.
     saw_higher_epoch_ = saw_higher_epoch_ || reply->epoch > epoch_;
   } else if (reply->uptime >= options_.hold_ttl + options_.margin) {
     it->second.held_until =
--- a/keelbridge/coordination/leadership.h
+++ b/keelbridge/coordination/leadership.h
@@ -1,23 +1,27 @@
-// Who decides in a zone: leadership leased from a majority of the zone's
+// Elects the leading scheduler of a zone by leases on a majority of its
 // workers.
 //
-// A scheduler leads while it holds the hold (see `worker_messages.h`) of more
-// than half of the zone's workers. A second holder cannot get a majority before
-// the first one's holds lapse, so there is at most one leader, and it needs no
-// log and no service of ours. The epoch is more than the highest that a
-// majority has seen, and at least the wall clock in seconds, so that it also
-// grows when workers restart and forget it. The same message that renews the
-// leadership seals the worker and renews the task leases on it.
+// A scheduler leads while it has the hold (the leadership lease, see
+// `worker_messages.h`) of more than half of the zone's workers. A second
+// scheduler cannot get a majority before the holds of the first one expire, so
+// there is at most one leader. The election depends on neither the log nor any
+// other service of this system. A new epoch is higher than the highest that a
+// majority has seen and at least the wall clock in seconds, so it also grows
+// when workers restart and forget the last one. The message that renews the
+// leadership also seals the worker, which means that it fences the commands of
+// other schedulers and reads the worker's lease table, and renews the task
+// leases on it.
 //
-// A hold counts from when its request was *sent* and only from a worker that
+// A hold is counted from the time its request was sent, and only if the worker
 // has been up for longer than a hold lasts, because a worker that restarts
-// forgets what it promised.
+// forgets the holds it granted.
 //
 //   Leadership leadership(options, seed);
-//   leadership.SetWorkers(names, now);
-//   for (const HoldOrder& order : leadership.Tick(now)) Send(order);   //
-//   now.mono below leadership.OnReply(worker, sent_at, reply, now); if
-//   (leadership.Leads(now)) ...
+//   leadership.SetWorkers(names);
+//   for (const HoldOrder& order : leadership.Tick(now)) Send(order);
+//   // For each reply:
+//   leadership.OnReply(worker, mode, epoch, sent_at, reply, now.mono);
+//   if (leadership.Leads(now.mono)) ...
 
 #ifndef KEELBRIDGE_COORDINATION_LEADERSHIP_H_
 #define KEELBRIDGE_COORDINATION_LEADERSHIP_H_
@@ -35,58 +39,60 @@
 
 namespace keelbridge {
 
-// A hold message to send now.
+// A hold request to send to `worker`.
 struct HoldOrder {
   std::string worker;
   HoldMode mode = HoldMode::kQuery;
   int64_t epoch = 0;
 };
 
-// Pure. Times are monotonic.
+// Performs no I/O and reads no clock. Times are monotonic.
 class Leadership {
  public:
   struct Options {
-    std::string holder;  // Scheduler name and incarnation: another run is
-                         // another holder.
+    // Scheduler name and incarnation. A restarted scheduler is a different
+    // holder.
+    std::string holder;
     absl::Duration hold_ttl = absl::Seconds(3);
     absl::Duration renew_every = absl::Seconds(1);
-    absl::Duration poll_every =
-        absl::Milliseconds(750);  // A standby asks one worker this often.
-    // How long a standby that found one worker free asks all the others.
+    // A standby queries one worker at this interval.
+    absl::Duration poll_every = absl::Milliseconds(750);
+    // How long a standby that found one free worker queries all workers.
     absl::Duration query_timeout = absl::Milliseconds(800);
-    absl::Duration margin = absl::Milliseconds(
-        150);  // For clock rates and for acting on the answer.
+    // Covers differences in clock rate and the time taken to act on a reply.
+    absl::Duration margin = absl::Milliseconds(150);
   };
 
   Leadership(Options options, uint64_t seed);
 
-  // The zone's workers by the configuration in force.
+  // Sets the workers of the zone according to the configuration in force.
   void SetWorkers(const std::vector<std::string>& names);
-  // An epoch that is known from elsewhere (the log); ours will be higher.
+  // Records an epoch that was learned from the log. Later epochs of this
+  // scheduler are higher.
   void RecordEpoch(int64_t epoch) {
     highest_seen_ = std::max(highest_seen_, epoch);
   }
 
-  // The messages that are due.
+  // Returns the requests that are due.
   std::vector<HoldOrder> Tick(Now now);
 
-  // `reply` is nothing when none came.
+  // Records the reply to a request; `reply` is nullopt if none arrived.
   void OnReply(const std::string& worker, HoldMode mode, int64_t epoch,
                absl::Time sent_at, const std::optional<HoldReply>& reply,
                absl::Time now);
 
-  // Gives up leadership now and stays out of it for `stay_out`. Returns the
-  // releases to send.
+  // Gives up leadership and does not campaign for `stay_out`. Returns the
+  // release requests to send.
   std::vector<HoldOrder> Resign(absl::Time now, absl::Duration stay_out);
 
   bool Leads(absl::Time now) const {
     return role_ == Role::kLeader && now < leads_until_;
   }
-  // When leadership ends unless it is renewed. Commands must not take effect
-  // later.
+  // Returns when leadership expires unless it is renewed. Commands must not
+  // take effect after this time.
   absl::Time leads_until() const { return leads_until_; }
   int64_t epoch() const { return epoch_; }
-  // When the present leadership was won.
+  // Returns when the current leadership was won.
   absl::Time won_at() const { return won_at_; }
 
  private:
@@ -94,7 +100,7 @@
   struct Vote {
     absl::Time held_until = absl::InfinitePast();
     absl::Time next_renewal = absl::InfinitePast();
-    bool free = false;  // As the last query of this campaign said.
+    bool free = false;  // As reported by the last query of this campaign.
   };
 
   size_t Majority() const { return votes_.size() / 2 + 1; }
@@ -117,9 +123,9 @@
   absl::Time won_at_ = absl::InfinitePast();
   absl::Time next_poll_ = absl::InfinitePast();
   absl::Time campaign_ends_ = absl::InfinitePast();
-  bool saw_higher_epoch_ =
-      false;                // A worker has seen a higher epoch than ours.
-  bool query_all_ = false;  // A broadcast of queries is due.
+  // A worker has seen a higher epoch than `epoch_`.
+  bool saw_higher_epoch_ = false;
+  bool query_all_ = false;  // A query must be sent to every worker.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/log_writer.cc
+++ b/keelbridge/coordination/log_writer.cc
@@ -8,8 +8,8 @@
 
 constexpr int kMaxBackoffDoublings = 10;
 
-// A rough size, to keep envelopes small; only snapshots and configurations are
-// large.
+// Estimates the size of an entry, to limit the size of envelopes. Only
+// snapshots and configurations are large.
 size_t SizeOf(const LogEntry& entry) {
   if (const auto* snapshot = std::get_if<SnapshotEntry>(&entry))
     return snapshot->text.size();
--- a/keelbridge/coordination/log_writer.h
+++ b/keelbridge/coordination/log_writer.h
@@ -1,14 +1,15 @@
-// Groups entries into few appends and settles answers that were lost.
+// Batches log entries into few appends and resolves lost answers.
 //
-// One envelope is on its way at a time. When its answer is lost, the same
-// envelope is sent again under the same id until an answer comes; readers take
-// the first and pass over the rest. That needs no record that says "this did
-// not happen", and works however often the answer is lost.
+// One envelope is in flight at a time. If its answer is lost, the same envelope
+// is sent again under the same id until an answer arrives; readers apply the
+// first copy and skip the others. This works however often the answer is lost,
+// and needs no record that a write did not happen.
 //
-//   LogWriter writer({.incarnation = id, .append_every =
-//   absl::Milliseconds(200)}); if (!writer.Add(entry)) return Overloaded(); if
-//   (auto envelope = writer.Next(now)) Send(*envelope);   // Then
-//   OnAnswer(...).
+//   LogWriter::Options options;
+//   options.incarnation = incarnation;
+//   LogWriter writer(options);
+//   if (!writer.Add(entry)) return Overloaded();
+//   if (auto envelope = writer.Next(now)) Send(*envelope);  // Then OnAnswer().
 
 #ifndef KEELBRIDGE_COORDINATION_LOG_WRITER_H_
 #define KEELBRIDGE_COORDINATION_LOG_WRITER_H_
@@ -23,17 +24,17 @@
 
 namespace keelbridge {
 
-// Pure: no clock, thread or socket. Not thread-safe.
+// Performs no I/O, starts no threads and reads no clock. Not thread-safe.
 class LogWriter {
  public:
   struct Options {
     uint64_t incarnation = 0;
-    uint64_t seed = 1;  // For the jitter of the back-off.
+    uint64_t seed = 1;  // Seeds the jitter of the backoff.
     size_t max_queued_entries = 20000;
-    size_t max_envelope_entries = 2000;  // In one envelope.
+    size_t max_envelope_entries = 2000;
     size_t max_envelope_bytes = 256 << 10;
-    absl::Duration append_every =
-        absl::Milliseconds(100);  // Least time between appends.
+    // Minimum time between appends.
+    absl::Duration append_every = absl::Milliseconds(100);
     absl::Duration initial_backoff = absl::Milliseconds(200);
     absl::Duration max_backoff = absl::Seconds(5);
   };
@@ -41,19 +42,20 @@
   explicit LogWriter(Options options)
       : options_(options), random_(options.seed) {}
 
-  // False when too much is waiting; nothing is then taken.
+  // Queues an entry. Returns false, without queueing it, if the queue is full.
   bool Add(LogEntry entry);
 
-  // The envelope to send now, if any. The same one again after a failure, when
-  // the back-off is over.
+  // Returns the envelope to send now, if any. After a failure it is the same
+  // one again, once the backoff has elapsed.
   std::optional<Envelope> Next(absl::Time now);
 
-  // What came of the envelope on its way: its offset, or nothing when the
-  // answer was lost or a refusal.
+  // Records the result of the envelope in flight: its offset, or nullopt if the
+  // append was refused or its answer was lost.
   void OnAnswer(std::optional<int64_t> offset, absl::Time now);
 
-  // The envelope whose answer was lost, if any. When a reader meets it in the
-  // log, `OnSeenInLog` settles it without another append.
+  // Returns the id of the envelope whose answer was lost, if any. A reader that
+  // finds it in the log calls OnSeenInLog(), which resolves it without another
+  // append.
   std::optional<EnvelopeId> unacknowledged() const {
     if (!in_flight_ || awaiting_answer_) return std::nullopt;
     return in_flight_->id;
@@ -65,7 +67,8 @@
   }
   bool idle() const { return pending_entries() == 0; }
   int64_t appends() const { return appends_; }
-  // Failures since the last success: 0 while the log answers.
+  // Returns the number of failures since the last success: 0 while the log
+  // answers.
   int failures() const { return failures_; }
 
  private:
--- a/keelbridge/coordination/log_writer_test.cc
+++ b/keelbridge/coordination/log_writer_test.cc
@@ -7,7 +7,9 @@
 
 const absl::Time kStart = absl::FromUnixSeconds(1000);
 
-TEST_CASE("log writer: what waits goes in one envelope, one at a time") {
+TEST_CASE(
+    "log writer: queued entries go into one envelope, one in flight at a "
+    "time") {
   LogWriter writer({});
   for (int i = 0; i < 50; ++i) writer.Add(LeaderEntry{i, "s"});
   const auto envelope = writer.Next(kStart);
@@ -21,7 +23,8 @@
 }
 
 TEST_CASE(
-    "log writer: a lost answer sends the same envelope, more and more rarely") {
+    "log writer: after a lost answer the same envelope is sent again with "
+    "backoff") {
   LogWriter writer({});
   writer.Add(LeaderEntry{1, "s"});
   absl::Time now = kStart;
@@ -41,7 +44,7 @@
   CHECK(writer.idle());
 }
 
-TEST_CASE("log writer: bounded, and says so") {
+TEST_CASE("log writer: the queue is bounded and refuses further entries") {
   LogWriter::Options options;
   options.max_queued_entries = 10;
   LogWriter writer(options);
@@ -49,7 +52,7 @@
   CHECK_FALSE(writer.Add(LeaderEntry{11, "s"}));
 }
 
-TEST_CASE("log writer: large entries travel alone") {
+TEST_CASE("log writer: large entries are sent in separate envelopes") {
   LogWriter::Options options;
   options.max_envelope_bytes = 1000;
   LogWriter writer(options);
--- a/keelbridge/coordination/membership.cc
+++ b/keelbridge/coordination/membership.cc
@@ -22,8 +22,8 @@
           in["incarnation"].asUInt64(), static_cast<MemberState>(state)};
 }
 
-// Whether `news` replaces `known`: a later incarnation, or of the same one a
-// graver state.
+// Returns true if `update` replaces `known`: it has a later incarnation, or the
+// same incarnation and a later state in the order of MemberState.
 bool Replaces(const Member& update, const Member& known) {
   if (update.incarnation != known.incarnation)
     return update.incarnation > known.incarnation;
@@ -71,8 +71,9 @@
 void Membership::ApplyUpdate(const Member& member, absl::Time now) {
   if (member.name.empty()) return;
   if (member.name == self_.name) {
-    // Somebody doubts this host, or knows a former run of it under a higher
-    // number: say otherwise.
+    // Another host reports that this host is not alive, or knows an earlier
+    // process of it under a higher incarnation. Refute it with an even higher
+    // one.
     const bool reported_not_alive = member.state != MemberState::kAlive &&
                                     member.incarnation >= self_.incarnation;
     if (reported_not_alive && self_.state == MemberState::kAlive) {
@@ -92,7 +93,7 @@
   MemberMessage message;
   message.sender = self_;
   message.configuration_version = version_;
-  // The least often sent first.
+  // Sends the changes with the fewest sends first.
   std::stable_sort(
       changes_.begin(), changes_.end(),
       [](const Change& a, const Change& b) { return a.sends < b.sends; });
@@ -140,7 +141,8 @@
         probe_order_.push_back(name);
     }
     std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
-    // One seed a turn, so that two halves that once lost each other meet again.
+    // Probes one seed in each cycle, so that two partitions that lost contact
+    // find each other again.
     if (!seeds_.empty()) {
       const std::string& address = seeds_[next_seed_++ % seeds_.size()];
       if (address != self_.address) return Probe{"", address, MakeMessage()};
--- a/keelbridge/coordination/membership.h
+++ b/keelbridge/coordination/membership.h
@@ -1,14 +1,17 @@
-// Which entry hosts of the zone are alive, at a cost a host that does not grow
-// with their number.
+// Gossip-based membership of the entry hosts of a zone. The cost per host does
+// not grow with the number of hosts.
 //
-// Each round a host probes one other, in shuffled turns, and both pass on the
-// newest changes. One that does not answer is *suspected*; unless it says
-// otherwise under a higher incarnation it counts as dead after a while. A host
-// that returns has a new incarnation and is never taken for its former self.
+// In each round a host probes one other host, in shuffled order, and both pass
+// on the latest changes. A host that does not answer is *suspect*. Unless it
+// refutes the suspicion under a higher incarnation, it counts as dead after a
+// timeout. A host that restarts has a new incarnation and is never confused
+// with its previous process.
 //
-//   Membership membership(options, self, seed);
-//   if (auto probe = membership.Tick(now)) Send(probe->address,
-//   probe->message); membership.OnAnswer(peer, answer, now);
+//   Membership membership(options, self, seeds, seed);
+//   if (auto probe = membership.Tick(now)) {
+//     Send(probe->address, probe->message);
+//   }
+//   membership.OnAnswer(*probe, answer, now);
 
 #ifndef KEELBRIDGE_COORDINATION_MEMBERSHIP_H_
 #define KEELBRIDGE_COORDINATION_MEMBERSHIP_H_
@@ -31,13 +34,14 @@
 struct Member {
   std::string name;
   std::string address;
-  uint64_t incarnation = 0;  // Grows with each run of the host and each time it
-                             // refutes a suspicion.
+  // Increases with each restart of the host and each time the host refutes a
+  // suspicion.
+  uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
 };
 
-// A probe or its answer: who sends it, what version of the configuration it
-// has, and recent changes.
+// A probe or its answer: the sender, its configuration version and recent
+// membership changes.
 struct MemberMessage {
   Member sender;
   int64_t configuration_version = -1;
@@ -47,7 +51,7 @@
 Json::Value ToJson(const MemberMessage& message);
 MemberMessage MemberMessageFromJson(const Json::Value& in);
 
-// Pure.
+// Performs no I/O and reads no clock.
 class Membership {
  public:
   struct Options {
@@ -55,11 +59,11 @@
     absl::Duration suspect_timeout = absl::Seconds(3);
     absl::Duration forget_after = absl::Minutes(5);
     int max_changes_per_message = 6;
-    int sends_per_change = 8;  // How often a change is passed on.
+    int sends_per_change = 8;  // Number of messages that carry a change.
   };
 
   struct Probe {
-    std::string name;  // Empty for a seed that is known by address only.
+    std::string name;  // Empty for a seed known by address only.
     std::string address;
     MemberMessage message;
   };
@@ -67,21 +71,22 @@
   Membership(Options options, Member self, std::vector<std::string> seeds,
              uint64_t seed);
 
-  // The probe that is due, if any.
+  // Returns the probe that is due, if any.
   std::optional<Probe> Tick(absl::Time now);
-  // Takes in a probe and makes the answer.
+  // Applies a probe and returns the answer.
   MemberMessage OnProbe(const MemberMessage& probe, absl::Time now);
-  // `answer` is nothing when none came in time.
+  // Records the answer to a probe; `answer` is nullopt if none arrived in time.
   void OnAnswer(const Probe& probe, const std::optional<MemberMessage>& answer,
                 absl::Time now);
-  // What to tell others when this host leaves on purpose.
+  // Marks this host as having left and returns the message that announces it.
   MemberMessage MakeLeaveMessage();
 
   void SetConfigurationVersion(int64_t version) { version_ = version; }
-  // Alive and suspected members with this host, by name.
+  // Returns the alive and suspect members including this host, ordered by name.
   std::vector<Member> Live() const;
   const std::map<std::string, Member>& all() const { return view_; }
-  // A peer that said it has a newer configuration than this host.
+  // Returns the address of a peer that reported a newer configuration version
+  // than this host's.
   std::optional<std::string> NewerConfigurationAt() const {
     return newer_configuration_at_;
   }
@@ -101,7 +106,7 @@
   Member self_;
   const std::vector<std::string> seeds_;
   std::mt19937_64 random_;
-  std::map<std::string, Member> view_;  // Without this host.
+  std::map<std::string, Member> view_;  // Excludes this host.
   std::map<std::string, absl::Time> state_since_;
   std::vector<Change> changes_;
   std::vector<std::string> probe_order_;
--- a/keelbridge/coordination/membership_test.cc
+++ b/keelbridge/coordination/membership_test.cc
@@ -61,7 +61,7 @@
   uint64_t incarnation_ = 0;
 };
 
-TEST_CASE("membership: all hosts find each other, and a dead one is dropped") {
+TEST_CASE("membership: all hosts discover each other and drop a dead one") {
   Hosts hosts(12);
   hosts.RunFor(30);
   for (int i = 0; i < 12; ++i) CHECK(hosts.LiveAt(i) == 12);
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("membership: a host that returns has a new incarnation") {
+TEST_CASE("membership: a restarted host has a new incarnation") {
   Hosts hosts(5);
   hosts.RunFor(20);
   const uint64_t before = hosts.at(0).all().at("h3").incarnation;
@@ -85,7 +85,7 @@
   CHECK(hosts.at(0).all().at("h3").incarnation > before);
 }
 
-TEST_CASE("membership: a farewell is believed at once") {
+TEST_CASE("membership: a leave message takes effect at once") {
   Hosts hosts(4);
   hosts.RunFor(20);
   const MemberMessage leave_message = hosts.at(2).MakeLeaveMessage();
@@ -93,7 +93,8 @@
   CHECK(hosts.LiveAt(0) == 3);
 }
 
-TEST_CASE("membership: cost a host does not grow with the number of hosts") {
+TEST_CASE(
+    "membership: the cost per host does not grow with the number of hosts") {
   double first_bytes = 0;
   for (const int count : {2, 4, 8, 16, 32}) {
     Hosts hosts(count);
@@ -104,7 +105,7 @@
     const double bytes = hosts.bytes / (100.0 * count);
     if (first_bytes == 0) first_bytes = bytes;
     MESSAGE(count, " hosts: ", messages, " messages and ", bytes,
-            " bytes of text a host and second");
+            " bytes of text per host and second");
     CHECK(messages <= 2.1);
     CHECK(bytes <= 1.5 * first_bytes);
   }
--- a/keelbridge/coordination/order_routing.h
+++ b/keelbridge/coordination/order_routing.h
@@ -1,13 +1,14 @@
-// Through which node a leader's orders reach a worker.
+// Chooses the node through which a leader's orders reach each worker.
 //
-// Answers a site whose workers are too many for the leader's processor or link.
-// With a request for each order a leader spent 0.34 of a processor on 1,100
-// workers and 1,440 starts a second, and a link of 2 Mbit/s was full with 120
-// workers. So beyond a number of workers other nodes carry the orders, many in
-// one message: the ablest of each zone, for the workers of its zone. That takes
-// 0.28 to 0.30 (scripts/measure-site 1100 300 8, two runs).
+// A leader that sends one request per order is limited by its processor and its
+// link: it used 0.34 of a processor for 1,100 workers and 1,440 starts per
+// second, and 120 workers saturated a link of 2 Mbit/s. Above a number of
+// workers, the leader therefore batches the orders and sends them through
+// relays: the nodes with the most capacity in each zone carry the orders for
+// the workers of that zone. With relays, the same load uses 0.28 to 0.30 of a
+// processor of the leader.
 //
-// Pure: nodes and what came of them in, routes out.
+// OrderRouting performs no I/O and reads no clock.
 //
 //   OrderRouting routing(options);
 //   routing.SetNodes(peers, own_capacity);
@@ -29,16 +30,18 @@
 class OrderRouting {
  public:
   struct Options {
-    // Workers whose orders a leader carries itself, for each processor that it
-    // has. 350 workers took 0.25 to 0.29 of a processor of a leader with 0.5;
-    // with 1,100 such a leader did not keep up on a calm day.
+    // Maximum number of workers, per processor of the leader, to which the
+    // leader sends orders directly. 350 workers use 0.25 to 0.29 of a processor
+    // of a leader with 0.5 processors; with 1,100 workers such a leader does
+    // not keep up under normal load.
     double direct_workers_per_processor = 900;
-    // One relay more for each so many workers of a zone. A relay of 367 workers
-    // with 480 starts a second spends 0.09 of a processor on them.
+    // A zone has one relay, and one more for each full `workers_per_relay`
+    // workers. A relay for 367 workers with 480 starts per second uses 0.09 of
+    // a processor.
     size_t workers_per_relay = 300;
-    // A relay that did not answer carries nothing for so long, while its zone
-    // has others. A leader that overloads its link would otherwise take all
-    // orders back, and those overload it more.
+    // A relay that did not answer carries no orders for this duration while its
+    // zone has other relays. If the leader sent these orders directly instead,
+    // a leader that overloads its link would overload it further.
     absl::Duration avoid = absl::Seconds(2);
   };
   struct Node {
@@ -50,27 +53,30 @@
 
   explicit OrderRouting(Options options) : options_(options) {}
 
-  // The other nodes that can carry orders, and what this one has itself.
+  // Sets the other nodes that can relay orders and the capacity of this node.
   void SetNodes(std::vector<Node> nodes, double own_capacity);
-  // A worker that orders go to, and one that is gone.
+  // Adds or removes a worker that receives orders.
   void AddWorker(const std::string& worker, const std::string& zone);
   void RemoveWorker(const std::string& worker);
-  // Null: this node carries the order itself, since it can, or since it hears
-  // of no other in that zone. Valid until `SetNodes`.
+  // Returns the relay for orders to `worker`. Returns nullptr if this node
+  // sends the order directly, because it has the capacity or knows no other
+  // node in that zone. The pointer is valid until the next call of SetNodes().
   const Node* RouteOf(const std::string& worker, const std::string& zone,
                       absl::Time now) const;
-  // Whether it was not avoided before.
+  // Avoids `node` for Options::avoid because it did not answer. Returns true if
+  // the node was not being avoided before.
   bool OnRelayFailure(const std::string& node, absl::Time now);
-  // Whether other nodes carry orders.
+  // Returns true if there are too many workers to send orders to directly.
   bool UsesRelays() const;
 
  private:
   const Options options_;
   double own_capacity_ = 1;
-  std::map<std::string, std::vector<Node>> by_zone_;  // The ablest first.
+  // The nodes of each zone, by descending capacity.
+  std::map<std::string, std::vector<Node>> by_zone_;
   std::map<std::string, std::string> zone_of_worker_;
   std::map<std::string, size_t> workers_in_zone_;
-  std::map<std::string, absl::Time> avoided_until_;  // By node.
+  std::map<std::string, absl::Time> avoided_until_;  // Keyed by node name.
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/order_routing_test.cc
+++ b/keelbridge/coordination/order_routing_test.cc
@@ -16,7 +16,8 @@
   return options;
 }
 
-// Two zones of ten workers each, for a leader that carries ten itself.
+// Two zones with ten workers each, and a leader that sends orders directly to
+// at most ten workers.
 OrderRouting TwoZones() {
   OrderRouting routing(SmallOptions());
   routing.SetNodes({{"weak", "1", "west", 0.1},
@@ -37,7 +38,7 @@
   return relay == nullptr ? "" : relay->name;
 }
 
-TEST_CASE("order routing: a leader of few workers carries its orders itself") {
+TEST_CASE("order routing: a leader with few workers sends orders directly") {
   OrderRouting routing = TwoZones();
   CHECK(routing.UsesRelays());
   for (int i = 0; i < 10; ++i) routing.RemoveWorker("e" + std::to_string(i));
@@ -45,7 +46,9 @@
   CHECK(RelayOf(routing, "w1", "west").empty());
 }
 
-TEST_CASE("order routing: the ablest nodes of a worker's zone carry orders") {
+TEST_CASE(
+    "order routing: the nodes with the most capacity in a zone relay its "
+    "orders") {
   const OrderRouting routing = TwoZones();
   std::map<std::string, int> orders_by_relay;
   for (int i = 0; i < 10; ++i) {
@@ -57,7 +60,7 @@
   CHECK(orders_by_relay["middle"] > 0);
 }
 
-TEST_CASE("order routing: one that did not answer is avoided for a while") {
+TEST_CASE("order routing: a relay that did not answer is avoided for a while") {
   OrderRouting routing = TwoZones();
   routing.OnRelayFailure("east", kBegin);
   routing.OnRelayFailure("able", kBegin);
@@ -70,14 +73,15 @@
   CHECK(used_again);
 }
 
-// A leader that overloads its link must not take all orders back.
-TEST_CASE("order routing: the last relay of a zone is never passed over") {
+// A leader that overloads its link must not send all orders directly.
+TEST_CASE("order routing: the last relay of a zone is never skipped") {
   OrderRouting routing = TwoZones();
   routing.OnRelayFailure("east", kBegin);
   CHECK(RelayOf(routing, "e1", "east") == "east");
 }
 
-TEST_CASE("order routing: a zone without other nodes is served directly") {
+TEST_CASE(
+    "order routing: orders to a zone without other nodes are sent directly") {
   const OrderRouting routing = TwoZones();
   CHECK(RelayOf(routing, "n1", "north").empty());
 }
--- a/keelbridge/coordination/router.cc
+++ b/keelbridge/coordination/router.cc
@@ -19,7 +19,7 @@
   for (const TargetConfig& config : configuration.targets) {
     if (config.zone != zone) continue;
     const auto previous = targets_.find(config.name);
-    // What is in flight stays counted when the configuration changes.
+    // Requests in flight stay counted when the configuration changes.
     Target target = previous == targets_.end() ? Target() : previous->second;
     target.config = config;
     UpdateShare(target);
@@ -37,8 +37,8 @@
 }
 
 void Router::UpdateShare(Target& target) const {
-  // The remainder goes round by target, so that no gateway always gets it.
-  // Connections bind where they are fewer.
+  // The remainder is rotated by target name, so that no gateway always receives
+  // it. The connection limit applies if it is lower than the number of slots.
   const int64_t limit =
       std::min(target.config.slots, target.config.connections);
   const int64_t rotation = static_cast<int64_t>(
@@ -80,8 +80,8 @@
     ++healthy;
     if (target.in_flight < target.share) free.push_back(&target);
   }
-  // With most of them left out, the fault is more likely ours: then all are
-  // used again.
+  // If more than half of the usable targets are ejected, the fault is more
+  // likely on this side, and all of them are used.
   if (usable_count > 0 && healthy * 2 < usable_count) {
     for (const std::string& name : names->second) {
       Target& target = targets_[name];
@@ -103,7 +103,7 @@
   std::uniform_int_distribution<size_t> random_index(0, free.size() - 1);
   Target* a = free[random_index(random_)];
   Target* b = free[random_index(random_)];
-  // Compared as fractions of their shares, by cross multiplication.
+  // Compares the used fractions of the shares by cross multiplication.
   Target* pick = a->in_flight * b->share <= b->in_flight * a->share ? a : b;
   ++pick->in_flight;
   return Pick{pick->config.name, pick->config.address};
@@ -120,7 +120,7 @@
     target.ejections = 0;
     return;
   }
-  // A refusal is no fault: the target is full or leaving.
+  // A refusal is not a failure: the target is full or draining.
   if (result == AttemptResult::kRefused ||
       ++target.failures < options_.eject_after)
     return;
--- a/keelbridge/coordination/router.h
+++ b/keelbridge/coordination/router.h
@@ -1,15 +1,15 @@
-// Which target of the zone gets a request, and whether a failed one is tried
-// again.
+// Chooses the target in the zone for each request and decides whether a failed
+// request is retried.
 //
-// Each gateway uses its own part of every target's slots; the parts of all live
-// gateways add up to the target's limit, so no target is given more than it
-// takes without the gateways having to talk. Targets that fail again and again
-// are left out for a while, leaving ones get nothing new, and retries are a
-// fraction of first tries.
+// Each gateway uses a share of the slots of every target. The shares of all
+// live gateways add up to the target's limit, so no target is overloaded and
+// the gateways need not communicate. Targets that fail repeatedly are ejected
+// for a while, draining targets receive no new requests, and retries are
+// limited to a fraction of first tries.
 //
-//   Result<Pick> pick = router.Choose("licence-check", tried, now);
-//   ... forward ...
-//   router.Done(pick.value().target, outcome, now);
+//   Result<Router::Pick> pick = router.Choose("licence-check", tried, now);
+//   // Forward the request to pick.value().address, then:
+//   router.Done(pick.value().target, result, now);
 
 #ifndef KEELBRIDGE_COORDINATION_ROUTER_H_
 #define KEELBRIDGE_COORDINATION_ROUTER_H_
@@ -28,20 +28,20 @@
 
 namespace keelbridge {
 
-// How one attempt at a target went.
+// The result of one attempt at a target.
 enum class AttemptResult {
-  kAnswered,   // A whole answer that is the target's word on the request.
-  kRefused,    // The target says that it did not run it.
+  kAnswered,   // A complete answer from the target.
+  kRefused,    // The target reports that it did not run the request.
   kUnreached,  // No byte was sent.
-  kNoAnswer,   // It may have run.
+  kNoAnswer,   // The request may have run.
 };
 
-// Retries are paid for by first tries, so that they cannot multiply an
-// overload. Pure.
+// Limits retries to a fraction of first tries, so that retries cannot amplify
+// an overload. Performs no I/O and reads no clock.
 class RetryBudget {
  public:
   struct Options {
-    double tokens_per_first_try = 0.2;  // For each first try.
+    double tokens_per_first_try = 0.2;  // Tokens added for each first try.
     double max_tokens = 20;
   };
   explicit RetryBudget(Options options)
@@ -51,7 +51,8 @@
     tokens_ =
         std::min(options_.max_tokens, tokens_ + options_.tokens_per_first_try);
   }
-  // True when a retry is allowed, and then pays for it.
+  // Spends one token on a retry and returns true, or returns false if no retry
+  // is allowed.
   bool TrySpend() {
     if (tokens_ < 1) return false;
     tokens_ -= 1;
@@ -63,19 +64,19 @@
   double tokens_;
 };
 
-// Pure. Not thread-safe.
+// Performs no I/O and reads no clock. Not thread-safe.
 class Router {
  public:
   struct Options {
-    int eject_after = 5;  // Failures in a row.
+    int eject_after = 5;  // Consecutive failures before an ejection.
     absl::Duration initial_ejection = absl::Seconds(2);
     absl::Duration max_ejection = absl::Seconds(30);
-    absl::Duration retry_after =
-        absl::Seconds(1);  // Told to callers who find no room.
+    // Sent to callers whose request finds no free slot or no usable target.
+    absl::Duration retry_after = absl::Seconds(1);
     uint64_t seed = 1;
   };
 
-  // What a request is sent with.
+  // The target that a request is sent to.
   struct Pick {
     std::string target;
     std::string address;
@@ -83,27 +84,28 @@
 
   explicit Router(Options options) : options_(options), random_(options.seed) {}
 
-  // Targets and services of this zone.
+  // Sets the targets and services of `zone`.
   void SetConfiguration(const Configuration& configuration,
                         const std::string& zone);
-  // Which part of each target's limits is ours: gateway `index` of `count` live
-  // ones in the zone.
+  // Sets which share of each target's limit belongs to this gateway: it is
+  // number `index` of the `count` live gateways in the zone.
   void SetShare(int index, int count);
-  // Targets that get nothing new: by the platform's list, an operator's drain,
-  // or their own word.
+  // Sets the targets that receive no new requests: the platform's list or an
+  // operator drains them, or they reported so themselves.
   void SetLeaving(const std::set<std::string>& names) { leaving_ = names; }
 
   const ServiceConfig* FindService(const std::string& name) const;
 
-  // Takes a slot of the least loaded of two random targets that have one.
-  // `kOverloaded` when all are busy, `kUnavailable` when none may be used,
-  // `kNotFound` when the service is unknown.
+  // Acquires a slot of the less loaded of two random targets with free slots.
+  // Returns `kOverloaded` if all targets are busy, `kUnavailable` if none may
+  // be used, and `kNotFound` if the service is unknown.
   Result<Pick> Choose(const std::string& service,
                       const std::set<std::string>& tried, absl::Time now);
-  // Gives the slot back.
+  // Releases the slot and records the result.
   void Done(const std::string& target, AttemptResult result, absl::Time now);
 
-  // Whether a request that failed so may be tried again at another target.
+  // Returns true if a request with this result may be retried at another
+  // target.
   static bool MayRetry(AttemptResult result, bool repeatable);
 
   int64_t InFlight(const std::string& target) const;
--- a/keelbridge/coordination/router_test.cc
+++ b/keelbridge/coordination/router_test.cc
@@ -34,7 +34,9 @@
   }
 }
 
-TEST_CASE("no more in flight than the share; then overload is said at once") {
+TEST_CASE(
+    "requests in flight do not exceed the share; further ones fail as "
+    "overloaded") {
   Router router({});
   router.SetConfiguration(MakeConfiguration(3, 4), "z");
   for (int i = 0; i < 12; ++i) {
@@ -48,7 +50,7 @@
   CHECK(router.Choose("licence", {}, kNow).value().target == "t1");
 }
 
-TEST_CASE("leaving targets and those tried before get nothing") {
+TEST_CASE("draining targets and targets already tried receive no requests") {
   Router router({});
   router.SetConfiguration(MakeConfiguration(3, 100), "z");
   router.SetLeaving({"t0"});
@@ -58,7 +60,7 @@
   CHECK(router.Choose("nosuch", {}, kNow).error().code == ErrorCode::kNotFound);
 }
 
-TEST_CASE("a target that fails again and again is left out, then tried again") {
+TEST_CASE("a target that fails repeatedly is ejected for a while") {
   Router router({});
   router.SetConfiguration(MakeConfiguration(4, 100), "z");
   for (int i = 0; i < 5; ++i) {
@@ -72,7 +74,8 @@
 }
 
 TEST_CASE(
-    "when most targets fail all are used: the fault is more likely ours") {
+    "when most targets fail all are used: the fault is more likely on this "
+    "side") {
   Router router({});
   router.SetConfiguration(MakeConfiguration(3, 100), "z");
   for (const char* target : {"t0", "t1", "t2"}) {
@@ -83,7 +86,7 @@
   CHECK(router.Choose("licence", {}, kNow).has_value());
 }
 
-TEST_CASE("what may be tried again") {
+TEST_CASE("only requests that did not run or are repeatable are retried") {
   CHECK_FALSE(Router::MayRetry(AttemptResult::kAnswered, true));
   CHECK(Router::MayRetry(AttemptResult::kRefused, false));
   CHECK(Router::MayRetry(AttemptResult::kUnreached, false));
@@ -91,7 +94,7 @@
   CHECK(Router::MayRetry(AttemptResult::kNoAnswer, true));
 }
 
-TEST_CASE("retries stay a fraction of first tries however many fail") {
+TEST_CASE("retries are limited to a fraction of first tries") {
   RetryBudget budget({});
   int retries = 0;
   for (int i = 0; i < 10000; ++i) {
--- a/keelbridge/coordination/site_election.cc
+++ b/keelbridge/coordination/site_election.cc
@@ -11,12 +11,13 @@
 namespace keelbridge {
 namespace {
 
-// After this long no earlier leader gives orders, whatever it believes.
+// Time after which an earlier leader sends no orders, even if it still believes
+// that it leads.
 constexpr int64_t kEarlierLeaderExpiryMs = 30000;
-// A node with less than this share of the best one's capacity is weak.
+// A node with less than this fraction of the highest known capacity is weak.
 constexpr double kWeakCapacityRatio = 0.5;
-// Without peers to compare with, a node with less than this many processors
-// gives others a head start, the longer the less it has.
+// If no peers are known, a node with fewer processors than this delays its
+// claim in proportion to the shortfall, by up to kMaxHeadStart.
 constexpr double kSufficientProcessors = 0.25;
 constexpr absl::Duration kMaxHeadStart = absl::Seconds(1);
 
@@ -95,8 +96,9 @@
   leader_ = leader;
   leads_ = leader.boot == boot_;
   leader_gone_ = false;
-  last_contact_ = now;  // A new leader gets time to be heard.
-  // This process's record from before it was started again: nobody leads.
+  last_contact_ = now;  // A new leader has the full timeout to make contact.
+  // The record was written by an earlier process of this node, so no process
+  // leads.
   if (!leads_ && leader.node == node_) OnLeaderGone(now);
 }
 
@@ -105,10 +107,11 @@
   for (const Record& record : records) {
     if (record.key != kLeaderKey || !record.value) continue;
     const auto leader = LeaderFromRecord(record);
-    // An answer that was overtaken by a newer one says nothing of it.
+    // A reply that ends before the last known end is out of date.
     if (end >= control_end_) control_unreadable_ = !leader.has_value();
     if (!leader) continue;
-    // A leader that confirmed its record was there after this node last read.
+    // If the leader has reaffirmed its record since this node last read the
+    // stream, it was running after that read.
     const bool confirmed = control_end_ > 0 && end > control_end_ &&
                            leader->boot == leader_.boot &&
                            leader->epoch == leader_.epoch;
@@ -142,7 +145,7 @@
 
 void SiteElection::OnClaimed(int64_t end, absl::Time now) {
   control_end_ = std::max(control_end_, end);
-  // The answer was slow, and a successor was heard of meanwhile.
+  // A later leader was reported while the answer to the claim was in flight.
   if (pending_claim_.epoch < leader_.epoch) return;
   leader_ = pending_claim_;
   leads_ = true;
@@ -207,7 +210,7 @@
     if (rank(peer.node, peer.capacity) < self) ++ahead;
   }
   if (others > 0) return options_.rank_step * static_cast<double>(ahead);
-  // Without peers, names alone must spread the tries.
+  // Without known peers, only the hash of the name spreads the claims.
   return options_.rank_step * static_cast<double>(hash(node_) % 4) +
          kMaxHeadStart * CapacityShortfall();
 }
@@ -225,7 +228,8 @@
     return now - started_ > ClaimDelay() ? ElectionStep::kClaim
                                          : ElectionStep::kNone;
   if (leader_gone_) {
-    // Nobody is nearer to it than this node, unless it is a weak one.
+    // The previous process of this node led, so this node claims without a
+    // delay by rank. A weak node still gives others a head start.
     if (leader_.node == node_ &&
         now - gone_since_ >= kMaxHeadStart * CapacityShortfall())
       return ElectionStep::kClaim;
--- a/keelbridge/coordination/site_election.h
+++ b/keelbridge/coordination/site_election.h
@@ -1,13 +1,18 @@
-// Who leads a site: one record in the store, claimed by a conditional append.
+// Elects the leader of a site. The leader is named by one record in the store,
+// which a node claims with a conditional append.
 //
-// Pure: events and the time in, what to do out. A claim is safe at any moment,
-// because the new leader's epoch fences the old one in the store and on every
-// worker; this class only decides when a claim is worth making. The order in
-// which nodes try is spread by rank, so that they rarely race.
+// A claim is safe at any moment, because the epoch of the new leader fences the
+// previous one in the store and on every worker. SiteElection only decides when
+// a claim is worthwhile. Nodes delay their claims by rank, so that two of them
+// rarely claim at the same time.
 //
-//   SiteElection election("node-a", boot);
+// SiteElection performs no I/O and reads no clock.
+//
+//   SiteElection election("node-a", boot, address, options);
 //   election.OnControlRead(records, end, now);
-//   if (election.Decide(now) == ElectionStep::kClaim) Append(election.Claim());
+//   if (election.Decide(now) == ElectionStep::kClaim) {
+//     Append(election.Claim(wall_ms));
+//   }
 
 #ifndef KEELBRIDGE_COORDINATION_SITE_ELECTION_H_
 #define KEELBRIDGE_COORDINATION_SITE_ELECTION_H_
@@ -23,110 +28,124 @@
 
 namespace keelbridge {
 
-// A leader that may still give orders, since nobody has heard it stop.
+// An earlier leader that may still send orders, because no report has confirmed
+// that it stopped.
 struct EarlierLeader {
   std::string address;
-  int64_t claimed_ms = 0;  // Wall clock, when it claimed.
+  int64_t claimed_ms = 0;  // Wall clock time of its claim.
 };
 
+// The record in the store that names the leader of a site.
 struct LeaderRecord {
-  int64_t epoch = 0;  // 0: nobody ever led.
+  int64_t epoch = 0;  // 0 if no node has ever led.
   std::string node;
-  uint64_t boot = 0;  // Of the process that claimed.
+  uint64_t boot = 0;  // Identifies the process that made the claim.
   std::string address;
   int64_t claimed_ms = 0;
-  std::vector<EarlierLeader>
-      earlier;  // Not known to have stopped at the claim.
+  // Earlier leaders that were not known to have stopped when this claim was
+  // made.
+  std::vector<EarlierLeader> earlier;
 };
 
 constexpr char kLeaderKey[] = "leader";
 Record ToRecord(const LeaderRecord& leader);
-// None when `record` is another one, or cannot be read.
+// Returns nullopt if `record` has another key or cannot be parsed.
 std::optional<LeaderRecord> LeaderFromRecord(const Record& record);
 
-// What a read of the control stream brought. An item whose key cannot be read
-// may be the leader's record unless that stands beside it: a key has one item.
+// Returns the records of a read of the control stream. An unreadable item
+// without a readable key might be the leader record, so it is returned as an
+// unreadable leader record, unless the reply also holds a readable leader
+// record: the stream holds one item per key.
 std::vector<Record> ControlRecords(const NewestReply& reply);
 
 enum class ElectionStep { kNone, kReadControl, kClaim };
 
-// Another node that may lead.
+// Another node that is eligible to lead.
 struct ElectionPeer {
   std::string node;
-  // What it can spend on leading, in processors; see NodeSettings::Capacity.
+  // Processors that the node can spend on leading; see NodeSettings::Capacity.
   double capacity = 1;
-  bool store_ok = true;  // It reaches the store itself.
+  bool store_ok = true;  // The node reaches the store directly.
 };
 
 class SiteElection {
  public:
   struct Options {
-    // Heartbeats that fail for this long make a leader suspect, until it is
-    // known how long its answers take.
+    // A leader whose heartbeats fail for this long is suspect. Applies until
+    // its response times have been measured; see SetSuspectAfter().
     absl::Duration suspect_after = absl::Milliseconds(1400);
+    // Delay between the claims of two nodes with consecutive ranks.
     absl::Duration rank_step = absl::Milliseconds(250);
-    // A gap between two looks this long means that this process stood still:
-    // what it believes about others is then worth nothing.
+    // If two calls of Decide() are further apart than this, the process was
+    // paused, and its knowledge of other nodes is out of date.
     absl::Duration pause_threshold = absl::Seconds(1);
-    // What this node can spend on leading, in processors.
+    // Processors that this node can spend on leading.
     double capacity = 1;
   };
 
   SiteElection(std::string node, uint64_t boot, std::string address,
                Options options);
 
-  // The newest records of the control stream and where it ends.
+  // Records a read of the control stream: its newest records and its end
+  // offset.
   void OnControlRead(const std::vector<Record>& records, int64_t end,
                      absl::Time now);
-  // A peer named a leader.
+  // Records that a peer reported `leader`.
   void OnLeaderReported(const LeaderRecord& leader, absl::Time now);
-  // The leader answered a heartbeat in time.
+  // Records that the leader answered a heartbeat in time.
   void OnHeartbeatAnswered(absl::Time now);
-  // The process that leads is not there: its port refused, or another answered.
+  // Records that the leader's process is gone: its port refused the connection,
+  // or another process answered there.
   void OnLeaderGone(absl::Time now);
-  // The leader answered a peer then.
+  // Records that the leader answered a peer at time `answered`.
   void OnLeaderConfirmedByPeer(absl::Time answered);
-  // Heartbeats that fail for this long make a leader suspect from now on.
+  // Sets how long heartbeats must fail before the leader is suspect.
   void SetSuspectAfter(absl::Duration time) { suspect_after_ = time; }
   absl::Duration suspect_after() const { return suspect_after_; }
-  // The append of `Claim` was done; the stream now ends at `end`.
+  // Records that the append returned by Claim() succeeded. The control stream
+  // now ends at `end`.
   void OnClaimed(int64_t end, absl::Time now);
-  // The claim failed; the control stream must be read again.
+  // Records that the claim failed. The control stream must be read again.
   void OnClaimFailed();
-  // This node gives leadership to others; it does not claim any more.
+  // Stops this node from claiming leadership.
   void Retire() { retired_ = true; }
-  // The peers that were heard lately.
+  // Sets the peers that recently sent a message.
   void SetPeers(std::vector<ElectionPeer> peers) { peers_ = std::move(peers); }
-  // The peer that is best able to lead, of those that reach the store.
+  // Returns the peer with the highest capacity among those that reach the
+  // store, or nullopt if there is none.
   std::optional<std::string> Successor() const;
-  // Of a node that leads: a peer that is far better able to, if there is one.
-  // `lost_store`: this node itself does not reach the store.
+  // Returns a peer that should lead instead of this node, or nullopt if there
+  // is none or this node does not lead. A peer qualifies if it is not weak and
+  // this node is weak or cannot reach the store (`lost_store`).
   std::optional<std::string> BetterLeader(bool lost_store) const;
 
+  // Returns what this node should do now. Call it periodically.
   ElectionStep Decide(absl::Time now);
-  // The append that claims the next epoch.
+  // Returns the append that claims the next epoch.
   AppendOrder Claim(int64_t wall_ms);
-  // Of a node that leads: says so again, so that a claim that is still on its
-  // way from before an outage finds the stream moved on and fails.
+  // Returns an append that writes the record of the current leader, which must
+  // be this node, again. A claim that was sent before an outage and is still in
+  // flight then fails, because the end of the stream has moved.
   AppendOrder Reaffirm() const;
   void OnReaffirmed(int64_t end) { control_end_ = std::max(control_end_, end); }
 
-  // The newest record of who leads cannot be read. It may be the claim of any
-  // epoch, and two leaders of one epoch would not fence each other: nobody
-  // claims or says again that it leads until one that can be read is written.
+  // True if the newest leader record cannot be parsed. It may claim any epoch,
+  // and two leaders with the same epoch would not fence each other. So no node
+  // claims or reaffirms leadership until a readable leader record is written.
   bool control_unreadable() const { return control_unreadable_; }
   const LeaderRecord& leader() const { return leader_; }
   bool Leads() const { return leads_; }
   absl::Time last_contact() const { return last_contact_; }
-  // The leader was replaced while this node led.
+  // Records that this node has been replaced as leader.
   void StepDown(absl::Time now);
 
  private:
   absl::Duration ClaimDelay() const;
   const ElectionPeer* BestPeer() const;
-  // The share of ample processors that this node lacks.
+  // Returns the fraction of kSufficientProcessors that this node lacks, from 0
+  // to 1.
   double CapacityShortfall() const;
-  // Whether a node of that capacity should leave leading to better ones.
+  // Returns true if a node with `capacity` should let stronger nodes lead.
   bool IsWeak(double capacity) const;
   void Follow(const LeaderRecord& leader, absl::Time now);
 
@@ -136,7 +155,7 @@
   const Options options_;
   absl::Duration suspect_after_;
   LeaderRecord leader_;
-  LeaderRecord pending_claim_;  // What this node tries to become.
+  LeaderRecord pending_claim_;  // The last claim that this node made.
   bool leads_ = false;
   bool retired_ = false;
   bool control_current_ = false;
--- a/keelbridge/coordination/site_election_test.cc
+++ b/keelbridge/coordination/site_election_test.cc
@@ -21,8 +21,8 @@
   return leader;
 }
 
-// Looks every 100 ms until `time` after `from`; the first step that is not
-// kNone, or kNone.
+// Calls Decide() every 100 ms for `time` from `from`. Returns the first step
+// that is not kNone, or kNone.
 ElectionStep FirstStepWithin(SiteElection& election, absl::Time from,
                              absl::Duration time) {
   for (absl::Time at = from; at < from + time; at += absl::Milliseconds(100)) {
@@ -32,7 +32,8 @@
   return ElectionStep::kNone;
 }
 
-TEST_CASE("site election: an empty control stream is claimed, once read") {
+TEST_CASE(
+    "site election: an empty control stream is claimed after it was read") {
   SiteElection a = MakeElection("a", 1);
   CHECK(a.Decide(kBegin) == ElectionStep::kReadControl);
   a.OnControlRead({}, 0, kBegin);
@@ -45,11 +46,11 @@
 }
 
 TEST_CASE(
-    "site election: a claim whose answer comes after a successor was heard of "
-    "does not lead") {
+    "site election: a node whose claim is answered after a later leader was "
+    "reported does not lead") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
-  a.Claim(5000);  // Epoch 4; it is done, and its answer is slow.
+  a.Claim(5000);  // Epoch 4. The append succeeds, but its answer is delayed.
   a.OnLeaderReported(Leader(5, "c", 9), kBegin);
   a.OnClaimed(4, kBegin);
   CHECK(!a.Leads());
@@ -57,7 +58,9 @@
   CHECK(a.leader().node == "c");
 }
 
-TEST_CASE("site election: a silent leader is replaced, a heard one is not") {
+TEST_CASE(
+    "site election: an unresponsive leader is replaced, a responsive one is "
+    "not") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   absl::Time now = kBegin;
@@ -71,7 +74,9 @@
         ElectionStep::kClaim);
 }
 
-TEST_CASE("site election: a leader whose port is closed is replaced soon") {
+TEST_CASE(
+    "site election: a leader whose port refuses connections is replaced "
+    "quickly") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.Decide(kBegin);
@@ -80,7 +85,7 @@
         ElectionStep::kClaim);
 }
 
-TEST_CASE("site election: peers that hear the leader hold a claim back") {
+TEST_CASE("site election: a claim is delayed while the leader answers peers") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   REQUIRE(FirstStepWithin(a, kBegin, absl::Seconds(4)) == ElectionStep::kClaim);
@@ -89,9 +94,10 @@
         ElectionStep::kNone);
 }
 
-// Where answers take milliseconds a silent leader is replaced sooner: after
-// 0.8 s instead of 1.4 s, to which ranks add up to 0.75 s.
-TEST_CASE("site election: how long answers take decides about silence") {
+// If answers take milliseconds, an unresponsive leader is replaced after 0.8 s
+// instead of 1.4 s. The delay by rank adds up to 0.75 s.
+TEST_CASE(
+    "site election: the suspect timeout follows the measured response times") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.SetSuspectAfter(absl::Milliseconds(800));
@@ -99,30 +105,30 @@
         ElectionStep::kNone);
   CHECK(FirstStepWithin(a, kBegin + absl::Milliseconds(750),
                         absl::Milliseconds(900)) == ElectionStep::kClaim);
-  // A peer heard it later: its silence counts from there.
+  // A peer received an answer later, so the timeout runs from that answer.
   a.OnLeaderConfirmedByPeer(kBegin + absl::Milliseconds(1500));
   CHECK(a.Decide(kBegin + absl::Milliseconds(2200)) == ElectionStep::kNone);
 }
 
-TEST_CASE("site election: a process that stood still believes nothing") {
+TEST_CASE("site election: a process that was paused does not claim at once") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   a.Decide(kBegin);
   CHECK(a.Decide(kBegin + absl::Seconds(20)) == ElectionStep::kNone);
 }
 
-TEST_CASE("site election: a restarted leader claims at once, above itself") {
+TEST_CASE("site election: a restarted leader claims the next epoch at once") {
   SiteElection a = MakeElection("a", 2);
   a.OnControlRead({ToRecord(Leader(3, "a", 1))}, 3, kBegin);
   CHECK(a.Decide(kBegin) == ElectionStep::kClaim);
   a.Claim(5000);
   a.OnClaimed(4, kBegin);
   CHECK(a.leader().epoch == 4);
-  CHECK(a.leader().earlier.empty());  // Its own earlier life is over.
+  CHECK(a.leader().earlier.empty());  // Its previous process has ended.
 }
 
 TEST_CASE(
-    "site election: earlier leaders not heard to have stopped are named") {
+    "site election: a claim lists earlier leaders not known to have stopped") {
   SiteElection c = MakeElection("c", 9);
   LeaderRecord b = Leader(3, "b", 7);
   b.earlier.push_back({"a:1", 500});
@@ -133,13 +139,14 @@
   REQUIRE(record->earlier.size() == 2);
   CHECK(record->earlier[0].address == "a:1");
   CHECK(record->earlier[1].address == "b:1");
-  // After long enough only the last one matters.
+  // Once the older entries have expired, only the last leader is listed.
   const auto later = LeaderFromRecord(c.Claim(100000).records[0]);
   REQUIRE(later.has_value());
   CHECK(later->earlier.size() == 1);
 }
 
-TEST_CASE("site election: a lost claim is learnt from the stream") {
+TEST_CASE(
+    "site election: a claim whose answer was lost is found in the stream") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({}, 0, kBegin);
   const AppendOrder order = a.Claim(5000);
@@ -161,14 +168,15 @@
   CHECK(reaffirmation.expected_end == 1);
   CHECK(LeaderFromRecord(reaffirmation.records[0])->epoch == 1);
   a.OnReaffirmed(2);
-  CHECK(delayed_claim.expected_end == 1);  // The stream now ends at 2.
-  // Nobody takes the record for a new leader's.
+  // The stream now ends at 2, so the claim fails.
+  CHECK(delayed_claim.expected_end == 1);
+  // The reaffirmed record does not count as a new leader.
   b.OnControlRead(reaffirmation.records, 2, kBegin);
   CHECK(b.leader().epoch == 1);
   CHECK_FALSE(b.Leads());
 }
 
-TEST_CASE("site election: a leader that hears of a later one does not lead") {
+TEST_CASE("site election: a leader that learns of a later one stops leading") {
   SiteElection a = MakeElection("a", 1);
   a.OnControlRead({ToRecord(Leader(1, "a", 1))}, 1, kBegin);
   REQUIRE(a.Leads());
@@ -193,7 +201,7 @@
     weak.OnControlRead({ToRecord(Leader(3, "gone", 7))}, 3, kBegin);
     weak.SetPeers(capable);
     weak.OnLeaderGone(kBegin);
-    // Six able nodes try before it, 250 ms apart.
+    // Six capable nodes claim before it, 250 ms apart.
     CHECK(FirstStepWithin(weak, kBegin, absl::Milliseconds(1400)) ==
           ElectionStep::kNone);
     CHECK(FirstStepWithin(weak, kBegin + absl::Milliseconds(1400),
@@ -211,7 +219,7 @@
         ElectionStep::kClaim);
 }
 
-TEST_CASE("site election: without peers a weak node lets others go first") {
+TEST_CASE("site election: a weak node without known peers delays its claim") {
   SiteElection weak = MakeWithCapacity("weak", 0.05);
   weak.OnControlRead({}, 0, kBegin);
   CHECK(FirstStepWithin(weak, kBegin, absl::Milliseconds(750)) ==
@@ -221,7 +229,8 @@
 }
 
 TEST_CASE(
-    "site election: a weak leader names an able peer that has the store") {
+    "site election: a weak leader selects a capable peer that reaches the "
+    "store") {
   SiteElection weak = MakeWithCapacity("weak", 0.12);
   weak.OnControlRead({}, 0, kBegin);
   weak.Claim(1000);
@@ -236,10 +245,13 @@
   capable.Claim(1000);
   capable.OnClaimed(1, kBegin);
   capable.SetPeers({{"abler", 0.5, true}});
-  CHECK(!capable.BetterLeader(false));  // Not worth a change of leader.
+  // The gain does not justify a change of leader.
+  CHECK(!capable.BetterLeader(false));
 }
 
-TEST_CASE("site election: a planned stop hands over to the ablest peer") {
+TEST_CASE(
+    "site election: a planned shutdown hands over to the peer with the most "
+    "capacity") {
   SiteElection leader = MakeWithCapacity("b", 0.5);
   leader.SetPeers({{"a", 0.12, true}, {"c", 0.5, true}, {"d", 0.9, false}});
   CHECK(leader.Successor() == "c");
@@ -257,12 +269,13 @@
   leader.SetPeers({{"a", 0.12, true}, {"c", 0.5, true}});
   CHECK(!leader.BetterLeader(false));
   CHECK(leader.BetterLeader(true) == "c");
-  // A weak node is no better than one that needs a peer to reach the store.
+  // A weak node is no better than a leader that reaches the store through a
+  // peer.
   leader.SetPeers({{"a", 0.12, true}});
   CHECK(!leader.BetterLeader(true));
 }
 
-TEST_CASE("site election: a weak node that was restarted lets others lead") {
+TEST_CASE("site election: a restarted weak node lets others claim first") {
   SiteElection weak = MakeWithCapacity("weak", 0.05);
   weak.OnControlRead({ToRecord(Leader(3, "weak", 7))}, 3, kBegin);
   CHECK(FirstStepWithin(weak, kBegin, absl::Milliseconds(700)) ==
@@ -273,12 +286,12 @@
 }
 
 TEST_CASE(
-    "site election: a leader that confirmed its record meanwhile is not "
-    "replaced when a cut ends") {
+    "site election: a leader that reaffirmed its record during a partition is "
+    "not replaced when the partition ends") {
   SiteElection isolated = MakeElection("a", 1);
   isolated.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
   isolated.OnHeartbeatAnswered(kBegin);
-  // Cut off: it claims in vain, and cannot read.
+  // The node is partitioned: its claim fails and it cannot read the stream.
   absl::Time now = kBegin;
   const auto decide = [&] {
     now += absl::Milliseconds(100);
@@ -295,20 +308,20 @@
   CHECK(first_step_within(absl::Seconds(3)) == ElectionStep::kClaim);
   isolated.OnClaimFailed();
   for (int i = 0; i < 30; ++i) CHECK(decide() == ElectionStep::kReadControl);
-  // The cut ends: the stream has moved on, by the leader's own hand.
+  // The partition ends. The leader itself has moved the end of the stream.
   isolated.OnControlRead({ToRecord(Leader(3, "b", 7))}, 4, now);
   CHECK(first_step_within(absl::Seconds(1)) == ElectionStep::kNone);
-  // Unless nothing is heard of it from then on.
+  // The leader is replaced if it then stays unresponsive.
   CHECK(first_step_within(absl::Seconds(3)) == ElectionStep::kClaim);
-  // Reading the same again is no news of it.
+  // Reading the same record again is no evidence that the leader is running.
   isolated.OnClaimFailed();
   CHECK(decide() == ElectionStep::kReadControl);
   isolated.OnControlRead({ToRecord(Leader(3, "b", 7))}, 4, now);
   CHECK(first_step_within(absl::Milliseconds(200)) == ElectionStep::kClaim);
 }
 
-// A record of the leader that cannot be read: which epoch it claims is not
-// known, and two leaders of one epoch would not fence each other.
+// A leader record that cannot be parsed. Its epoch is unknown, and two leaders
+// with the same epoch would not fence each other.
 Record MalformedLeaderRecord(const std::string& value) {
   return Record{kLeaderKey, value, -1};
 }
@@ -330,21 +343,22 @@
     R"({"epoch":3,"node":"","boot":1,"address":"","claimed_ms":1,"earlier":[7]})",
 };
 
-TEST_CASE("site election: over a record that cannot be read nobody claims") {
+TEST_CASE("site election: no node claims over an unreadable leader record") {
   for (const char* value : kMalformedValues) {
     CAPTURE(value);
     SiteElection uninformed = MakeElection("a", 1);
     uninformed.OnControlRead({MalformedLeaderRecord(value)}, 3, kBegin);
     CHECK(FirstStepWithin(uninformed, kBegin, absl::Seconds(20)) ==
           ElectionStep::kNone);
-    // Nor does one that knew a leader before, which is silent now.
+    // A node that knew a leader, which is unresponsive now, does not claim
+    // either.
     SiteElection informed = MakeElection("c", 1);
     informed.OnControlRead({ToRecord(Leader(3, "b", 7))}, 3, kBegin);
     informed.OnControlRead({MalformedLeaderRecord(value)}, 4, kBegin);
     CHECK(FirstStepWithin(informed, kBegin, absl::Seconds(20)) ==
           ElectionStep::kNone);
     CHECK(informed.leader().epoch == 3);
-    // Once one that can be read is written, it goes on from there.
+    // Claims resume once a readable record is written.
     uninformed.OnControlRead({ToRecord(Leader(5, "", 0))}, 5,
                              kBegin + absl::Seconds(20));
     CHECK(FirstStepWithin(uninformed, kBegin + absl::Seconds(20),
@@ -356,7 +370,8 @@
 }
 
 TEST_CASE(
-    "site election: an item without a key is no leader's beside the leader's") {
+    "site election: an unreadable item without a key is ignored beside a "
+    "readable leader record") {
   NewestReply reply;
   reply.records = {ToRecord({3, "a", 5, "10.0.0.1:1", 0, {}})};
   reply.unreadable = {{"", "no key"}};
--- a/keelbridge/coordination/source_reads.cc
+++ b/keelbridge/coordination/source_reads.cc
@@ -20,7 +20,7 @@
       (expedite_next_read_ || since_read >= options_.min_interval);
   if (wanted && may_read) {
     read_follows_probe_ = probe_answered_;
-    // Until the new read hangs or fails there is no reason for doubt.
+    // The source is not suspect until the new read hangs or fails.
     suspect_ = false;
     probe_answered_ = false;
     expedite_next_read_ = false;
@@ -39,7 +39,7 @@
 void SourceReads::OnReadEnded(absl::Time started, bool answered) {
   in_flight_.erase(started);
   if (!answered) {
-    // Only the latest read tells about the source now.
+    // Only the latest read indicates the current state of the source.
     suspect_ = suspect_ ||
                (started == last_read_started_ && started > latest_answered_);
     return;
--- a/keelbridge/coordination/source_reads_test.cc
+++ b/keelbridge/coordination/source_reads_test.cc
@@ -11,7 +11,7 @@
   return absl::UnixEpoch() + absl::Hours(1) + absl::Milliseconds(ms);
 }
 
-TEST_CASE("source reads: one at a time, and not at once again") {
+TEST_CASE("source reads: one read at a time, with a minimum interval") {
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   CHECK(reads.Next(At(100)) == Step::kNone);
@@ -27,8 +27,8 @@
 }
 
 TEST_CASE(
-    "source reads: beside one that hangs the source is probed, and read again "
-    "when it answers") {
+    "source reads: while a read hangs the source is probed, and read again "
+    "once a probe is answered") {
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   CHECK(reads.Next(At(499)) == Step::kNone);
@@ -44,8 +44,8 @@
   CHECK(reads.Next(At(1020)) == Step::kNone);
   reads.OnReadEnded(At(1010), true);
   CHECK_FALSE(reads.suspect());
-  // The one that hangs is in nobody's way, and when it is given up, that tells
-  // nothing of now.
+  // The hanging read delays nothing, and abandoning it says nothing about the
+  // current state of the source.
   CHECK(reads.Next(At(1600)) == Step::kRead);
   reads.OnReadEnded(At(0), false);
   CHECK_FALSE(reads.suspect());
@@ -53,7 +53,9 @@
   CHECK(reads.Next(At(2500)) == Step::kRead);
 }
 
-TEST_CASE("source reads: after a failure nothing large is asked blindly") {
+TEST_CASE(
+    "source reads: after a failed read the source is probed before the next "
+    "read") {
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   reads.OnReadEnded(At(0), false);
@@ -63,12 +65,13 @@
   CHECK(reads.Next(At(600)) == Step::kProbe);
   reads.OnProbeEnded(true);
   CHECK(reads.Next(At(620)) == Step::kRead);
-  // Much arrives, so it may take longer, and no other read begins beside it.
+  // A read after an answered probe may take longer, and no other read starts in
+  // the meantime.
   CHECK(reads.Next(At(1610)) == Step::kNone);
   CHECK(reads.Next(At(1620)) == Step::kProbe);
 }
 
-TEST_CASE("source reads: one that is given up tells nothing of a later one") {
+TEST_CASE("source reads: an abandoned read does not make a later one suspect") {
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   CHECK(reads.Next(At(500)) == Step::kProbe);
@@ -81,7 +84,7 @@
   CHECK(reads.suspect());
 }
 
-TEST_CASE("source reads: those under way are bounded") {
+TEST_CASE("source reads: the number of reads in flight is bounded") {
   SourceReads reads({});
   CHECK(reads.Next(At(0)) == Step::kRead);
   for (const int64_t now : {int64_t{500}, int64_t{1510}}) {
@@ -92,7 +95,7 @@
   CHECK(reads.Next(At(2520)) == Step::kProbe);
   reads.OnProbeEnded(true);
   CHECK(reads.Next(At(2530)) == Step::kNone);
-  // One is given up: its place goes to the next.
+  // One read is abandoned, and the next read takes its place.
   reads.OnReadEnded(At(0), false);
   CHECK(reads.Next(At(2540)) == Step::kRead);
 }
--- a/keelbridge/coordination/worker_list.cc
+++ b/keelbridge/coordination/worker_list.cc
@@ -7,7 +7,7 @@
 namespace keelbridge {
 namespace {
 
-// Of a reason: it may quote what another writer wrote.
+// Limits the length of a reason, which may quote text of another writer.
 constexpr size_t kMaxReasonLength = 300;
 
 }  // namespace
@@ -97,7 +97,8 @@
   }
   --CountOf(before);
   ++CountOf(entry->status);
-  // Also of one that was not used under this leader: an earlier one may have.
+  // Reported even if this leader did not use the entry, because an earlier
+  // leader may have used it.
   if (entry->status != EntryStatus::kUsed)
     changes_.push_back({id, std::nullopt});
 }
--- a/keelbridge/coordination/worker_list.h
+++ b/keelbridge/coordination/worker_list.h
@@ -1,13 +1,15 @@
-// Which entries of the platform's list of workers name one to use.
+// Decides which entries of the platform's worker list name a worker to use.
 //
-// An entry may come from another writer, and may change from good to bad and
-// back. One that cannot be read names no worker, nor does one of a service that
-// the configuration in force does not name, until a configuration names it. A
-// worker whose entry names it no more counts as one whose entry is gone. All
-// leaders judge by the same two things, the newest entry and the configuration,
-// never by an earlier entry.
+// An entry may be written by another system and may become invalid or valid
+// again. An entry that cannot be read names no worker. Neither does an entry
+// whose service is not named by the configuration in force, until a
+// configuration names it. A worker whose entry stops naming it is treated as if
+// its entry had been removed. Every leader decides by the newest entry and the
+// configuration alone, never by an earlier entry, so all leaders reach the same
+// decision.
 //
-// Pure: entries and configurations in, changes out.
+// WorkerList performs no I/O: entries and configurations go in, changes come
+// out.
 //
 //   list.OnEntry(id, dialect.ParseWorkerRecord(id, document));
 //   for (const auto& change : list.TakeChanges()) Apply(change);
@@ -33,31 +35,34 @@
  public:
   struct Change {
     std::string id;
-    std::optional<WorkerRecord> record;  // None: not to be used any more.
+    // nullopt: the worker is not to be used.
+    std::optional<WorkerRecord> record;
   };
-  // An entry that names no worker to use, told once until the reason changes.
+  // An entry that names no worker to use. Reported once until the reason
+  // changes.
   struct Unused {
     std::string id;
     std::string what;
   };
   struct Figures {
     int64_t used = 0;
-    int64_t refused = 0;          // Entries that cannot be read.
-    int64_t unknown_service = 0;  // Of services that no configuration names.
+    int64_t refused = 0;  // Entries that cannot be read.
+    // Entries whose service no configuration names.
+    int64_t unknown_service = 0;
   };
 
-  // The newest entry of `id`, or why it cannot be read.
+  // Records the newest entry of `id`, or the reason why it cannot be read.
   void OnEntry(const std::string& id, const Result<WorkerRecord>& entry);
   void OnEntryGone(const std::string& id);
-  // The whole list is read from its beginning, and has been read to its end:
-  // entries that it did not show are gone. One that was written meanwhile, on a
-  // page read before, is heard of by the reading that goes on from the first
-  // page.
+  // Bracket a read of the whole list from beginning to end. EndFullRead()
+  // removes entries that the read did not contain. An entry written in the
+  // meantime to a page that had already been read is found by the incremental
+  // reads, which continue from the first page.
   void BeginFullRead();
   void EndFullRead();
   void SetConfiguration(const SiteConfiguration& configuration);
 
-  // In their order, since the last call.
+  // Return the changes and the unused entries since the last call, in order.
   std::vector<Change> TakeChanges();
   std::vector<Unused> TakeUnused();
   Figures figures() const { return figures_; }
@@ -66,9 +71,9 @@
   enum class EntryStatus { kUsed, kRefused, kUnknownService };
   struct Entry {
     EntryStatus status = EntryStatus::kRefused;
-    std::optional<WorkerRecord> record;  // None: it cannot be read.
-    std::string what;                    // Why it is not used.
-    bool seen = true;                    // Since the listing began.
+    std::optional<WorkerRecord> record;  // nullopt: the entry cannot be read.
+    std::string what;                    // Why the entry is not used.
+    bool seen = true;  // Whether the current full read contained it.
   };
 
   void Classify(const std::string& id, Entry* entry);
--- a/keelbridge/coordination/worker_list_test.cc
+++ b/keelbridge/coordination/worker_list_test.cc
@@ -25,7 +25,8 @@
   return configuration;
 }
 
-// Whether the last change of `id` uses it; none: there is none.
+// Returns whether the last change of `id` says that the worker is used, or
+// nullopt if there is no change.
 std::optional<bool> LastChangeUses(WorkerList& list, const std::string& id) {
   std::optional<bool> used;
   for (const auto& change : list.TakeChanges()) {
@@ -34,7 +35,8 @@
   return used;
 }
 
-TEST_CASE("worker list: an entry is used once a configuration names it") {
+TEST_CASE(
+    "worker list: an entry is used once a configuration names its service") {
   WorkerList list;
   list.OnEntry("a", MakeRecord("a", "desk"));
   CHECK(LastChangeUses(list, "a") == false);
@@ -49,7 +51,7 @@
   CHECK(LastChangeUses(list, "a") == true);
   CHECK(list.figures().used == 1);
   CHECK(list.figures().unknown_service == 0);
-  // Nothing changes with another configuration that names it.
+  // Another configuration that names the service changes nothing.
   list.SetConfiguration(ConfigurationWithPool("desk"));
   CHECK_FALSE(LastChangeUses(list, "a").has_value());
   list.SetConfiguration(ConfigurationWithPool("other"));
@@ -57,7 +59,7 @@
   CHECK(list.figures().used == 0);
 }
 
-TEST_CASE("worker list: a service that only a queue names is named") {
+TEST_CASE("worker list: a service named only by a queue counts as named") {
   SiteConfiguration configuration;
   configuration.queues.emplace_back();
   configuration.queues[0].pool = "desk";
@@ -67,7 +69,9 @@
   CHECK(LastChangeUses(list, "a") == true);
 }
 
-TEST_CASE("worker list: a bad entry is told once until it changes") {
+TEST_CASE(
+    "worker list: an unreadable entry is reported once until the reason "
+    "changes") {
   WorkerList list;
   list.SetConfiguration(ConfigurationWithPool("desk"));
   list.OnEntry("a", MakeRecord("a", "desk"));
@@ -88,7 +92,7 @@
   REQUIRE(unused.size() == 1);
   CHECK(unused[0].id == "a");
   CHECK(unused[0].what == "state");
-  // A configuration makes no good entry of a bad one.
+  // A configuration does not make a malformed entry valid.
   list.SetConfiguration(ConfigurationWithPool("desk"));
   CHECK(LastChangeUses(list, "a") == false);
   list.OnEntryGone("a");
@@ -97,7 +101,7 @@
   CHECK(list.figures().used == 0);
 }
 
-TEST_CASE("worker list: what a whole listing does not show is gone") {
+TEST_CASE("worker list: an entry missing from a full read is removed") {
   WorkerList list;
   list.SetConfiguration(ConfigurationWithPool("desk"));
   for (const char* id : {"a", "b", "c"})
@@ -114,7 +118,7 @@
   CHECK(list.TakeChanges().empty());
 }
 
-TEST_CASE("worker list: a reason is no longer than a line") {
+TEST_CASE("worker list: a reason is truncated to 300 bytes") {
   WorkerList list;
   list.OnEntry("a", MalformedEntry(std::string(100000, 'x')));
   const auto unused = list.TakeUnused();
