--- a/keelbridge/daemon/leader_session.cc
+++ b/keelbridge/daemon/leader_session.cc
@@ -13,18 +13,21 @@
 
 constexpr absl::Duration kTickInterval = absl::Milliseconds(50);
 constexpr absl::Duration kCycleDelay = absl::Milliseconds(3);
-// A count of waiting jobs is told while the store confirmed this leader so
-// lately; a count may be 2 s old.
+// The number of waiting jobs is reported only if the store confirmed this
+// leader within this time, because the count may be at most 2 s old.
 constexpr absl::Duration kMaxWaitingCountAge = absl::Seconds(2);
 // New jobs are refused once appends have failed for this long.
 constexpr absl::Duration kMaxAppendFailureDuration = absl::Milliseconds(400);
 constexpr absl::Duration kMetricsInterval = absl::Seconds(1);
-// A gap between two ticks this long means that this process stood still.
+// A longer gap between two ticks means that this process was suspended.
 constexpr absl::Duration kStallThreshold = absl::Milliseconds(1500);
-// Leases and starts stop this much before other leaders count on it.
+// Other leaders assume that this leader starts no runs and extends no leases
+// once `earlier_leader_grace` has passed since its last confirmation. It stops
+// this much earlier.
 constexpr absl::Duration kBoundMargin = absl::Milliseconds(1500);
 constexpr absl::Duration kRetryAfter = absl::Seconds(1);
-// Calls that come before the term is active wait this long, so many at most.
+// Maximum waiting time and number of calls that arrive before the term is
+// active.
 constexpr absl::Duration kQueuedCallTimeout = absl::Milliseconds(700);
 constexpr size_t kMaxQueuedCalls = 2000;
 constexpr absl::Duration kQueuedCallSweepInterval = absl::Milliseconds(100);
@@ -101,7 +104,7 @@
       [self = shared_from_this()](boost::system::error_code error) {
         if (error || self->ended()) return;
         self->RecordLoopLag(self->tick_timer_.expiry());
-        // Also when this turn throws: the next one is due all the same.
+        // Schedules the next tick even if this one throws.
         const auto next_tick = absl::MakeCleanup([&self] {
           if (!self->ended()) self->ScheduleTick();
         });
@@ -134,7 +137,7 @@
     LogEvent(Severity::kWarning, "stood_still",
              {{"ms", absl::StrCat(
                          absl::ToInt64Milliseconds(now.mono - last_tick_))}});
-    // Until the store confirms this leader by an append that is sent now.
+    // Stays set until an append sent from now on confirms this leader.
     stalled_ = true;
     last_stall_end_ = now.mono;
   }
@@ -148,7 +151,8 @@
   scheduler_.OnTickFinished(tick_end.mono - now.mono, tick_end);
   total_decision_time_ += tick_end.mono - now.mono;
   ExecuteActions(scheduler_.TakeActions());
-  if (scheduler_.fenced()) return End("a worker has seen a higher fence");
+  if (scheduler_.fenced())
+    return End("a worker has seen a higher fencing token");
   MaybeFlush();
   PollWorkers();
   if (now.mono >= next_metrics_at_) {
@@ -220,8 +224,9 @@
        {"stood_still", stalled_ ? "yes" : "no"},
        {"jobs", absl::StrCat(scheduler_.figures().jobs)}});
   if (!CanAccept()) return reply(NotTaken("the store confirms no leader now"));
-  // A successor that this leader has not heard of may know the job. The store
-  // tells: it takes an append of this term only while nobody else leads.
+  // A successor unknown to this leader may know the job. The store accepts an
+  // append of this term only while no other node leads, so a successful append
+  // rules that out.
   confirmation_requested_ = true;
   ReplyWhenDurable(scheduler_.NextBatch(), Reply(ClientAnswer::kNoSuchJob),
                    std::move(reply));
@@ -265,7 +270,7 @@
   LogEvent(Severity::kError, "job_unreadable",
            {{"job", JobIdText(call.job)}, {"epoch", absl::StrCat(epoch_)}});
   const char* why = "the records of this job cannot be read";
-  // It was accepted once, so that it may have run.
+  // The job was accepted earlier, so it may have run.
   return call.kind == ClientCallKind::kSubmit
              ? Reply(ClientAnswer::kUnknown, why)
              : NotTaken(why);
--- a/keelbridge/daemon/leader_session.h
+++ b/keelbridge/daemon/leader_session.h
@@ -1,14 +1,16 @@
-// One term of leadership: drives the scheduler of a site against the store, the
-// workers and the advisers, from the claim until another leader fences it.
+// One term of leadership of a site. Connects the site's scheduler to the store,
+// the workers and the advisers, from the moment this node claims leadership
+// until another leader fences it.
 //
-// A term begins by fencing earlier leaders in the store, loads the jobs, learns
-// the workers, and then serves. Batches of records are appended one at a time,
-// under the term's epoch and a sequence number, so that a try that lands twice
-// or late changes nothing.
+// A term first fences earlier leaders in the store, then loads the jobs and the
+// list of workers, and then serves calls. Batches of records are appended one
+// at a time under the term's epoch and a sequence number, so that an append
+// that reaches the store twice or late has no further effect.
 //
-//   LeaderSession session(loop, ports, options, epoch, configuration);
-//   session.Start();
-//   session.Handle(call, [](ClientReply reply) { ... });
+//   auto session = std::make_shared<LeaderSession>(loop, ports, options, epoch,
+//                                                  metrics);
+//   session->Start();
+//   session->Handle(call, [](ClientReply reply) { ... });
 
 #ifndef KEELBRIDGE_DAEMON_LEADER_SESSION_H_
 #define KEELBRIDGE_DAEMON_LEADER_SESSION_H_
@@ -34,7 +36,7 @@
 
 namespace keelbridge {
 
-// What a node of a site talks to. All must outlive the node.
+// The external interfaces of a site node. All of them must outlive the node.
 struct NodePorts {
   RecordStore* store = nullptr;
   WorkerOrders* workers = nullptr;
@@ -49,28 +51,31 @@
   struct Options {
     JobScheduler::Options scheduler;
     std::string node;
-    // What one append may carry; a larger batch takes several.
+    // Maximum size of one append. A larger batch is split over several.
     size_t max_append_bytes = 1 << 20;
-    AskAdvice ask_advice;  // Through the node that the action names.
-    std::function<void(const std::string&)> on_ended;  // Why the term ended.
+    AskAdvice ask_advice;  // Asks the node that the action names.
+    // Called with the reason for the end of the term.
+    std::function<void(const std::string&)> on_ended;
   };
 
   LeaderSession(boost::asio::io_context& loop, NodePorts ports, Options options,
                 int64_t epoch, Metrics& metrics);
 
   void Start();
-  // Ends the term at once; unanswered calls get `kUnknown`.
+  // Ends the term immediately. Calls that are not answered yet get `kUnknown`.
   void End(const std::string& why);
 
   bool active() const { return phase_ == Phase::kActive; }
   bool ended() const { return phase_ == Phase::kEnded; }
   int64_t epoch() const { return epoch_; }
-  // Whether new jobs can be kept: the store takes records.
+  // Returns whether new jobs can be accepted: the term is active and the store
+  // accepts records.
   bool CanAccept() const;
 
   void Handle(const ClientCall& call, std::function<void(ClientReply)> reply);
-  // The same, once the term is active; `dropped` when that takes too long, when
-  // too many calls wait, or when the term ends first: the call has not run.
+  // Like `Handle`, but waits until the term is active. Calls `dropped` instead
+  // if that takes too long, if too many calls are queued, or if the term ends
+  // first; the call has then not been executed.
   void HandleOnceActive(const ClientCall& call,
                         std::function<void(ClientReply)> reply,
                         std::function<void()> dropped);
@@ -80,35 +85,36 @@
   void OnEarlierLeaderSeen(int64_t epoch, absl::Time at) {
     scheduler_.OnEarlierLeaderSeen(epoch, at);
   }
-  // When it last gave an order that begins a run or extends a lease.
+  // Time of the last order sent that starts a run or extends a lease.
   absl::Time last_order() const { return last_order_; }
-  // How often the store came back after it was lost.
+  // Number of times that the store became available again after a failure.
   int64_t store_recoveries() const { return store_recoveries_; }
 
  private:
-  // By which the store knows the writer of the jobs stream; its epochs rise
-  // from leader to leader.
+  // Identifies the writer of the jobs stream to the store. Its epoch increases
+  // with each leader.
   static constexpr char kLeaderWriter[] = "leader";
   static constexpr absl::Duration kAppendTimeout = absl::Milliseconds(700);
-  // Before a call of the store that failed is made again.
+  // Delay before a failed store call is retried.
   static constexpr absl::Duration kRetryDelay = absl::Milliseconds(60);
 
   enum class Phase { kFencing, kLoadingJobs, kLoadingWorkers, kActive, kEnded };
   struct InFlightAppend {
     JobScheduler::Batch batch;
-    // The part of the batch's records that the append under way carries.
+    // Range of the batch's records that the current append carries.
     size_t begin = 0;
     size_t count = 0;
     int64_t sequence = 0;
     int tries = 0;
-    int open_tries = 0;  // Tries that are under way.
+    int open_tries = 0;  // Tries that are not answered yet.
   };
+  // A reply that waits until a batch is durable.
   struct Waiter {
     std::function<void(ClientReply)> reply;
     ClientReply answer;
   };
 
-  // A call that waits for the term to be active.
+  // A call that is queued until the term is active.
   struct QueuedCall {
     ClientCall call;
     std::function<void(ClientReply)> reply;
@@ -119,60 +125,71 @@
   // leader_session_loading.cc
   void Fence();
   void LoadJobs(const std::string& after);
-  // Goes on after `page`, which was read after the key `after`.
+  // Reads the page that follows `page`, which holds the records after the key
+  // `after`.
   void ContinueLoadingJobs(const NewestReply& page, const std::string& after);
   void AddJobRecord(const Record& record);
   void OnJobsLoaded(int64_t stream_end);
   void LoadWorkers(const std::string& after);
-  // The same for the list of workers, which ends where a page does not lead on.
+  // Like `ContinueLoadingJobs` for the list of workers. Treats the list as
+  // complete if a page repeatedly does not advance.
   void ContinueLoadingWorkers(const NewestReply& page,
                               const std::string& after);
   void OnWorkersLoaded();
   void PollWorkers();
   void ApplyWorkerRecord(const Record& record);
-  // Carries out what the list of workers means for the scheduler.
+  // Passes changes in the list of workers to the scheduler.
   void ApplyWorkerList();
 
   // leader_session_appends.cc
   void MaybeFlush();
   absl::Duration AppendTimeout(int tries) const;
-  // The next part of the batch under way, under a number of its own.
+  // Starts the append of the current batch's next part, under a sequence number
+  // of its own.
   void BeginAppend();
   void SendAppend();
-  // Sends the append under way once more after a pause, beside tries that are
-  // not answered yet.
+  // Schedules another try of the current append. Earlier tries may still be
+  // answered.
   void ScheduleResend();
-  // `flight`: the number of the append that was tried.
+  // `append_number` identifies the append that was tried.
   void OnAppended(const AppendReply& reply, int64_t append_number,
                   absl::Time sent);
   void OnAppendFailed(const AppendReply& reply, absl::Time sent);
-  // Whether the stream ends where this leader's records put its end; if not,
-  // some are missing, or another wrote after the fence.
+  // Returns whether the stream ends where this leader's records put its end,
+  // and records the new end. If it does not, records are missing or another
+  // writer appended after the fence.
   bool VerifyStreamEnd(const AppendReply& reply);
 
   // leader_session.cc
   void Activate();
   void ScheduleTick();
+  // Runs one scheduler tick, executes its actions and writes its records.
   void RunCycle();
-  // How late the loop comes to a timer that was due then.
+  // Records how late the event loop ran a timer that was due at `due`.
   void RecordLoopLag(BootClock::time_point due);
+  // Schedules a cycle before the next tick. Cycles requested shortly after each
+  // other are merged.
   void ScheduleCycle();
   void ExecuteActions(const std::vector<Action>& actions);
+  // Calls `reply` with `answer` once `batch` is durable; immediately if `batch`
+  // is 0.
   void ReplyWhenDurable(int64_t batch, ClientReply answer,
                         std::function<void(ClientReply)> reply);
   void RunAfterUnlessEnded(absl::Duration delay, std::function<void()> step);
   void PublishMetrics();
+  // Drops queued calls whose deadline is not after `deadline`.
   void DropQueuedCalls(absl::Time deadline);
   void DropExpiredCalls();
-  // Refuses a new job that could not begin in time; whether it did.
+  // Refuses a new job that could not start in time. Returns whether it refused
+  // the job.
   bool RefuseIfOverloaded(const ClientCall& call,
                           const std::function<void(ClientReply)>& reply);
-  // Says that there is no such job once the store has confirmed, after the
-  // call, that this node still leads.
+  // Replies that the job does not exist, once the store has confirmed after the
+  // call that this node still leads.
   void ReplyNoSuchJobOnceConfirmed(const ClientCall& call,
                                    std::function<void(ClientReply)> reply);
-  // What is said of a job some record of which cannot be read: neither that
-  // there is none, nor how far it is.
+  // Returns the reply for a job with an unreadable record. It states neither
+  // that the job does not exist nor its state.
   ClientReply UnreadableJobReply(const ClientCall& call) const;
 
   boost::asio::io_context& loop_;
@@ -189,27 +206,29 @@
   int64_t records_loaded_ = 0;
   int64_t load_retries_ = 0;
   std::vector<KnownWorker> known_workers_;
-  int64_t unreadable_workers_ = 0;  // Of those.
+  int64_t unreadable_workers_ = 0;  // Count within `known_workers_`.
   WorkerList worker_list_;
   LogRateLimiter entry_log_limit_;
-  int stuck_pages_ = 0;  // Of workers, in a row, that did not lead on.
-  int64_t next_worker_offset_ =
-      -1;  // Offset to read on from; -1: list them anew.
+  int stuck_pages_ = 0;  // Consecutive pages of workers that did not advance.
+  // Next offset to read; -1: read the whole list again.
+  int64_t next_worker_offset_ = -1;
   absl::Time next_worker_poll_ = absl::InfinitePast();
   bool polling_workers_ = false;
 
   std::unique_ptr<InFlightAppend> in_flight_append_;
-  int64_t appends_started_ = 0;  // Appends begun; the number of the last one.
+  int64_t appends_started_ = 0;  // Also the number of the last append.
   int64_t next_sequence_ = 1;
-  bool confirmation_requested_ = false;  // A caller waits for the next append.
+  // A call waits for the next append to confirm this leader.
+  bool confirmation_requested_ = false;
   absl::Time last_flush_ = absl::InfinitePast();
-  absl::Time last_append_sent_ = absl::InfinitePast();  // Of a successful one.
+  // When the last successful append was sent.
+  absl::Time last_append_sent_ = absl::InfinitePast();
   absl::Duration append_latency_ = absl::Milliseconds(10);  // Smoothed.
   absl::Time failing_since_ = absl::InfiniteFuture();
-  int64_t stream_end_ = -1;  // After the last append that was done.
+  int64_t stream_end_ = -1;  // After the last successful append.
   int64_t store_recoveries_ = 0;
-  std::multimap<int64_t, Waiter> waiters_;  // By batch.
-  std::deque<QueuedCall> queued_calls_;     // In the order of their arrival.
+  std::multimap<int64_t, Waiter> waiters_;  // Keyed by batch number.
+  std::deque<QueuedCall> queued_calls_;     // In order of arrival.
 
   EventTimer tick_timer_;
   EventTimer cycle_timer_;
@@ -217,10 +236,13 @@
   absl::Time last_tick_ = absl::InfinitePast();
   absl::Time last_order_ = absl::InfinitePast();
   absl::Time next_metrics_at_ = absl::InfinitePast();
+  // The process was suspended, and no append sent since has confirmed this
+  // leader.
   bool stalled_ = false;
-  absl::Time last_stall_end_ = absl::InfinitePast();  // The last time.
-  absl::Duration longest_lag_;                        // Since the last figures.
-  absl::Duration total_decision_time_;  // What the scheduler took of this term.
+  absl::Time last_stall_end_ = absl::InfinitePast();
+  absl::Duration longest_lag_;  // Since metrics were last published.
+  // Time spent in scheduler ticks during this term.
+  absl::Duration total_decision_time_;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/leader_session_appends.cc
+++ b/keelbridge/daemon/leader_session_appends.cc
@@ -1,5 +1,5 @@
-// How a leader's changes reach the store: one batch at a time, in appends that
-// are tried again until one is answered or the term ends.
+// Writes a leader's changes to the store, one batch at a time. Each append is
+// retried until a try is answered or the term ends.
 
 #include <algorithm>
 #include <utility>
@@ -11,23 +11,25 @@
 namespace keelbridge {
 namespace {
 
-// Least time between two appends, so that many changes share one.
+// Minimum time between two appends, so that several changes share one append.
 constexpr absl::Duration kMinFlushInterval = absl::Milliseconds(15);
-// With nothing to write, an empty append shows that this leader still leads.
+// Without records to write, an empty append at this interval confirms that this
+// node still leads.
 constexpr absl::Duration kRenewInterval = absl::Milliseconds(1500);
-// The same while a caller waits to be told that there is no such job: each
-// append is priced, and such callers can wait a little.
+// Replaces `kRenewInterval` while a call waits for confirmation that a job does
+// not exist. Each append has a price, and such callers can wait briefly.
 constexpr absl::Duration kConfirmInterval = absl::Milliseconds(100);
-// An answer that takes this many times as long as answers lately did is taken
-// for lost; each further try of the same append waits twice as long for its
-// own. A try that lands twice changes nothing.
+// A reply is treated as lost after this multiple of the smoothed append
+// latency. Each further try of the same append waits twice as long. A try that
+// reaches the store twice has no further effect.
 constexpr double kAppendTimeoutFactor = 8;
 constexpr absl::Duration kMinAppendTimeout = absl::Milliseconds(120);
-constexpr double kLatencyWeight = 0.2;  // Of a new answer.
-// The same append goes out again, beside tries without an answer, after the
-// first pause once and then after each further one: it counts once, and the
-// store's return is used within one pause. The pauses of a slow store are
-// longer: so many times as long as its answers take.
+constexpr double kLatencyWeight = 0.2;  // Weight of a new sample.
+// An unanswered append is sent again, first after a delay between
+// `kMinFirstResendDelay` and `kMinAppendTimeout`, then after each further delay
+// of at least `kMinResendDelay`. The store applies it once, and a store that
+// becomes available again is used within one delay. For a slow store the
+// further delays grow to `kResendDelayFactor` times its latency.
 constexpr absl::Duration kMinFirstResendDelay = absl::Milliseconds(60);
 constexpr absl::Duration kMinResendDelay = absl::Milliseconds(150);
 constexpr double kResendDelayFactor = 2;
@@ -60,7 +62,8 @@
   in_flight_append_->count =
       CountForAppend(in_flight_append_->batch.records, in_flight_append_->begin,
                      options_.max_append_bytes);
-  // An append without records only shows the epoch: it takes no number.
+  // An append without records only checks the epoch and uses no sequence
+  // number.
   in_flight_append_->sequence = next_sequence_;
   if (in_flight_append_->count > 0) ++next_sequence_;
   SendAppend();
@@ -76,7 +79,8 @@
 void LeaderSession::SendAppend() {
   ++in_flight_append_->tries;
   ++in_flight_append_->open_tries;
-  ScheduleResend();  // Before the answer may come.
+  // Before the append is sent, because its reply may arrive during the call.
+  ScheduleResend();
   AppendOrder order;
   order.stream = Stream::kJobs;
   const auto first = in_flight_append_->batch.records.begin() +
@@ -130,11 +134,12 @@
                                absl::Time sent) {
   metrics_.Count("appends_total", {{"result", StoreResultName(reply.result)}});
   const Now now = SystemNow();
-  if (reply.result == StoreResult::kFenced) return End("the store fenced it");
-  // Another try of the same append was answered before.
+  if (reply.result == StoreResult::kFenced)
+    return End("the store fenced this leader");
+  // Another try of the same append has already succeeded.
   if (!in_flight_append_ || appends_started_ != append_number) return;
   if (reply.result == StoreResult::kSequence)
-    return End("the store expects another number");
+    return End("the store expects another sequence number");
   if (reply.result != StoreResult::kDone) return OnAppendFailed(reply, sent);
   if (failing_since_ != absl::InfiniteFuture()) {
     LogEvent(
@@ -145,7 +150,7 @@
     ++store_recoveries_;
   }
   if (!VerifyStreamEnd(reply))
-    return End("the store does not hold what this leader appended");
+    return End("the store does not contain what this leader appended");
   append_latency_ += kLatencyWeight * (now.mono - sent - append_latency_);
   last_append_sent_ = sent;
   if (sent >= last_stall_end_) stalled_ = false;
@@ -167,7 +172,7 @@
 
 bool LeaderSession::VerifyStreamEnd(const AppendReply& reply) {
   const auto added = static_cast<int64_t>(in_flight_append_->count);
-  // Nobody else writes here after this leader's fence.
+  // No other writer appends to this stream after this leader's fence.
   const int64_t expected = stream_end_ + added;
   if (reply.end == expected) {
     stream_end_ = reply.end;
--- a/keelbridge/daemon/leader_session_entries_test.cc
+++ b/keelbridge/daemon/leader_session_entries_test.cc
@@ -1,5 +1,5 @@
-// What a leader makes of entries in the list of workers that another writer
-// left there.
+// Tests how a leader handles entries in the list of workers that an unrelated
+// writer has left there.
 
 #include <doctest/doctest.h>
 
@@ -32,7 +32,8 @@
 constexpr char kAddress[] = "127.0.0.1:9";
 constexpr absl::Duration kSettle = absl::Milliseconds(900);
 
-// Workers that run what they are told for good, and who was asked anything.
+// Workers that run every started task forever, and record which workers were
+// contacted.
 class RecordingWorkers : public WorkerOrders {
  public:
   explicit RecordingWorkers(boost::asio::io_context& loop) : loop_(loop) {}
@@ -60,7 +61,7 @@
   void Forget(const std::string&) override {}
 
   std::set<std::string> contacted;
-  std::map<std::string, std::vector<RunningTask>> running;  // By worker.
+  std::map<std::string, std::vector<RunningTask>> running;  // By worker id.
 
  private:
   static OrderReply Done() {
@@ -86,8 +87,8 @@
   return configuration;
 }
 
-// Drops the history of the list of workers when told to: a reader hears that
-// what it asks for is gone.
+// If `history_lost` is set, answers the next read of the list of workers as if
+// the requested part of its history had been deleted.
 class LosesHistory : public MemoryStoreConnection {
  public:
   using MemoryStoreConnection::MemoryStoreConnection;
@@ -104,7 +105,7 @@
   bool history_lost = false;
 };
 
-// A store with workers, and one leader after the other.
+// A store, workers and a sequence of leaders.
 class TestCluster {
  public:
   TestCluster() : store(loop), workers(loop) {}
@@ -181,7 +182,9 @@
 
 const std::set<std::string> kOnlyGood = {"i-good"};
 
-TEST_CASE("foreign entries: no leader asks or uses one, the others hold") {
+TEST_CASE(
+    "foreign entries: a leader neither contacts nor uses them, and uses the "
+    "valid ones") {
   TestCluster cluster;
   cluster.WriteForeignEntries();
   cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
@@ -190,7 +193,7 @@
   cluster.Run();
   CHECK(cluster.workers.contacted == kOnlyGood);
   CHECK(cluster.RunCount("i-good") == 1);
-  // The same while it leads.
+  // Entries that are written during the term are handled likewise.
   cluster.WriteForeignEntries();
   cluster.Run();
   cluster.Submit(2);
@@ -201,8 +204,8 @@
 }
 
 TEST_CASE(
-    "foreign entries: a worker whose entry turns bad keeps what it runs, and "
-    "every leader judges it alike") {
+    "foreign entries: a worker whose entry becomes invalid keeps its runs, "
+    "under this leader and the next") {
   for (const std::string& bad : {std::string("no record"), std::string("{}"),
                                  ValidWorkerEntry("unheard-of", kAddress)}) {
     CAPTURE(bad);
@@ -217,7 +220,7 @@
     cluster.workers.contacted.clear();
     cluster.Submit(2);
     cluster.Run();
-    // It is asked for what it runs, and gets nothing more.
+    // The worker is still observed for its run but gets no further tasks.
     CHECK(cluster.workers.contacted == kOnlyGood);
     CHECK(cluster.RunCount("i-good") == 1);
     cluster.workers.contacted.clear();
@@ -225,7 +228,7 @@
     cluster.Run();
     CHECK(cluster.workers.contacted == kOnlyGood);
     CHECK(cluster.RunCount("i-good") == 1);
-    // Once it is good again the waiting job begins there.
+    // Once the entry is valid again, the waiting job starts there.
     cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
     cluster.Run();
     CHECK(cluster.RunCount("i-good") == 2);
@@ -233,8 +236,8 @@
 }
 
 TEST_CASE(
-    "foreign entries: a worker of a service that is named later is used "
-    "without another entry") {
+    "foreign entries: a worker of a service that is configured later is used "
+    "without a new entry") {
   TestCluster cluster;
   cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
   cluster.BeginTerm(ConfigurationWithService("other"));
@@ -245,7 +248,8 @@
   cluster.Run();
   CHECK(cluster.workers.contacted == kOnlyGood);
   CHECK(cluster.RunCount("i-good") == 1);
-  // Once no configuration names it, it keeps its work and gets no more.
+  // Once the configuration no longer names the service, the worker keeps its
+  // runs and gets no more.
   cluster.session->SetConfiguration(ConfigurationWithService("other", 3));
   cluster.Run();
   CHECK(cluster.RunCount("i-good") == 1);
@@ -254,15 +258,17 @@
   CHECK(cluster.workers.contacted == kOnlyGood);
 }
 
-// The list is read anew then; what it does not show any more is gone, as it is
-// for a leader that begins now.
+// When history is lost, the leader reads the whole list again. An entry that is
+// missing from it counts as removed, as it does for a new leader.
 TEST_CASE(
-    "foreign entries: a worker whose entry went with the history is not used") {
+    "foreign entries: a worker whose entry was removed in lost history is not "
+    "used") {
   TestCluster cluster;
   cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
   cluster.WriteEntry("i-other", ValidWorkerEntry(kService, kAddress));
   cluster.BeginTerm(ConfigurationWithService(kService));
-  // In one turn: no read comes between.
+  // The event loop does not run between these two changes, so no read does
+  // either.
   cluster.RemoveEntry("i-good");
   cluster.connection.history_lost = true;
   cluster.Run();
@@ -273,10 +279,10 @@
   CHECK(cluster.RunCount("i-other") == 6);
 }
 
-// A known worker whose record cannot be read may still run something.
+// A known worker whose record cannot be read may still have runs.
 TEST_CASE(
-    "foreign entries: a record of an earlier leader that cannot be read ends "
-    "no load, and its worker is waited for") {
+    "foreign entries: an unreadable record of an earlier leader does not stop "
+    "the load, and its worker is waited for") {
   TestCluster cluster;
   cluster.WriteEntry("i-good", ValidWorkerEntry(kService, kAddress));
   cluster.BeginTerm(ConfigurationWithService(kService));
@@ -294,7 +300,7 @@
                      {KnownWorkerKey("i-lost"), broken}};
     cluster.store.Append(order);
     cluster.BeginTerm(ConfigurationWithService(kService));
-    // The run is found where it is, and is not begun again.
+    // The run is found on its worker and is not started again.
     CHECK(cluster.RunCount("i-good") == 1);
     cluster.EndTerm();
   }
--- a/keelbridge/daemon/leader_session_load_test.cc
+++ b/keelbridge/daemon/leader_session_load_test.cc
@@ -1,4 +1,4 @@
-// What a new leader loads: the jobs of all pages.
+// Tests that a new leader loads the jobs of all pages.
 
 #include <doctest/doctest.h>
 
@@ -13,7 +13,7 @@
 namespace keelbridge {
 namespace {
 
-// A store that keeps nothing; it hands out the pages of the test.
+// A store that discards records and returns the pages that the test sets.
 class PagedStore : public RecordStore {
  public:
   explicit PagedStore(boost::asio::io_context& loop) : loop_(loop) {}
@@ -43,7 +43,8 @@
     boost::asio::post(loop_, [done = std::move(done), reply] { done(reply); });
   }
 
-  std::vector<NewestReply> pages;  // Of the jobs; then empty ones.
+  // Pages of jobs to return; empty pages follow.
+  std::vector<NewestReply> pages;
 
  private:
   boost::asio::io_context& loop_;
@@ -85,7 +86,8 @@
     Run(absl::Milliseconds(300));
     REQUIRE(session->active());
   }
-  // The answer to a look at `job`; nothing: none within a second.
+  // Returns the answer to a status call for `job`, or nullopt if there is none
+  // within a second.
   std::optional<ClientAnswer> QueryStatus(JobId job) {
     std::optional<ClientAnswer> answer;
     ClientCall call;
@@ -105,7 +107,7 @@
   Metrics metrics_{"test"};
 };
 
-TEST_CASE("leader session: jobs of all pages are known, others are denied") {
+TEST_CASE("leader session: jobs of all pages are known, others do not exist") {
   Term term;
   term.store.pages = {MakePage({MakeJobRecord(1)}, true),
                       MakePage({MakeJobRecord(2)}, false)};
--- a/keelbridge/daemon/leader_session_loading.cc
+++ b/keelbridge/daemon/leader_session_loading.cc
@@ -1,5 +1,5 @@
-// How a term begins: fencing earlier leaders, loading the jobs, and learning
-// the workers, of which changes are read all through the term.
+// The first steps of a term: fences earlier leaders, loads the jobs and loads
+// the list of workers. Changes of that list are read throughout the term.
 
 #include <algorithm>
 #include <utility>
@@ -14,14 +14,15 @@
 
 constexpr absl::Duration kReadTimeout = absl::Milliseconds(1500);
 constexpr absl::Duration kWorkerPollInterval = absl::Milliseconds(400);
-// A page of workers that does not lead on is asked for again so often; then the
-// list ends there. A worker on a later page writes its entry again with its
-// next heartbeat, and is learnt from that.
+// Maximum number of consecutive reads of a page of workers that does not
+// advance; the list is then cut at that page. A worker on a later page is found
+// by its next heartbeat, which writes its entry again.
 constexpr int kMaxStuckPages = 10;
-// A read of what workers say is given up without a byte for this long, and goes
-// another way: a worker that says that it leaves is to get nothing 3 s later.
-// One read that hung for all of its time kept that back for 1.3 s (seen where
-// the leader's own way to the store was silent).
+// A read of changes of the worker list that receives no byte for this long is
+// abandoned and the next one may take another path. A worker that announces
+// that it leaves must get no orders 3 s later; a read that hung until its full
+// timeout, because only the leader's own connection to the store was
+// unresponsive, delayed such an announcement by 1.3 s.
 constexpr absl::Duration kWorkerPollIdleTimeout = absl::Milliseconds(700);
 
 }  // namespace
@@ -44,7 +45,7 @@
           return self->LoadJobs("");
         }
         if (reply.result == StoreResult::kFenced)
-          return self->End("fenced in the store at its beginning");
+          return self->End("fenced in the store before the term became active");
         self->RunAfterUnlessEnded(kRetryDelay, [self] { self->Fence(); });
       });
 }
@@ -125,7 +126,7 @@
                                         const std::string& after) {
   const std::string next = page.NextPageKey();
   if (!next.empty() && next != after) return LoadJobs(next);
-  // More is to follow, and this page does not lead on.
+  // More records follow, but this page does not advance past `after`.
   ++load_retries_;
   LogEvent(Severity::kWarning, "jobs_page_stuck",
            {{"epoch", absl::StrCat(epoch_)},
@@ -152,7 +153,7 @@
           self->worker_list_.OnEntry(item.key,
                                      MakeError(ErrorCode::kInvalid, item.what));
         self->ApplyWorkerList();
-        // Reading goes on from where the first page was taken.
+        // Changes are read from the end of the stream as of the first page.
         if (after.empty()) self->next_worker_offset_ = reply.end;
         if (reply.more) return self->ContinueLoadingWorkers(reply, after);
         self->worker_list_.EndFullRead();
@@ -168,7 +169,7 @@
     stuck_pages_ = 0;
     return LoadWorkers(next);
   }
-  // A page without records is no end: it is asked for again.
+  // A page without records does not end the list, so it is read again.
   if (++stuck_pages_ < kMaxStuckPages)
     return RunAfterUnlessEnded(kRetryDelay, [self = shared_from_this(), after] {
       self->LoadWorkers(after);
--- a/keelbridge/daemon/leader_session_test.cc
+++ b/keelbridge/daemon/leader_session_test.cc
@@ -35,7 +35,7 @@
   return record;
 }
 
-// Workers that answer at once, or never.
+// Workers that answer immediately or never.
 class FakeWorkers : public WorkerOrders {
  public:
   explicit FakeWorkers(boost::asio::io_context& loop) : loop_(loop) {}
@@ -65,7 +65,7 @@
   std::set<std::string> unresponsive;
   std::vector<TaskId> starts;
   std::set<std::string> observed;
-  int leases = 0;  // Looks that extended one.
+  int leases = 0;  // Observations that extended a lease.
 
  private:
   static constexpr absl::Duration kObserveLatency = absl::Milliseconds(20);
@@ -81,7 +81,7 @@
   }
 
   boost::asio::io_context& loop_;
-  std::map<std::string, std::vector<RunningTask>> running_;  // By worker.
+  std::map<std::string, std::vector<RunningTask>> running_;  // By worker id.
 };
 
 std::shared_ptr<const SiteConfiguration> OneQueueConfiguration() {
@@ -95,7 +95,7 @@
   return configuration;
 }
 
-// Reads the record of any worker as one with room in the pool of
+// Parses every worker record as a worker with free capacity in the pool of
 // `OneQueueConfiguration`.
 class AnyWorkerDialect : public platform::Dialect {
  public:
@@ -105,11 +105,12 @@
   }
 };
 
-// A leader with a connection to the store and, if given, workers.
+// A leader with a connection to the store and, optionally, workers.
 class Leader {
  public:
   struct Parts {
-    RecordStore* store = nullptr;  // Instead of its connection.
+    // Replaces the leader's own connection if set.
+    RecordStore* store = nullptr;
     WorkerOrders* workers = nullptr;
     JobScheduler::Options scheduler;
   };
@@ -133,7 +134,8 @@
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  // The answers so far, in `answer`.
+  // Sends a call of `kind` for `kJob`; stores the answer in `answer` when it
+  // arrives.
   void Send(ClientCallKind kind, std::optional<ClientAnswer>* answer) {
     ClientCall call;
     call.kind = kind;
@@ -159,8 +161,8 @@
 }
 
 TEST_CASE(
-    "leader session: a leader that was replaced without its knowledge denies "
-    "no job") {
+    "leader session: a leader that does not know that it was replaced does not "
+    "report a job as unknown") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   Leader former(store, 1);
@@ -182,7 +184,8 @@
   RunFor(store, absl::Milliseconds(300));
   CHECK(state != ClientAnswer::kNoSuchJob);
   CHECK(cancelled != ClientAnswer::kNoSuchJob);
-  // It hears from the store that it was replaced: another leader is asked.
+  // It learns from the store that it was replaced. `kUnknown` makes the client
+  // call another leader.
   former.connection().SetUnresponsive(false);
   RunFor(store, absl::Seconds(3));
   CHECK(former.session().ended());
@@ -190,7 +193,9 @@
   CHECK(cancelled == ClientAnswer::kUnknown);
 }
 
-TEST_CASE("leader session: what nobody submitted is denied by who leads") {
+TEST_CASE(
+    "leader session: the leader reports a job that was never submitted as "
+    "unknown") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   Leader leader(store, 1);
@@ -204,7 +209,7 @@
   CHECK(cancelled == ClientAnswer::kNoSuchJob);
 }
 
-// Says that records were appended, and adds none.
+// Reports that records were appended, but appends none.
 class DropsRecords : public MemoryStoreConnection {
  public:
   using MemoryStoreConnection::MemoryStoreConnection;
@@ -217,8 +222,8 @@
 };
 
 TEST_CASE(
-    "leader session: a job whose records the store did not add is not told to "
-    "be accepted") {
+    "leader session: a job whose records the store did not append is not "
+    "reported as accepted") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   DropsRecords connection(store);
@@ -231,8 +236,8 @@
   CHECK(accepted != ClientAnswer::kAccepted);
 }
 
-// Leaves reads of the workers without an answer, as a connection does that
-// went silent.
+// Fails reads of the worker list only after their timeout, like a dead
+// connection.
 class HangsWorkerReads : public MemoryStoreConnection {
  public:
   explicit HangsWorkerReads(MemoryStore& store)
@@ -253,10 +258,12 @@
   MemoryStore& store_;
 };
 
-// A worker that says that it leaves is to get nothing 3 s later. One read that
-// hung kept what workers said back for 1.3 s (seen where only the leader's own
-// way to the store was silent), two in a row for all the time there is.
-TEST_CASE("leader session: what workers say is heard while reads of it hang") {
+// A worker that announces that it leaves must get no orders 3 s later. A single
+// read that hung, because only the leader's own connection to the store was
+// unresponsive, delayed such announcements by 1.3 s; two in a row would use up
+// the whole 3 s.
+TEST_CASE(
+    "leader session: changes of the worker list arrive although reads hang") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   HangsWorkerReads connection(store);
@@ -276,7 +283,7 @@
   CHECK(workers.observed.count("w") == 1);
 }
 
-// Answers appends late, as a store does on whose answers a proxy sits.
+// Delays replies to appends, like a proxy that holds back a store's answers.
 class DelaysAppendReplies : public MemoryStoreConnection {
  public:
   DelaysAppendReplies(MemoryStore& store, absl::Duration late)
@@ -291,7 +298,7 @@
       done(reply);
     });
   }
-  // Appends that are not answered yet.
+  // Number of appends that are not answered yet.
   int unanswered() const { return unanswered_; }
 
  private:
@@ -300,8 +307,7 @@
   int unanswered_ = 0;
 };
 
-// Carries appends out and loses the answers to some, as a store does that has
-// trouble with its answers.
+// Executes appends but loses the replies to some of them.
 class LosesAppendReplies : public MemoryStoreConnection {
  public:
   explicit LosesAppendReplies(MemoryStore& store)
@@ -321,10 +327,10 @@
   MemoryStore& store_;
 };
 
-// Reckoned from the pauses, not measured: 1.3 s for three lost answers in a row
-// when each is waited for on its own, 0.37 s when the same append goes out
-// beside.
-TEST_CASE("leader session: an append goes out again before it is given up") {
+// Computed from the delays, three lost replies in a row cost 1.3 s if each is
+// waited for in turn, and 0.37 s if the append is sent again in parallel.
+TEST_CASE(
+    "leader session: an append is sent again before its first try times out") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   LosesAppendReplies connection(store);
@@ -341,9 +347,10 @@
   CHECK(!leader.session().ended());
 }
 
-// A store that was away for 2 s takes records again: noticed after up to 0.7 s
-// and a pause of 0.2 s before, within 0.25 s now.
-TEST_CASE("leader session: jobs are accepted soon after the store is back") {
+// The store is unreachable for 2 s. The leader must use it again within 0.25 s;
+// waiting for a try to time out (0.7 s) and for a retry delay of 0.2 s would
+// take longer.
+TEST_CASE("leader session: jobs are accepted soon after the store recovers") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   Leader leader(store, 1);
@@ -361,15 +368,15 @@
 }
 
 TEST_CASE(
-    "leader session: an append that was sent before the call does not confirm "
-    "a denial") {
+    "leader session: an append sent before a call does not confirm that its "
+    "job is unknown") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   DelaysAppendReplies late(store, absl::Milliseconds(600));
   Leader former(store, 1, &late);
   RunFor(store, absl::Milliseconds(700));
   REQUIRE(former.session().active());
-  RunFor(store, absl::Milliseconds(300));  // A first append is under way.
+  RunFor(store, absl::Milliseconds(300));  // A first append is in flight.
   Leader successor(store, 2);
   RunFor(store, absl::Milliseconds(50));
   REQUIRE(successor.session().active());
@@ -384,8 +391,8 @@
   CHECK(state == ClientAnswer::kUnknown);
 }
 
-// What a leader before this one kept: a job of one task, and a worker that it
-// may run on.
+// Stores the records of an earlier leader: a job with one task, and a worker
+// that it may run on.
 void StoreJobAndWorker(MemoryStore& store, const std::string& worker) {
   JobSpec spec;
   spec.steps.emplace_back();
@@ -397,7 +404,7 @@
   store.Append(order);
 }
 
-// The platform lists a worker.
+// Adds a worker to the platform's list of workers.
 void AddWorkerEntry(MemoryStore& store, const std::string& worker) {
   AppendOrder order;
   order.stream = Stream::kWorkers;
@@ -405,11 +412,12 @@
   store.Append(order);
 }
 
-// A leader before this one gives leases until it is fenced, however long that
-// takes: what may run on a worker that nobody reaches counts from there.
+// An earlier leader may extend leases until it is fenced, however long that
+// takes. So the time after which nothing can still run on an unreachable worker
+// counts from the fence.
 TEST_CASE(
-    "leader session: the last lease of an earlier leader counts from when it "
-    "was fenced") {
+    "leader session: the last lease of an earlier leader counts from its "
+    "fencing") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   StoreJobAndWorker(store, "gone");
@@ -432,7 +440,7 @@
          absl::Now() - reachable < absl::Seconds(2))
     RunFor(store, absl::Milliseconds(20));
   REQUIRE(leader.session().active());
-  // The fence came after `reachable`.
+  // The fence was written after `reachable`.
   while (absl::Now() - reachable < absl::Milliseconds(3000))
     RunFor(store, absl::Milliseconds(20));
   CHECK(workers.starts.empty());
@@ -440,11 +448,10 @@
   CHECK(workers.starts.size() == 1);
 }
 
-// An answer that lay in the socket while this process stood still tells of the
-// time before: meanwhile another may have begun to lead.
+// A reply that lay in the socket while this process was suspended only confirms
+// the time before the suspension. Another leader may have taken over since.
 TEST_CASE(
-    "leader session: after a standstill an append from before it confirms "
-    "nothing") {
+    "leader session: an append sent before a stall confirms nothing after it") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   AddWorkerEntry(store, "there");
@@ -458,8 +465,8 @@
   RunFor(store, absl::Milliseconds(600));
   REQUIRE(former.session().active());
   while (late.unanswered() == 0) RunFor(store, absl::Milliseconds(10));
-  // This process stands still while another leader fences; then its loop runs
-  // again.
+  // This process is blocked while another leader writes its fence; then its
+  // event loop runs again.
   absl::SleepFor(absl::Milliseconds(1800));
   AppendOrder fence;
   fence.stream = Stream::kJobs;
@@ -470,9 +477,9 @@
   CHECK(workers.leases == leases);
 }
 
-// A machine that is suspended does nothing, and the clock that stands still
-// meanwhile tells of no gap: a leader that was replaced then went on as if its
-// last append had just confirmed it.
+// A clock that stops while the machine is suspended shows no gap. A leader that
+// was replaced during the suspension would continue as if its last append had
+// just confirmed it.
 TEST_CASE(
     "leader session: a suspension counts as a standstill, whatever the length "
     "that the loop saw") {
@@ -499,8 +506,10 @@
   CHECK(workers.leases == leases);
 }
 
-// A record that cannot be read still tells that there is such a job.
-TEST_CASE("leader session: a job whose record cannot be read is not denied") {
+// An unreadable record still shows that the job exists.
+TEST_CASE(
+    "leader session: a job with an unreadable record is not reported as "
+    "unknown") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   AppendOrder order;
@@ -519,20 +528,20 @@
   RunFor(store, absl::Milliseconds(300));
   CHECK(state == ClientAnswer::kRejected);
   CHECK(cancelled == ClientAnswer::kRejected);
-  // It was accepted once, so that it may have run.
+  // The job was accepted earlier, so it may have run.
   CHECK(resubmitted == ClientAnswer::kUnknown);
 }
 
 TEST_CASE(
-    "leader session: a record of an earlier leader that lands after the fence "
-    "is not denied, and the next term knows it") {
+    "leader session: a job whose record an earlier leader appended after the "
+    "fence is not reported as unknown, and the next term knows it") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   Leader successor(store, 2);
   RunFor(store, absl::Milliseconds(100));
   REQUIRE(successor.session().active());
-  // The store had taken this append before the fence and carries it out now:
-  // the earlier leader tells its client that the job is kept.
+  // The store received this append before the fence and executes it only now.
+  // The earlier leader then reports to its client that the job was accepted.
   JobSpec spec;
   spec.steps.emplace_back();
   AppendOrder late;
@@ -554,8 +563,8 @@
   CHECK(known == ClientAnswer::kState);
 }
 
-// Gives an append without records a number like any other, so that the next
-// append, under the same number, gets its first answer again and adds nothing.
+// Deduplicates empty appends by sequence number too, so that the next append,
+// which has the same number, gets the earlier reply and appends nothing.
 class NumbersEmptyAppends : public MemoryStoreConnection {
  public:
   using MemoryStoreConnection::MemoryStoreConnection;
@@ -580,13 +589,13 @@
 };
 
 TEST_CASE(
-    "leader session: a job that got the answer of an earlier append is not "
-    "told to be accepted") {
+    "leader session: a job whose append got the reply of an earlier one is not "
+    "reported as accepted") {
   boost::asio::io_context loop;
   MemoryStore store(loop);
   NumbersEmptyAppends connection(store);
   Leader leader(store, 1, &connection);
-  // Past a renewal, which carries no records.
+  // Runs past a renewal, which is an append without records.
   RunFor(store, absl::Milliseconds(1800));
   REQUIRE(leader.session().active());
   std::optional<ClientAnswer> accepted;
--- a/keelbridge/daemon/metrics.h
+++ b/keelbridge/daemon/metrics.h
@@ -1,4 +1,5 @@
-// Counters and gauges of a daemon, as Prometheus text for its own `/metrics`.
+// Counters, gauges and histograms of a daemon, exported as Prometheus text at
+// its `/metrics`.
 //
 //   Metrics metrics("gateway");
 //   metrics.Count("requests_total", {{"verdict", "Ran"}});
@@ -15,7 +16,7 @@
 
 using MetricLabels = std::map<std::string, std::string>;
 
-// Thread-safe. Names get the prefix "keelbridge_<daemon>_".
+// Thread-safe. Metric names are prefixed with "keelbridge_<daemon>_".
 class Metrics {
  public:
   explicit Metrics(const std::string& daemon);
@@ -24,7 +25,7 @@
   void Count(const std::string& name, const MetricLabels& labels,
              double by = 1);
   void Set(const std::string& name, const MetricLabels& labels, double value);
-  // Seconds, in buckets from 0.1 ms to 10 s.
+  // Adds a duration to a histogram with buckets from 0.1 ms to 10 s.
   void Observe(const std::string& name, const MetricLabels& labels,
                double seconds);
 
--- a/keelbridge/daemon/node_messages.cc
+++ b/keelbridge/daemon/node_messages.cc
@@ -24,7 +24,7 @@
 // Throws `Json::Exception` where a field has the wrong type.
 ClientReply ReadClientReply(const Json::Value& in) {
   ClientReply reply;
-  // An answer that is not there must not count as the first, "accepted".
+  // A missing answer must not be read as the enumerator 0, "accepted".
   const int answer = in["answer"].isInt() ? in["answer"].asInt() : -1;
   if (answer < 0 || answer > static_cast<int>(ClientAnswer::kInvalid))
     return reply;
--- a/keelbridge/daemon/node_messages.h
+++ b/keelbridge/daemon/node_messages.h
@@ -1,4 +1,4 @@
-// What nodes of a site tell each other, as JSON.
+// JSON encoding of messages between the nodes of a site.
 
 #ifndef KEELBRIDGE_DAEMON_NODE_MESSAGES_H_
 #define KEELBRIDGE_DAEMON_NODE_MESSAGES_H_
@@ -13,19 +13,20 @@
 namespace keelbridge {
 
 Json::Value ToJson(const ClientCall& call);
-// Why `in` is no call that a leader can answer; a job is within all limits.
+// Returns an error if `in` is not a call that a leader can answer. A submitted
+// job has passed `CheckJobSpec`.
 Result<ClientCall> ClientCallFromJson(const Json::Value& in);
 Json::Value ToJson(const ClientReply& reply);
-// `kUnknown` when `in` cannot be read.
+// Returns a reply of `kUnknown` if `in` cannot be parsed.
 ClientReply ClientReplyFromJson(const Json::Value& in);
 Json::Value ToJson(const AdviceRequest& request);
-// Throws `Json::Exception` when `in` cannot be read.
+// Throws `Json::Exception` if `in` cannot be parsed.
 AdviceRequest AdviceRequestFromJson(const Json::Value& in);
 Json::Value ToJson(const AdviceReply& reply);
-// Not answered when `in` cannot be read.
+// Returns a reply without `answered` if `in` cannot be parsed.
 AdviceReply AdviceReplyFromJson(const Json::Value& in);
 Json::Value ToJson(const LeaderRecord& leader);
-// Epoch 0 when `in` names none.
+// Returns a record of epoch 0 if `in` contains no leader.
 LeaderRecord LeaderFromJson(const Json::Value& in);
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/node_messages_test.cc
+++ b/keelbridge/daemon/node_messages_test.cc
@@ -13,7 +13,7 @@
   return JsonDocument::Parse(text, "message").root();
 }
 
-TEST_CASE("node messages: a client's call is read as it was written") {
+TEST_CASE("node messages: a client call survives encoding and decoding") {
   ClientCall call;
   call.kind = ClientCallKind::kSubmit;
   call.queue = "q";
@@ -27,8 +27,9 @@
   CHECK(ClientCallFromJson(ToJson(call)));
 }
 
-// A leader would answer another call, or make room for two billion tasks.
-TEST_CASE("node messages: a call that no leader can answer is refused") {
+// Otherwise a leader would answer a different call or allocate memory for two
+// billion tasks.
+TEST_CASE("node messages: an invalid client call is rejected") {
   const std::string job = R"("job":"5c0e7a21d94b36f8")";
   for (const std::string& text :
        {"{" + job + "}", R"({"kind":4,)" + job + "}",
@@ -46,8 +47,8 @@
   }
 }
 
-// An exception would leave the client without any answer.
-TEST_CASE("node messages: an answer that cannot be read is an unknown one") {
+// An exception would leave the client without a reply.
+TEST_CASE("node messages: an unreadable reply has an unknown outcome") {
   for (const std::string text :
        {"{}", R"({"answer":null})", R"({"answer":"x"})", R"({"answer":44})",
         R"({"answer":-1})", R"({"answer":1,"state":{}})",
@@ -60,8 +61,8 @@
   }
 }
 
-// An exception would leave the step waiting for its advice.
-TEST_CASE("node messages: advice that cannot be read is none") {
+// An exception would leave the step waiting for advice.
+TEST_CASE("node messages: unreadable advice counts as unanswered") {
   for (const std::string text :
        {R"({"answered":true,"good":[["w","t"],1]})",
         R"({"answered":true,"good":[["w",{}]]})", R"({"answered":[]})"}) {
--- a/keelbridge/daemon/order_messages.cc
+++ b/keelbridge/daemon/order_messages.cc
@@ -5,14 +5,14 @@
 namespace keelbridge {
 namespace {
 
-// The kinds of orders on the wire.
+// Order kinds on the wire.
 enum OrderKind { kStart = 0, kStop = 1, kObserve = 2 };
 constexpr Json::ArrayIndex kStartFields = 12;
 constexpr Json::ArrayIndex kStopFields = 8;
 constexpr Json::ArrayIndex kObserveFields = 9;
 constexpr Json::ArrayIndex kOrderReplyFields = 4;
 constexpr Json::ArrayIndex kObserveReplyFields = 7;
-// Behind the others, where another life answered.
+// An optional last field: the worker's incarnation, if another one replied.
 constexpr Json::ArrayIndex kIncarnationFields = 1;
 
 template <typename... Fields>
@@ -91,8 +91,8 @@
   return order.has_value();
 }
 
-// False when `value` is none of the values from 0 to `last`. One that is not
-// there must not count as the first.
+// Returns false if `value` is not an integer from 0 to `last`. A missing value
+// must not be read as the enumerator 0.
 template <typename Enum>
 bool ReadEnum(const Json::Value& value, Enum last, Enum* out) {
   if (!value.isInt()) return false;
@@ -166,7 +166,8 @@
   return out;
 }
 
-// An exception here would take the other rows of the message with it.
+// Returns nullopt if `read` throws, because an exception would discard the
+// other rows of the message too.
 template <typename T>
 std::optional<T> NulloptOnTypeError(
     std::optional<T> (*read)(const Json::Value&), const Json::Value& row) {
--- a/keelbridge/daemon/order_messages.h
+++ b/keelbridge/daemon/order_messages.h
@@ -1,5 +1,5 @@
-// Orders to workers that another node carries, and their answers, as rows of
-// JSON: many travel in one message, so that a row holds no names.
+// JSON encoding of relayed orders to workers and of their replies. Each is an
+// array of fields without names, because one message carries many of them.
 
 #ifndef KEELBRIDGE_DAEMON_ORDER_MESSAGES_H_
 #define KEELBRIDGE_DAEMON_ORDER_MESSAGES_H_
@@ -15,22 +15,22 @@
 
 namespace keelbridge {
 
-// An order for a relay to carry. Its number is the leader's, and is told with
-// the answer. Of the worker only id and address travel.
+// An order that a relay forwards to a worker. The leader assigns `number`, and
+// the reply repeats it. Only the id and address of `worker` are encoded.
 struct RelayedOrder {
   int64_t number = 0;
   WorkerRecord worker;
   std::variant<StartOrder, StopOrder, ObserveOrder> order;
 };
 
-// `reply.order` alone counts for orders that are no looks.
+// The reply to a relayed order. For starts and stops only `reply.order` is set.
 struct RelayedReply {
   int64_t number = 0;
   ObserveReply reply;
 };
 
 Json::Value ToRow(const RelayedOrder& order);
-// None: it cannot be read.
+// Returns nullopt if `row` cannot be parsed.
 std::optional<RelayedOrder> OrderFromRow(const Json::Value& row);
 Json::Value ToRow(const RelayedReply& reply);
 std::optional<RelayedReply> ReplyFromRow(const Json::Value& row);
--- a/keelbridge/daemon/order_messages_test.cc
+++ b/keelbridge/daemon/order_messages_test.cc
@@ -13,8 +13,9 @@
   return JsonDocument::Parse("{\"row\":" + text + "}", "row").root()["row"];
 }
 
-// An exception would take the other rows of the message with it.
-TEST_CASE("order messages: a field of the wrong type makes no order") {
+// An exception would discard the other rows of the message too.
+TEST_CASE(
+    "order messages: an order with a field of the wrong type is rejected") {
   const std::string task = "\"5c0e7a21d94b36f8.0.1.19\"";
   for (const std::string& text :
        {"[\"x\",1,\"w\",\"a\"," + task + ",3,9,300]",
@@ -28,7 +29,8 @@
   }
 }
 
-TEST_CASE("order messages: a field of the wrong type makes no answer") {
+TEST_CASE(
+    "order messages: a reply with a field of the wrong type is rejected") {
   for (const std::string text :
        {"[\"x\",0,1000,\"\"]", "[7,0,1000,{}]", "[7,0,1000,\"\",[1],[],true]",
         "[7,0,1000,\"\",[],[\"x\"],true]", "[7,0,1000,\"\",[],[],{}]"}) {
@@ -37,9 +39,9 @@
   }
 }
 
-// A result that no code knows would be treated as each place treats the rest.
-TEST_CASE(
-    "order messages: results and ends that there are not make no answer") {
+// Code that switches on the result or end would handle an unknown value as its
+// default case.
+TEST_CASE("order messages: a reply with an unknown result or end is rejected") {
   const std::string end =
       "[7,0,1000,\"\",[],[[1,\"5c0e7a21d94b36f8.0.1.19\",2,";
   CHECK(ReplyFromRow(ParseRow("[7,10,1000,\"\"]")).has_value());
--- a/keelbridge/daemon/order_relay_client.cc
+++ b/keelbridge/daemon/order_relay_client.cc
@@ -12,14 +12,14 @@
 namespace keelbridge {
 namespace {
 
-// A relay takes a message at once, so that this is the lag of two loops and the
-// network's. Orders in it are waited for by their own times.
+// A relay acknowledges a message immediately, so this only covers the lag of
+// two event loops and the network. The orders in it have timeouts of their own.
 constexpr absl::Duration kDeliveryTimeout = absl::Seconds(1);
-// Messages to one relay that it has not taken yet. With a second one a round
-// trip costs no time; more would only wait on a link that is slow.
+// Maximum number of unacknowledged messages per relay. A second one hides the
+// round trip; further ones would only queue on a slow link.
 constexpr int kMaxInFlight = 2;
-// What the way through a relay adds to an order's own patience: gathering
-// twice, four hops, and the lag of two loops.
+// What a relay adds to an order's own timeout: two batch delays, four network
+// hops, and the lag of two event loops.
 constexpr absl::Duration kRelayAllowance = absl::Milliseconds(150);
 constexpr absl::Duration kSweepInterval = absl::Milliseconds(50);
 
@@ -127,7 +127,7 @@
   Json::Value& rows = params["rows"] = Json::Value(Json::arrayValue);
   for (size_t i = 0; i < batch.rows.size(); ++i) {
     const auto pending = pending_.find(batch.numbers[i]);
-    if (pending == pending_.end()) continue;  // It waited for too long.
+    if (pending == pending_.end()) continue;  // Expired while it waited.
     pending->second.sent = true;
     rows.append(std::move(batch.rows[i]));
   }
@@ -173,7 +173,7 @@
 
 void OrderRelayClient::Finish(int64_t number, ObserveReply reply) {
   const auto found = pending_.find(number);
-  if (found == pending_.end()) return;  // It was answered, or given up.
+  if (found == pending_.end()) return;  // Already answered or expired.
   const Done done = std::move(found->second.done);
   pending_.erase(found);
   done(std::move(reply));
--- a/keelbridge/daemon/order_relay_client.h
+++ b/keelbridge/daemon/order_relay_client.h
@@ -1,14 +1,15 @@
-// A leader's orders to workers, carried by other nodes where there are too many
-// workers for one node; see `order_routing.h`.
+// Sends a leader's orders to workers through other nodes (relays) where there
+// are too many workers for one node; see `order_routing.h`.
 //
-// Orders for one relay are gathered for some milliseconds and travel together,
-// and so do the answers on their way back. Of an order whose message got no
-// answer nobody can tell whether it was carried out: it counts as unanswered,
-// as one that a worker did not answer, and is never sent by another way, since
-// two copies of an order cannot be told apart by their answers. A relay that
-// did not answer is passed over for a while. While a relay has messages that it
-// did not take yet, further orders wait, and those that wait for too long were
-// never sent: a slow link or relay gets less instead of a queue.
+// Orders for one relay are collected for some milliseconds and sent in one
+// message, and so are the replies. If a message gets no reply, it is unknown
+// whether its orders were executed. They count as unanswered, like an order
+// that a worker did not answer, and are never sent by another path, because the
+// replies to two copies of an order cannot be distinguished. A relay that did
+// not answer is skipped for a while. While a relay has too many unacknowledged
+// messages, further orders wait, and those that wait too long are reported as
+// not sent. A slow link or relay thus gets fewer orders instead of a growing
+// queue.
 //
 //   OrderRelayClient orders(loop, direct, rpc, options);
 //   orders.SetNodes(nodes, own_capacity);
@@ -36,28 +37,31 @@
 
 namespace keelbridge {
 
-// All on the loop's thread. Must outlive what the loop runs.
+// Not thread-safe: use it on the loop's thread only. Must outlive the handlers
+// that the loop runs.
 class OrderRelayClient : public WorkerOrders {
  public:
-  // By which relays are given orders, and give their answers. Not "orders": a
-  // relay of a version that knew no lives would take an id for a name.
+  // RPC methods for orders to relays and for their replies. The first is not
+  // named "orders" because a relay of a version without worker incarnations
+  // would accept that method and read an id as a name.
   static constexpr char kOrdersMethod[] = "orders_to_lives";
   static constexpr char kRepliesMethod[] = "order_replies";
-  // Orders are gathered for so long, and answers at the relay. With five relays
-  // that makes 660 messages a second in both directions at most, whatever the
-  // number of orders, for 15 ms more until a task starts.
+  // How long orders are collected before they are sent, and replies at the
+  // relay. This delays the start of a task by 15 ms and limits the traffic of
+  // five relays to 660 messages per second in both directions, whatever the
+  // number of orders.
   static constexpr absl::Duration kBatchDelay = absl::Milliseconds(15);
 
   struct Options {
     OrderRouting::Options routing;
-    std::string own_address;  // Where relays send answers.
+    std::string own_address;  // Address that relays send replies to.
   };
 
   OrderRelayClient(boost::asio::io_context& loop, WorkerOrders& direct,
                    EventRpcClient& rpc, Options options);
 
   void SetNodes(std::vector<OrderRouting::Node> nodes, double own_capacity);
-  // The answers that a relay sent.
+  // Handles a message of replies from a relay.
   void HandleReplies(const Json::Value& params);
   int64_t relayed() const { return relayed_; }
   int64_t unanswered() const { return unanswered_; }
@@ -74,18 +78,18 @@
   using Done = std::function<void(ObserveReply)>;
   struct Pending {
     Done done;
-    absl::Duration deadline;  // On `wait_clock_`.
-    bool sent = false;        // Its message left, or may have.
+    absl::Duration deadline;  // On the clock `wait_clock_`.
+    bool sent = false;        // Its message was sent, or may have been.
   };
-  // A message to a relay, or what is gathered for it.
+  // A message to a relay, or the orders collected for the next one.
   struct Batch {
     std::vector<Json::Value> rows;
-    std::vector<int64_t> numbers;  // Of the rows.
+    std::vector<int64_t> numbers;  // Order numbers of `rows`.
   };
   struct Relay {
     OrderRouting::Node node;
     Batch queued;
-    int in_flight = 0;  // Messages that it has not taken yet.
+    int in_flight = 0;  // Messages that it has not acknowledged yet.
   };
 
   const OrderRouting::Node* RelayFor(const WorkerRecord& worker);
@@ -98,7 +102,7 @@
                    const RpcOutcome& outcome);
   void Finish(int64_t number, ObserveReply reply);
   void ScheduleSweep();
-  // Ends orders whose answers did not come.
+  // Finishes orders whose replies are overdue.
   void ExpireOverdue();
 
   boost::asio::io_context& loop_;
@@ -106,9 +110,10 @@
   EventRpcClient& rpc_;
   const Options options_;
   OrderRouting routing_;
-  absl::flat_hash_map<int64_t, Pending> pending_;  // By number.
-  std::map<std::string, Relay> relays_;            // By name.
-  // Not from 1: a relay may still send the answers of an earlier life.
+  absl::flat_hash_map<int64_t, Pending> pending_;  // By order number.
+  std::map<std::string, Relay> relays_;            // By node name.
+  // Starts at a random number, because a relay may still send replies to orders
+  // of an earlier process of this node.
   int64_t next_number_;
   int64_t relayed_ = 0;
   int64_t unanswered_ = 0;
@@ -116,8 +121,8 @@
   EventTimer sweep_timer_;
   bool flush_scheduled_ = false;
   bool sweep_scheduled_ = false;
-  // The time that answers were waited for since the beginning. It stands while
-  // the loop does: what lies unread in a socket then is not late.
+  // Clock for reply deadlines. It does not advance while the event loop is
+  // blocked, so that replies still unread in a socket are not overdue.
   absl::Duration wait_clock_;
 };
 
--- a/keelbridge/daemon/order_relay_client_test.cc
+++ b/keelbridge/daemon/order_relay_client_test.cc
@@ -1,4 +1,4 @@
-// Orders through a relay, over real connections on loopback.
+// Tests orders through a relay over real loopback connections.
 
 #include "keelbridge/daemon/order_relay_client.h"
 
@@ -19,7 +19,7 @@
 
 constexpr char kZone[] = "zone-1";
 
-// Workers that answer what the test says, or nothing.
+// Workers that give the reply that the test sets, or none.
 class FakeWorkers : public WorkerOrders {
  public:
   void Start(const WorkerRecord& worker, const StartOrder& order,
@@ -90,7 +90,7 @@
 
   std::optional<OrderResult> Start(const WorkerRecord& worker,
                                    absl::Duration time) {
-    // The answer may come in a later call's time.
+    // The reply may arrive while a later call runs the loop.
     const auto result = std::make_shared<std::optional<OrderResult>>();
     StartOrder order;
     order.task = {7, 0, 1, 2};
@@ -112,8 +112,8 @@
   }
 
   boost::asio::io_context loop;
-  FakeWorkers workers;  // As the relay reaches them.
-  FakeWorkers direct;   // As the leader does.
+  FakeWorkers workers;  // Reached through the relay.
+  FakeWorkers direct;   // Reached directly by the leader.
   std::unique_ptr<OrderRelayClient> orders;
   int messages = 0;
 
@@ -125,7 +125,9 @@
   int relay_port_ = 0;
 };
 
-TEST_CASE("relayed orders: a start arrives whole, and its answer comes back") {
+TEST_CASE(
+    "relayed orders: a start arrives with all fields, and its reply is "
+    "returned") {
   Pair pair;
   pair.workers.reply.order.result = OrderResult::kNoCapacity;
   CHECK(pair.Start(pair.Worker(), absl::Milliseconds(200)) ==
@@ -144,7 +146,7 @@
   CHECK(pair.direct.starts.empty());
 }
 
-TEST_CASE("relayed orders: a look brings both lists") {
+TEST_CASE("relayed orders: an observation returns running and ended tasks") {
   Pair pair;
   pair.workers.reply.order.result = OrderResult::kDone;
   pair.workers.reply.order.clock_ms = 1234;
@@ -176,9 +178,9 @@
   CHECK(received->more_ends);
 }
 
-// 200 orders at once: one message there and one back for each 15 ms, instead of
-// 200 of each.
-TEST_CASE("relayed orders: orders that come together travel together") {
+// 200 orders at once take one message in each direction per 15 ms instead of
+// 200.
+TEST_CASE("relayed orders: simultaneous orders share a message") {
   Pair pair;
   pair.workers.reply.order.result = OrderResult::kDone;
   int answered = 0;
@@ -188,20 +190,25 @@
   }
   pair.Run(absl::Milliseconds(300));
   CHECK(answered == 200);
-  MESSAGE("messages for 200 orders: 200 before, ", pair.messages, " after");
+  MESSAGE("messages for 200 orders: 200 unbatched, ", pair.messages,
+          " batched");
   CHECK(pair.messages <= 2);
 }
 
-// What was never sent has not run: the task may start elsewhere at once.
-TEST_CASE("relayed orders: with a relay that is gone nothing was sent") {
+// A start that was never sent has not run, so the task may start elsewhere
+// immediately.
+TEST_CASE(
+    "relayed orders: an order through an unreachable relay is reported as not "
+    "sent") {
   Pair pair;
   pair.UseRelay("127.0.0.1:1");
   CHECK(pair.Start(pair.Worker(), absl::Milliseconds(300)) ==
         OrderResult::kNotSent);
 }
 
-// The worker may have got it: nobody may say that it was not carried out.
-TEST_CASE("relayed orders: without an answer nobody knows whether it ran") {
+// The worker may have received the order, so it must not be reported as not
+// executed.
+TEST_CASE("relayed orders: an order without a reply has an unknown result") {
   Pair pair;
   pair.workers.unresponsive = true;
   CHECK_FALSE(pair.Start(pair.Worker(), absl::Milliseconds(300)).has_value());
@@ -209,7 +216,8 @@
   CHECK(pair.orders->unanswered() == 2);
 }
 
-TEST_CASE("relayed orders: a zone without a relay is served directly") {
+TEST_CASE(
+    "relayed orders: orders to a zone without a relay are sent directly") {
   Pair pair;
   pair.direct.reply.order.result = OrderResult::kDone;
   CHECK(pair.Start(pair.Worker("elsewhere"), absl::Milliseconds(50)) ==
@@ -217,9 +225,10 @@
   CHECK(pair.direct.starts.size() == 1);
 }
 
-// A relay may still send answers to orders of an earlier process that had the
+// A relay may still send replies to orders of an earlier process that had the
 // leader's address.
-TEST_CASE("relayed orders: an answer to another life's order is passed over") {
+TEST_CASE(
+    "relayed orders: a reply to an order of an earlier process is ignored") {
   Pair pair;
   pair.workers.unresponsive = true;
   std::optional<OrderResult> result;
@@ -238,12 +247,12 @@
   CHECK_FALSE(result.has_value());
 }
 
-TEST_CASE("order messages: what cannot be read is no order") {
+TEST_CASE("order messages: malformed orders and replies are rejected") {
   CHECK_FALSE(OrderFromRow(Json::Value("text")).has_value());
   CHECK_FALSE(OrderFromRow(Json::Value(Json::arrayValue)).has_value());
   Json::Value row = ToRow(RelayedOrder{1, WorkerRecord(), StopOrder()});
   CHECK(OrderFromRow(row).has_value());
-  row[1] = 99;  // No such kind.
+  row[1] = 99;  // An unknown order kind.
   CHECK_FALSE(OrderFromRow(row).has_value());
   CHECK_FALSE(ReplyFromRow(Json::Value(Json::arrayValue)).has_value());
 }
--- a/keelbridge/daemon/order_relay_server.cc
+++ b/keelbridge/daemon/order_relay_server.cc
@@ -13,14 +13,15 @@
 namespace keelbridge {
 namespace {
 
-// A leader takes the answers at once: this is its loop's lag and the network's.
+// A leader acknowledges replies immediately, so this only covers the lag of its
+// event loop and the network.
 constexpr absl::Duration kRepliesTimeout = absl::Milliseconds(700);
-// Answers that were not taken are sent again: they count once. A leader gives
-// an order up after at most 1.8 s.
+// Unacknowledged replies are sent again; the leader handles each reply once. A
+// leader stops waiting for an order after at most 1.8 s.
 constexpr int kMaxTries = 3;
 constexpr absl::Duration kRetryDelay = absl::Milliseconds(50);
-// Connections to a worker that gets no orders are closed after this. A leader
-// looks at each worker every second.
+// Connections to a worker that receives no orders are closed after this. A
+// leader observes each worker every second.
 constexpr absl::Duration kIdleTimeout = absl::Seconds(20);
 constexpr absl::Duration kIdleCheckInterval = absl::Seconds(5);
 
--- a/keelbridge/daemon/order_relay_server.h
+++ b/keelbridge/daemon/order_relay_server.h
@@ -1,10 +1,11 @@
-// Carries a leader's orders to workers on its behalf; see `relayed_orders.h`.
+// Forwards a leader's orders to workers on its behalf; see
+// `relayed_orders.h`.
 //
-// A relay decides nothing: each order is sent once, under the fence that the
-// leader gave it, and its answer goes back as it came.
+// A relay makes no decisions: it sends each order once, with the leader's
+// fencing token, and returns the worker's reply unchanged.
 //
 //   OrderRelayServer relay(loop, workers, rpc);
-//   relay.Carry(params);  // of `kOrdersMethod`.
+//   relay.HandleOrders(params);  // Of a call of `kOrdersMethod`.
 
 #ifndef KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
 #define KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
@@ -24,13 +25,14 @@
 
 namespace keelbridge {
 
-// All on the loop's thread. Must outlive what the loop runs.
+// Not thread-safe: use it on the loop's thread only. Must outlive the handlers
+// that the loop runs.
 class OrderRelayServer {
  public:
   OrderRelayServer(boost::asio::io_context& loop, WorkerOrders& workers,
                    EventRpcClient& rpc);
 
-  // Takes the orders of a message.
+  // Forwards the orders of a message.
   void HandleOrders(const Json::Value& params);
   int64_t forwarded() const { return forwarded_; }
 
@@ -38,18 +40,18 @@
   void ForwardOrder(const RelayedOrder& order, const std::string& reply_to);
   void QueueReply(const std::string& reply_to, int64_t number,
                   ObserveReply reply);
-  // Sends what was gathered for one leader.
+  // Sends the queued replies for one leader.
   void Flush(const std::string& reply_to);
   void Send(const std::string& reply_to, const Json::Value& params, int tries);
-  // Closes the connections to workers that got no order for long.
+  // Closes connections to workers that have received no order for a while.
   void CloseIdleConnections();
 
   boost::asio::io_context& loop_;
   WorkerOrders& workers_;
   EventRpcClient& rpc_;
-  // Rows of answers, by the leader that they go to.
+  // Encoded replies by the address of the leader that they are sent to.
   std::map<std::string, Json::Value> queued_replies_;
-  absl::flat_hash_map<std::string, absl::Time> last_order_;  // By worker.
+  absl::flat_hash_map<std::string, absl::Time> last_order_;  // By worker id.
   absl::Time next_idle_check_ = absl::InfinitePast();
   int64_t forwarded_ = 0;
 };
--- a/keelbridge/daemon/periodic_task.cc
+++ b/keelbridge/daemon/periodic_task.cc
@@ -14,7 +14,7 @@
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 using StopAtom = caf::atom_constant<caf::atom("stop")>;
 
-// What an actor and its handle share.
+// State shared by an actor and its handle.
 struct TaskState {
   std::string name;
   std::chrono::nanoseconds period;
@@ -91,7 +91,7 @@
  private:
   static std::unique_ptr<caf::actor_system_config> MakeConfig() {
     auto config = std::make_unique<caf::actor_system_config>();
-    // Duties are detached; the shared pool has nothing to do.
+    // Tasks are detached actors, so the shared thread pool is unused.
     config->set("scheduler.max-threads", 1);
     return config;
   }
--- a/keelbridge/daemon/periodic_task.h
+++ b/keelbridge/daemon/periodic_task.h
@@ -1,12 +1,13 @@
-// A duty: one job on a thread of its own, a detached CAF actor.
+// A periodic task with its own thread, implemented as a detached CAF actor.
 //
-// A duty's step runs when its period is over and when somebody wakes it. Work
-// reaches it through bounded rings; the actor's message is only the wake-up, of
-// which at most one waits, because CAF's mailboxes are unbounded.
+// A task's step runs once per period and whenever the task is woken. Data
+// reaches it through bounded rings; the actor receives only wake-up messages,
+// at most one of which is pending, because CAF's mailboxes are unbounded.
 //
-//   PeriodicTaskRunner host;
-//   Duty* reader = host.Start("log_reader", absl::Milliseconds(500), [&] {
-//   ReadLog(); }); reader->Wake();
+//   PeriodicTaskRunner runner;
+//   PeriodicTask* reader =
+//       runner.Start("log_reader", absl::Milliseconds(500), [&] { Read(); });
+//   reader->Wake();
 
 #ifndef KEELBRIDGE_DAEMON_PERIODIC_TASK_H_
 #define KEELBRIDGE_DAEMON_PERIODIC_TASK_H_
@@ -23,11 +24,11 @@
 class PeriodicTask {
  public:
   virtual ~PeriodicTask() = default;
-  // Runs the step soon. Thread-safe; does not wait.
+  // Requests a run of the step. Thread-safe; does not block.
   virtual void Wake() = 0;
 };
 
-// Owns the actor system and its duties.
+// Owns the actor system and its tasks.
 class PeriodicTaskRunner {
  public:
   PeriodicTaskRunner();
@@ -35,11 +36,12 @@
   PeriodicTaskRunner(const PeriodicTaskRunner&) = delete;
   PeriodicTaskRunner& operator=(const PeriodicTaskRunner&) = delete;
 
-  // The duty lives as long as the host. `step` never runs twice at a time.
+  // Starts a task that lives as long as this runner. Calls of `step` never
+  // overlap.
   PeriodicTask* Start(const std::string& name, absl::Duration period,
                       std::function<void()> step);
 
-  // Ends all duties after the steps that run now.
+  // Stops all tasks after their current steps.
   void Stop();
 
  private:
--- a/keelbridge/daemon/store_failover.cc
+++ b/keelbridge/daemon/store_failover.cc
@@ -12,23 +12,25 @@
 
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-// While a peer carries, the store is tried directly this often.
+// Interval of probes of the direct path while calls go through a peer.
 constexpr absl::Duration kProbeInterval = absl::Milliseconds(150);
 constexpr absl::Duration kProbeTimeout = absl::Milliseconds(500);
-// The direct way is tried with the last read that has at most this long: who
-// leads, in one short record. One that has longer may bring a whole
-// configuration, which a thin link does not carry within a try.
+// Only a read with at most this timeout is used as a probe, such as the read of
+// the current leader, a single short record. A read with a longer timeout may
+// return a whole configuration, which a slow link cannot transfer within a
+// probe.
 constexpr absl::Duration kSmallReadTimeout = absl::Milliseconds(800);
-// A call with less time left is not carried by a peer.
+// A call with less time left is not sent through a peer.
 constexpr absl::Duration kMinRelayTime = absl::Milliseconds(50);
-// Appends one at a time, and reads that may hang until they time out beside
-// them: three of the configuration and a probe, one of who leads, of workers,
-// two tries; the rest for what peers ask to be carried.
+// One append at a time, plus concurrent reads that may hang until they time
+// out: three of the configuration and a probe of it, one of the current leader,
+// one of the workers, and two probes of the direct path. The remaining
+// connections serve calls from peers.
 constexpr size_t kStoreConnections = 12;
 constexpr size_t kLongPollConnections = 8;
-// A connection to the store that idled for longer may have gone silent
-// meanwhile: a new one costs a round trip (some milliseconds), a silent one the
-// time-out of a call. A leader calls more often and keeps its own.
+// A connection to the store that was idle for longer may be dead. A new
+// connection costs a round trip (some milliseconds), a dead one the timeout of
+// a call. A leader calls more often than this and keeps its connection.
 constexpr absl::Duration kStoreIdleExpiry = absl::Seconds(2);
 
 EventHttpClient::Options ClientOptions(size_t connections) {
@@ -38,14 +40,15 @@
   return options;
 }
 
-// The store did not do what was asked, for a reason that another path may not
-// have.
+// Returns whether the call failed for a reason that another path to the store
+// may not have.
 bool IsUnavailable(const HttpOutcome& outcome) {
   return !outcome.response || outcome.response->status == kTooManyRequests ||
          outcome.response->status == kUnavailable;
 }
 
-// The store certainly did nothing: the same call may go another way.
+// Returns whether the store certainly did not execute the call, so that it may
+// be sent over another path.
 bool CertainlyNotExecuted(const HttpOutcome& outcome) {
   if (!outcome.response) return outcome.failure == SendFailure::kNothingSent;
   return IsUnavailable(outcome);
@@ -87,13 +90,13 @@
   if (small) probe_request_ = request;
   const absl::Time now = SystemNow().mono;
   const bool can_probe = !probe_request_.path.empty();
-  // A store that refuses is asked itself first: it answers at once, and that is
-  // how its return is noticed.
+  // A store that refuses calls is still called directly first. It answers
+  // immediately, and a successful call shows that it is available again.
   const bool through_peer = failures_ > 0 && !store_refused_ &&
                             !peers_.empty() && (can_probe || now < next_probe_);
   if (through_peer) {
-    // Reads are answered and only appends fail. A large read that went both
-    // ways would come twice over one link.
+    // Reads succeed and only appends fail. A large read sent over both paths
+    // would be transferred twice over the same link.
     const bool only_direct = read && !small && !read_failed_;
     if (!only_direct) {
       const bool send_both_ways = now >= next_probe_ || !read_failed_;
@@ -161,8 +164,8 @@
   if (++failures_ > 1) return;
   lost_since_ = SystemNow().mono;
   if (outcome.response || probe_request_.path.empty()) return;
-  // Perhaps only a kept connection went silent. A read on a new connection
-  // shows whether the store is there before the caller tries again.
+  // Possibly only a kept-alive connection is dead. A read on a new connection
+  // shows whether the store is reachable before the caller retries.
   next_probe_ = lost_since_;
   ProbeDirect();
 }
@@ -171,7 +174,7 @@
                                     absl::Duration timeout,
                                     std::function<void(HttpOutcome)> done) {
   ++relayed_;
-  // The peer that carried the last call goes on until it fails.
+  // The peer that forwarded the last call is used until it fails.
   const size_t number = next_peer_;
   const std::string& peer = peers_[number % peers_.size()];
   Json::Value params = RequestToJson(request);
--- a/keelbridge/daemon/store_failover.h
+++ b/keelbridge/daemon/store_failover.h
@@ -1,14 +1,15 @@
-// Carries calls to the record store, directly or through a peer.
+// Sends calls to the record store, directly or through a peer.
 //
-// A node that alone has lost the store is one hop from it. After a call failed
-// without an answer or was turned away, the next ones go through a peer that
-// still reaches the store; whether the direct way is back is tried beside them,
-// and at once after the first failure, since a kept connection may have gone
-// silent while new ones work. That a call failed says little of the way:
-// answers of appends alone may be lost, and the peer may have lost the store
-// meanwhile. So a read that is such a try goes both ways, and the first answer
-// counts. Appends are fenced and numbered, so that a try that lands twice
-// changes nothing.
+// If only this node has lost its connection to the store, a peer can forward
+// its calls. After a call has failed without an answer or with a refusal, the
+// next calls go through a peer that still reaches the store. Meanwhile the
+// direct path is probed, and also immediately after the first failure, because
+// a kept-alive connection may be dead while new ones work. A failed call is
+// weak evidence that a path is down: perhaps only answers to appends are lost,
+// or the peer has lost the store too. So a read that serves as a probe is sent
+// over both paths, and the first answer counts. Appends carry an epoch and a
+// sequence number, so that an append that reaches the store twice has no
+// further effect.
 //
 //   StoreFailover carrier(loop, store_address, rpc);
 //   carrier.SetPeers({"10.0.0.2:7720"});
@@ -36,14 +37,15 @@
   void Carry(const HttpRequest& request, absl::Duration timeout,
              std::function<void(HttpOutcome)> done) override;
 
-  // Peers that reached the store lately, by address.
+  // Sets the addresses of the peers that reached the store recently.
   void SetPeers(std::vector<std::string> peers) { peers_ = std::move(peers); }
-  // Answers a peer's call of `kMethod`.
+  // Serves a peer's call of `kMethod`.
   void ServePeer(const Json::Value& params, EventRpcServer::Reply reply);
 
-  // Whether this node itself reached the store at its last try.
+  // Returns whether this node's last direct call reached the store.
   bool direct() const { return failures_ == 0; }
-  // Since when it did not; never: it does.
+  // Returns the time of the first of the current consecutive direct failures,
+  // or `InfiniteFuture` if the last direct call succeeded.
   absl::Time lost_since() const { return lost_since_; }
   int64_t calls() const { return calls_; }
   int64_t relayed() const { return relayed_; }
@@ -55,10 +57,10 @@
                   std::function<void(HttpOutcome)> done);
   void SendThroughPeer(const HttpRequest& request, absl::Duration timeout,
                        std::function<void(HttpOutcome)> done);
-  // A read that goes both ways at once.
+  // Sends a read directly and through a peer at the same time.
   void SendBothWays(const HttpRequest& request, absl::Duration timeout,
                     std::function<void(HttpOutcome)> done);
-  // With a read that nobody waits for.
+  // Probes the direct path with a read whose answer is discarded.
   void ProbeDirect();
   void OnDirectOutcome(const HttpOutcome& outcome);
 
@@ -66,18 +68,19 @@
   EventRpcClient& rpc_;
   std::vector<std::string> peers_;
   size_t next_peer_ = 0;
-  int failures_ = 0;            // Direct tries in a row.
-  bool read_failed_ = false;    // The last direct read did.
-  bool store_refused_ = false;  // The store answered, but did nothing.
+  int failures_ = 0;            // Consecutive failures of direct calls.
+  bool read_failed_ = false;    // Whether the last direct read failed.
+  bool store_refused_ = false;  // The store answered, but refused the call.
   absl::Time lost_since_ = absl::InfiniteFuture();
   absl::Time next_probe_ = absl::InfinitePast();
-  HttpRequest probe_request_;  // What tries whether the direct way is back.
+  // The last small read, which is repeated as a probe.
+  HttpRequest probe_request_;
   int64_t calls_ = 0;
   int64_t relayed_ = 0;
 };
 
-// Carries calls that wait for a record; each has a connection of its own and
-// there is nobody else to ask.
+// Sends long-poll calls, which wait for a record, to the store. Each has its
+// own connection, and there is no failover through a peer.
 class StoreLongPolls : public StoreTransport {
  public:
   StoreLongPolls(boost::asio::io_context& loop, const Address& store);
--- a/keelbridge/daemon/store_failover_test.cc
+++ b/keelbridge/daemon/store_failover_test.cc
@@ -11,7 +11,8 @@
 namespace keelbridge {
 namespace {
 
-// The kernel picks the port: several runs of the tests may share a machine.
+// Port 0 lets the kernel choose a free port, because several test runs may
+// share a machine.
 const Address kAnyPort{"127.0.0.1", 0, ""};
 
 HttpOutcome CarryAndWait(boost::asio::io_context& loop,
@@ -30,7 +31,7 @@
   return *result;
 }
 
-// A peer that carries every call and says that it was done.
+// A peer that counts forwarded calls and answers each with success.
 class Peer {
  public:
   explicit Peer(boost::asio::io_context& loop) : server_(loop, kAnyPort) {
@@ -51,14 +52,14 @@
   std::string address;
   int forwarded = 0;
   Json::Value last_params;
-  bool unresponsive = false;  // It keeps what it would answer.
+  bool unresponsive = false;  // It does not answer calls.
   std::vector<EventRpcServer::Reply> unanswered_calls;
 
  private:
   EventRpcServer server_;
 };
 
-TEST_CASE("store failover: what the store turned away goes through a peer") {
+TEST_CASE("store failover: a call that the store refused goes through a peer") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -84,7 +85,7 @@
   CHECK(peer.forwarded == 1);
   CHECK(asked == 1);
   CHECK(!carrier.direct());
-  // Another answer is the store's own, whatever it says.
+  // Any other status is the store's answer and is returned as is.
   status = 409;
   StoreFailover second(loop, {"127.0.0.1", port.value(), ""}, rpc);
   second.SetPeers({peer.address});
@@ -92,9 +93,11 @@
   CHECK(peer.forwarded == 1);
 }
 
-// Its return was noticed by a try every 0.4 s, while the peer's own calls were
-// still refused or hung; now by the next call.
-TEST_CASE("store failover: a store that refuses is asked itself again") {
+// If calls went only through a peer, whose own calls may be refused or hang,
+// the store's recovery would be noticed only by a periodic probe (every 0.4 s)
+// instead of by the next call.
+TEST_CASE(
+    "store failover: a store that refused a call is called directly again") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -120,7 +123,7 @@
   CHECK(peer.forwarded == 1);
 }
 
-TEST_CASE("store failover: what nobody can tell of is not sent twice") {
+TEST_CASE("store failover: a call with an unknown outcome is not sent twice") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -148,8 +151,9 @@
   CHECK(peer.forwarded == 0);
 }
 
-// A peer may have lost its connections at the same moment.
-TEST_CASE("store failover: a silent connection does not lead to a peer") {
+// A peer may have lost its connections at the same time.
+TEST_CASE(
+    "store failover: a dead connection does not cause a failover to a peer") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -184,14 +188,14 @@
   CHECK(carry("GET"));
   proxy.SilenceOpenConnections();
   CHECK_FALSE(carry("POST"));
-  // The pause of a writer before it tries again.
+  // A writer's delay before it retries.
   loop.run_for(std::chrono::milliseconds(60));
   loop.restart();
   CHECK(carrier.direct());
   CHECK(carry("POST"));
   CHECK(peer.forwarded == 0);
   CHECK(appends == 1);
-  // A store that does not answer new ones either is reached through a peer.
+  // If the store does not answer on new connections either, a peer is used.
   proxy.SetMode(testing::FaultProxy::Mode::kDropAll);
   CHECK_FALSE(carry("POST"));
   CHECK(carry("POST"));
@@ -199,7 +203,8 @@
 }
 
 TEST_CASE(
-    "store failover: a peer gives a silent store up as its caller would") {
+    "store failover: a peer applies the caller's limit on an unresponsive "
+    "store") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -217,7 +222,7 @@
   HttpRequest request;
   request.path = "/log";
   request.progress_timeout = absl::Milliseconds(100);
-  // The first goes to the store, the second to the peer.
+  // The first call goes to the store, the second to the peer.
   for (int i = 0; i < 2; ++i) {
     carrier.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
     loop.run_for(std::chrono::milliseconds(300));
@@ -231,7 +236,7 @@
                   [&](const JsonRpcReply&) { answered = true; });
   loop.run_for(std::chrono::milliseconds(500));
   CHECK(answered);
-  // None is told of when there is none.
+  // Without such a limit the field is left out.
   request.progress_timeout = absl::InfiniteDuration();
   carrier.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
   loop.restart();
@@ -240,8 +245,8 @@
 }
 
 TEST_CASE(
-    "store failover: a read is answered by the store itself though its appends "
-    "are not and the peer hangs") {
+    "store failover: a read succeeds directly while appends get no answer and "
+    "the peer hangs") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -288,16 +293,16 @@
   loop.run_for(std::chrono::milliseconds(300));
   CHECK(body == "of the store");
   CHECK(carrier.direct());
-  // What the peer says later changes nothing.
+  // A later answer from the peer is ignored.
   loop.restart();
   loop.run_for(std::chrono::milliseconds(700));
   CHECK(answers == 1);
 }
 
-// A node that does not lead asks the store seldom: what was kept open since may
-// have gone silent, and to find that out costs a time-out.
+// A node that does not lead rarely calls the store, so its idle connection may
+// be dead, and discovering that costs a timeout.
 TEST_CASE(
-    "store failover: a call after a pause goes by a connection of its own") {
+    "store failover: a call after an idle period opens a new connection") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -329,7 +334,7 @@
   CHECK(answered == 2);
 }
 
-TEST_CASE("store failover: a read takes the direct way that is back") {
+TEST_CASE("store failover: a read uses the direct path once it works again") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -370,17 +375,17 @@
   run(300);
   CHECK(peer.forwarded == 1);
   CHECK(answers == 1);
-  // What becomes of the call to the peer is heard by nobody.
+  // The outcome of the call to the peer is not reported.
   run(2200);
   CHECK(answers == 1);
-  CHECK(calls == 2);  // The first read, and the second once.
+  CHECK(calls == 2);  // One for the first read and one for the second.
 }
 
-// The first read of a node brings the whole configuration, which a thin link
-// does not carry within a try.
+// A node's first read returns the whole configuration, which a slow link cannot
+// transfer within a probe.
 TEST_CASE(
-    "store failover: the direct way is not tried with a read that may bring "
-    "much") {
+    "store failover: the direct path is not probed with a potentially large "
+    "read") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
--- a/keelbridge/daemon/worker_pool.cc
+++ b/keelbridge/daemon/worker_pool.cc
@@ -16,7 +16,7 @@
       [](const auto& c) -> const std::string& { return c.worker; }, command);
 }
 
-// Puts a typed reply, or nothing, into an answer.
+// Converts an optional typed reply to an answer.
 template <typename Reply>
 WorkerAnswer ToAnswer(std::optional<Reply> reply) {
   if (!reply) return std::monostate();
--- a/keelbridge/daemon/worker_pool.h
+++ b/keelbridge/daemon/worker_pool.h
@@ -1,11 +1,15 @@
-// Carries commands to workers on a few threads and hands the replies back.
+// Sends commands to workers on a few threads and returns the replies through a
+// callback.
 //
-// Workers that did not answer last time have threads of their own, so that a
-// lost rack does not hold up the rest.
+// Commands to workers that did not answer their previous command use separate
+// threads, so that an unreachable rack does not delay the others.
 //
-//   WorkerPool pool(12, [&](WorkerCall call, WorkerAnswer answer) {
-//   ring.Push(...); }); pool.SetAddresses({{"w1", "10.0.0.1:80"}}); if
-//   (!pool.Send(action, sent_at)) ...
+//   WorkerPool pool(12, absl::Seconds(1),
+//                   [&](WorkerCall call, WorkerAnswer answer) {
+//                     ring.Push(...);
+//                   });
+//   pool.SetAddresses({{"w1", "10.0.0.1:80"}});
+//   if (!pool.Send({command, sent_at})) ...
 
 #ifndef KEELBRIDGE_DAEMON_WORKER_POOL_H_
 #define KEELBRIDGE_DAEMON_WORKER_POOL_H_
@@ -33,10 +37,10 @@
 
 struct WorkerCall {
   WorkerCommand command;
-  absl::Time sent_at;  // Monotonic; taken before the command was queued.
+  absl::Time sent_at;  // Monotonic time, taken before the command was queued.
 };
 
-// Empty when no answer came.
+// `std::monostate` if the worker did not answer.
 using WorkerAnswer = std::variant<std::monostate, HoldReply, CommandReply>;
 
 class WorkerPool {
@@ -47,7 +51,8 @@
   ~WorkerPool();
 
   void SetAddresses(const std::map<std::string, std::string>& addresses);
-  // False when too much waits already; the command was then not sent.
+  // Returns false if too many commands are queued; the command is then not
+  // sent.
   bool Send(WorkerCall call);
   void Stop();
 
