--- a/cmd/keelbridge_gateway_main.cc
+++ b/cmd/keelbridge_gateway_main.cc
@@ -1,4 +1,4 @@
-// keelbridge-gateway: see keelbridge/daemon/gateway.h.
+// Main function of keelbridge-gateway; see keelbridge/daemon/gateway.h.
 
 #include <iostream>
 
@@ -8,12 +8,12 @@
 #include "keelbridge/daemon/daemon_main.h"
 #include "keelbridge/daemon/gateway.h"
 
-ABSL_FLAG(std::string, settings, "", "settings file, JSON with comments");
-ABSL_FLAG(bool, version, false, "print the version and end");
+ABSL_FLAG(std::string, settings, "", "settings file (JSON with comments)");
+ABSL_FLAG(bool, version, false, "print the version and exit");
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
-      "keelbridge-gateway --settings=FILE\nCheck a settings file first: "
+      "keelbridge-gateway --settings=FILE\nValidate a settings file with: "
       "keelbridge check FILE");
   absl::ParseCommandLine(argc, argv);
   if (absl::GetFlag(FLAGS_version)) {
--- a/cmd/keelbridge_main.cc
+++ b/cmd/keelbridge_main.cc
@@ -1,5 +1,5 @@
-// keelbridge: the operators' and callers' command line; see
-// keelbridge/cli/commands.h.
+// Main function of keelbridge, the command-line tool for operators and callers;
+// see keelbridge/cli/commands.h.
 
 #include <iostream>
 #include <string>
@@ -11,23 +11,22 @@
 #include "absl/strings/str_split.h"
 #include "keelbridge/cli/commands.h"
 
-ABSL_FLAG(bool, json, false, "print for programs");
+ABSL_FLAG(bool, json, false, "print JSON for programs");
 ABSL_FLAG(std::string, log, "", "address of the platform's log");
 ABSL_FLAG(std::string, scheduler, "",
           "addresses of the zone's schedulers, separated by commas");
 ABSL_FLAG(std::string, gateway, "",
-          "address of a gateway, or of the balancer before them");
-ABSL_FLAG(std::string, out, "", "file for the plan");
-ABSL_FLAG(std::string, method, "GET", "method of the request");
+          "address of a gateway, or of the load balancer in front of them");
+ABSL_FLAG(std::string, out, "", "file to write the plan to");
+ABSL_FLAG(std::string, method, "GET", "HTTP method of the request");
 ABSL_FLAG(std::string, key, "", "idempotency key of the request");
 ABSL_FLAG(std::string, ticket, "",
-          "ticket of the request; \"new\" gets one first");
+          "ticket of the request; \"new\" obtains one first");
 ABSL_FLAG(std::string, body, "", "body of the request");
-ABSL_FLAG(std::string, zone, "", "zone of a drain");
-ABSL_FLAG(absl::Duration, timeout, absl::Seconds(10),
-          "how long to wait at most");
-ABSL_FLAG(bool, follow, false, "watch: go on until interrupted");
-ABSL_FLAG(bool, yes, false, "drain: confirm the plan at once");
+ABSL_FLAG(std::string, zone, "", "drain: availability zone");
+ABSL_FLAG(absl::Duration, timeout, absl::Seconds(10), "maximum time to wait");
+ABSL_FLAG(bool, follow, false, "watch: continue until interrupted");
+ABSL_FLAG(bool, yes, false, "drain: confirm the plan immediately");
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(keelbridge::cli::Usage());
--- a/cmd/keelbridge_node_main.cc
+++ b/cmd/keelbridge_node_main.cc
@@ -1,5 +1,5 @@
-// keelbridge-node: a node of a site on the users' platform; see
-// keelbridge/daemon/site_node.h.
+// Main function of keelbridge-node, a node of a site on the users' platform;
+// see keelbridge/daemon/site_node.h.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -20,7 +20,7 @@
 #include "platform/workers.h"
 
 ABSL_FLAG(std::string, settings, "",
-          "settings file; without it, the platform's own place");
+          "settings file; by default the platform's standard path");
 
 namespace {
 
@@ -34,7 +34,8 @@
   return keelbridge::ParseNodeSettings(text.value(), path);
 }
 
-// An exception in one handler is that handler's failure, not the process's.
+// Runs the event loop until it is stopped. An exception fails only the handler
+// that threw it, not the process.
 void RunLoop(boost::asio::io_context& loop) {
   for (;;) {
     try {
@@ -46,12 +47,13 @@
   }
 }
 
+// On each SIGHUP, validates the settings file and logs the result.
 void WatchReload(boost::asio::signal_set& reload, const std::string& path) {
   reload.async_wait([&reload, path](boost::system::error_code error, int) {
     if (error) return;
     const auto settings = LoadSettings(path);
     LogEvent(settings ? Severity::kInfo : Severity::kError, "settings_read",
-             {{"what", settings ? "in order; addresses hold until a restart"
+             {{"what", settings ? "valid; address changes need a restart"
                                 : settings.error().message}});
     WatchReload(reload, path);
   });
@@ -89,7 +91,8 @@
   WatchReload(reload, path);
   RunLoop(loop);
   keelbridge::StopLogging();
-  // The loop's handlers hold what stands on this stack: end without them.
+  // The loop's pending handlers refer to objects on this stack. Exit without
+  // destroying either.
   std::cout.flush();
   std::_Exit(keelbridge::kExitOk);
 }
--- a/cmd/keelbridge_scheduler_main.cc
+++ b/cmd/keelbridge_scheduler_main.cc
@@ -1,4 +1,4 @@
-// keelbridge-scheduler: see keelbridge/daemon/scheduler.h.
+// Main function of keelbridge-scheduler; see keelbridge/daemon/scheduler.h.
 
 #include <iostream>
 
@@ -8,12 +8,12 @@
 #include "keelbridge/daemon/daemon_main.h"
 #include "keelbridge/daemon/scheduler.h"
 
-ABSL_FLAG(std::string, settings, "", "settings file, JSON with comments");
-ABSL_FLAG(bool, version, false, "print the version and end");
+ABSL_FLAG(std::string, settings, "", "settings file (JSON with comments)");
+ABSL_FLAG(bool, version, false, "print the version and exit");
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
-      "keelbridge-scheduler --settings=FILE\nCheck a settings file first: "
+      "keelbridge-scheduler --settings=FILE\nValidate a settings file with: "
       "keelbridge check FILE");
   absl::ParseCommandLine(argc, argv);
   if (absl::GetFlag(FLAGS_version)) {
--- a/keelbridge/daemon/claim_service.cc
+++ b/keelbridge/daemon/claim_service.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr int kMaxReadsPerStep = 50;
-// While callers wait, a step goes on for so long, with such pauses.
+// While callers wait, a step repeats its rounds of appending and reading for at
+// most kMaxStepDuration, with a pause of kRoundInterval between rounds.
 constexpr absl::Duration kMaxStepDuration = absl::Seconds(1);
 constexpr absl::Duration kRoundInterval = absl::Milliseconds(10);
 
@@ -40,7 +41,7 @@
     absl::MutexLock lock(&mutex_);
     if (table_.caught_up() && table_.OwnerOf(key) != ClaimTable::Owner::kNobody)
       return Answer::kAlreadyClaimed;
-    // A second send of the same request to this same gateway.
+    // The same request was sent to this gateway before.
     if (!local_keys_.insert(key).second) return Answer::kAlreadyClaimed;
     ++waiters_;
   }
@@ -64,8 +65,8 @@
   }
   if (owner == ClaimTable::Owner::kSelf) return Answer::kGranted;
   if (owner == ClaimTable::Owner::kOther) return Answer::kAlreadyClaimed;
-  // The claim may still reach the log; the release behind it in the same writer
-  // frees the key again.
+  // The claim may still reach the log. The release is queued behind it in the
+  // same writer, so it frees the key again.
   Release(key);
   return Answer::kNotRecorded;
 }
--- a/keelbridge/daemon/claim_service.h
+++ b/keelbridge/daemon/claim_service.h
@@ -1,10 +1,11 @@
-// Claims idempotency keys in the log for callers that wait, many claims in one
-// append.
+// Claims idempotency keys in the log on behalf of waiting callers. Many claims
+// share one append.
 //
-//   ClaimService desk(log, incarnation, timeout, gateways);
-//   ClaimService::Answer answer = desk.Claim(key, deadline);   // On the
-//   caller's thread. desk.Step();                                            //
-//   On the duty's thread.
+//   ClaimService claims(log, incarnation, log_timeout, append_every);
+//   // On a caller's thread:
+//   ClaimService::Answer answer = claims.Claim(key, wait);
+//   // On the thread of a periodic task:
+//   claims.Step();
 
 #ifndef KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
 #define KEELBRIDGE_DAEMON_CLAIM_SERVICE_H_
@@ -28,21 +29,24 @@
 class ClaimService {
  public:
   enum class Answer {
-    kGranted,         // Dispatch it: the only run of this key is yours.
-    kAlreadyClaimed,  // Somebody claimed it before: it may have run.
-    kNotRecorded,  // The log did not take it in time. Nothing was dispatched.
-    kBusy,         // Too many wait.
+    kGranted,         // Only the caller may dispatch the request of this key.
+    kAlreadyClaimed,  // The key was claimed before; its request may have run.
+    kNotRecorded,  // The log did not record it in time. Nothing was dispatched.
+    kBusy,         // Too many entries are queued.
   };
 
   ClaimService(LogClient& log, uint64_t incarnation, absl::Duration log_timeout,
                absl::Duration append_every);
 
+  // Claims `key` and blocks for the result, at most for `wait`.
   Answer Claim(const std::string& key, absl::Duration wait);
-  // The request did not run: its key may be claimed again.
+  // Releases the key of a request that did not run, so that it may be claimed
+  // again.
   void Release(const std::string& key);
 
-  // Reads and appends what is due. Cheap when nothing waits.
+  // Reads and appends what is due. Cheap when no caller waits.
   void Step();
+  // Sets a function that Claim() calls so that Step() runs soon.
   void SetWaker(std::function<void()> wake) { wake_ = std::move(wake); }
 
  private:
@@ -64,8 +68,8 @@
   absl::Time next_idle_read_ = absl::InfinitePast();
   absl::Mutex mutex_;
   ClaimTable table_ ABSL_GUARDED_BY(mutex_);
-  std::set<std::string> local_keys_ ABSL_GUARDED_BY(
-      mutex_);  // Keys that this gateway claimed or is claiming.
+  // Keys that this gateway has claimed or is claiming.
+  std::set<std::string> local_keys_ ABSL_GUARDED_BY(mutex_);
   size_t waiters_ ABSL_GUARDED_BY(mutex_) = 0;
 };
 
--- a/keelbridge/daemon/configuration_follower.h
+++ b/keelbridge/daemon/configuration_follower.h
@@ -1,5 +1,5 @@
-// Keeps a daemon's configuration the newest that it can get: from the log, and
-// from peers when the log is away.
+// Keeps a daemon's configuration up to date: from the log, and from peers while
+// the log is unavailable.
 //
 //   ConfigurationFollower follower(log, timeout);
 //   if (follower.PollLog()) Apply(follower.current());
@@ -24,21 +24,22 @@
   ConfigurationFollower(LogClient& log, absl::Duration timeout)
       : log_(log), timeout_(timeout) {}
 
-  // Reads what is new. True when another version is now in force.
+  // Reads the new records of the log. Returns true if another version is now in
+  // force.
   bool PollLog();
-  // Asks the daemon at `address` for a newer version. True when another version
-  // is now in force.
+  // Asks the daemon at `address` for a newer version. Returns true if another
+  // version is now in force.
   bool PollPeer(const std::string& address);
 
   Configuration current() const;
   int64_t version() const;
   bool log_answers() const;
-  // What a peer is answered: {"version", "text"}; the text only when `have` is
-  // older.
+  // Returns the answer to a peer that has version `have`: {"version", "text"}.
+  // The text is included only if the version in force is newer.
   Json::Value MakePeerReply(int64_t have) const;
-  // The renewal that is due so that retention does not drop the version in
-  // force, if any: when no record has carried it for `every`, which must be
-  // well under half of the log's retention.
+  // Returns an entry that writes the version in force to the log again, if no
+  // record has carried it for `every`, so that the log's retention does not
+  // drop it. `every` must be well under half of the retention.
   std::optional<ConfigurationEntry> RenewalDue(absl::Time now,
                                                absl::Duration every) const;
 
--- a/keelbridge/daemon/daemon_main.h
+++ b/keelbridge/daemon/daemon_main.h
@@ -1,6 +1,7 @@
-// What the mains of the daemons share: flags, settings, signals.
+// Code shared by the main functions of the daemons: settings, exit codes and
+// signals.
 //
-//   return RunDaemon<Gateway>("gateway", argc, argv);
+//   return RunDaemon<Gateway>("keelbridge-gateway", settings_path);
 
 #ifndef KEELBRIDGE_DAEMON_DAEMON_MAIN_H_
 #define KEELBRIDGE_DAEMON_DAEMON_MAIN_H_
@@ -19,27 +20,26 @@
 
 // Exit codes of the daemons.
 constexpr int kExitOk = 0;
-constexpr int kExitFailed =
-    1;  // It could not start, for example because the port is taken.
-constexpr int kExitBadSettings =
-    2;  // The settings are at fault; every fault is printed.
+// The daemon could not start, for example because its port is in use.
+constexpr int kExitFailed = 1;
+// The settings are invalid; every fault is printed.
+constexpr int kExitBadSettings = 2;
 
-// Blocks SIGTERM and SIGINT in this thread and those it starts. Call before any
-// thread starts.
+// Blocks SIGTERM and SIGINT in this thread and the threads it starts later, and
+// ignores SIGPIPE. Must be called before any thread starts.
 inline sigset_t BlockStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
   sigaddset(&signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  // A peer that closes a connection is an error of that call, not a reason to
-  // end.
+  // A connection closed by the peer must fail the write, not end the process.
   std::signal(SIGPIPE, SIG_IGN);
   return signals;
 }
 
-// Runs `Daemon` by the settings at `path` until SIGTERM or SIGINT, then drains
-// it.
+// Runs `Daemon` with the settings file at `path` until SIGTERM or SIGINT, then
+// drains it. Returns the exit code of the process.
 template <typename Daemon>
 int RunDaemon(const std::string& program, const std::string& path) {
   const sigset_t signals = BlockStopSignals();
--- a/keelbridge/daemon/gateway.cc
+++ b/keelbridge/daemon/gateway.cc
@@ -82,7 +82,7 @@
     draining_ = true;
     SendLeaveMessages();
     server_->Drain();
-    // Time for the balancer to see /readyz, while requests that come are still
+    // Gives the balancer time to see /readyz; requests that still arrive are
     // served.
     absl::SleepFor(settings_.drain_notice);
     const absl::Time deadline = SystemNow().mono + settings_.drain_timeout;
@@ -95,7 +95,7 @@
   }
 
  private:
-  // Duties.
+  // Periodic tasks.
 
   void FollowConfiguration() {
     bool changed = configuration_.PollLog();
@@ -105,8 +105,8 @@
       newer_at =
           membership_ ? membership_->NewerConfigurationAt() : std::nullopt;
     }
-    // Peers are asked when they say that they know better, and by a fresh host
-    // that the log does not answer.
+    // Asks a peer that reported a newer version, and all configured peers if
+    // this gateway has no configuration yet and the log does not answer.
     if (newer_at) changed = configuration_.PollPeer(*newer_at) || changed;
     if (configuration_.version() < 0 && !configuration_.log_answers()) {
       for (const std::string& peer : settings_.peers)
@@ -202,7 +202,7 @@
       if (member.name == settings_.name) continue;
       Result<Address> address = ParseAddress(member.address);
       if (!address) continue;
-      // Who does not hear it finds out by probing.
+      // A peer that does not receive it finds out by probing.
       (void)RpcClient(address.value())
           .Call("probe", ToJson(message), kPeerTimeout, TraceContext());
     }
@@ -313,14 +313,15 @@
   RequestServer requests_;
   absl::Mutex mutex_;
   std::unique_ptr<Membership> membership_ ABSL_GUARDED_BY(mutex_);
-  // Of the hosts duty only.
+  // Used only by the hosts task.
   std::set<std::string> leaving_hosts_;
   std::set<std::string> drained_targets_;
-  std::map<std::string, std::shared_ptr<RpcClient>>
-      peers_;                             // Of the membership duty only.
-  std::unique_ptr<RpcClient> scheduler_;  // Of the hosts duty only.
+  // Used only by the membership task.
+  std::map<std::string, std::shared_ptr<RpcClient>> peers_;
+  std::unique_ptr<RpcClient> scheduler_;  // Used only by the hosts task.
   std::unique_ptr<HttpServer> server_;
-  PeriodicTaskRunner tasks_;  // Last: ends first.
+  // Last, so that its threads end before the members they use are destroyed.
+  PeriodicTaskRunner tasks_;
 };
 
 Gateway::Gateway(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
--- a/keelbridge/daemon/gateway.h
+++ b/keelbridge/daemon/gateway.h
@@ -1,5 +1,5 @@
-// The gateway of an entry host: callers' HTTP requests to the targets of its
-// zone.
+// The gateway of an entry host: forwards callers' HTTP requests to the targets
+// of its zone.
 //
 //   Result<std::unique_ptr<Gateway>> gateway = Gateway::Start(settings);
 //   ... until a signal ...
@@ -17,16 +17,16 @@
 
 class Gateway {
  public:
-  // Serves when it returns. It does not wait for the log or a configuration;
-  // `/readyz` tells of those.
+  // Starts serving before it returns. Does not wait for the log or a
+  // configuration; `/readyz` reports whether a configuration is in force.
   static Result<std::unique_ptr<Gateway>> Start(const Settings& settings);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
   int port() const;
-  // A planned stop: tells peers and the balancer, finishes what is in flight,
-  // then returns.
+  // Stops the gateway as planned: notifies peers and the balancer, finishes the
+  // requests in flight, then returns.
   void Drain();
 
  private:
--- a/keelbridge/daemon/node_settings.cc
+++ b/keelbridge/daemon/node_settings.cc
@@ -7,7 +7,7 @@
 namespace keelbridge {
 namespace {
 
-// What a leader sends and receives for each processor that it uses, Mbit/s.
+// Network traffic of a leader, in Mbit/s per processor that it uses.
 constexpr double kLinkMbpsPerProcessor = 45;
 
 void ReadAddress(JsonReader& reader, const std::string& key, bool required,
@@ -35,8 +35,7 @@
       known = true;
     }
     if (!known)
-      reader.ReportFault("switched_off",
-                         "names no mechanism: \"" + name + "\"");
+      reader.ReportFault("switched_off", "unknown mechanism: \"" + name + "\"");
   }
 }
 
@@ -69,7 +68,7 @@
   reader.OptionalString("trace_file", &out.trace_file);
   if (out.trace_file == "-")
     reader.ReportFault("trace_file",
-                       "must be a file: standard output is for logs");
+                       "must be a file; logs use standard output");
   if (reader.Has("seeds")) reader.StringList("seeds", &out.seeds);
   std::string level = "info";
   if (reader.Has("log_level"))
--- a/keelbridge/daemon/node_settings.h
+++ b/keelbridge/daemon/node_settings.h
@@ -1,6 +1,6 @@
-// What a node of a site is told when it starts, in the product's own form: JSON
-// with comments, checked whole before anything runs. Unknown members are passed
-// over, since deployments add some.
+// Settings of a node of a site. The settings file is JSON with comments and is
+// validated completely before anything starts. Unknown members are ignored,
+// because deployments add some.
 //
 //   Result<NodeSettings> settings = ParseNodeSettings(text, "node.json");
 
@@ -21,25 +21,26 @@
 struct NodeSettings {
   std::string name;
   std::string zone;
-  Address client_listen;  // Clients' requests.
-  Address ready_listen;   // The balancer's question whether this node is ready.
-  Address peer_listen;    // Other nodes.
-  // Where other nodes reach this one; port 0: where it listens for them.
+  Address client_listen;  // Serves clients' requests.
+  Address ready_listen;   // Serves the balancer's readiness checks.
+  Address peer_listen;    // Serves RPCs of other nodes.
+  // Address at which other nodes reach this one; if its port is 0, peer_listen.
   Address peer_announce;
   Address metrics_listen;          // Port 0: no metrics are served.
-  std::vector<std::string> seeds;  // "ip:port" of nodes; only the ip is used.
+  std::vector<std::string> seeds;  // "ip:port" of nodes; only the IP is used.
   Address store;
-  int64_t store_append_bytes = 1 << 20;  // That the store takes in one append.
-  Address advice;                        // Port 0: there is none.
-  std::string trace_file;                // Spans as OTLP/JSON lines; "": none.
+  int64_t store_append_bytes = 1 << 20;  // Store's limit for one append.
+  Address advice;                        // Port 0: no advice service.
+  std::string trace_file;  // File for spans as OTLP/JSON lines; "": no tracing.
   Severity log_level = Severity::kInfo;
-  int64_t max_connections = 1500;  // Of clients.
-  // What this machine gives the node: a share of a processor, how fast that
-  // processor is (1: as the measurements were made on), and its network link.
+  int64_t max_connections = 1500;  // Maximum number of client connections.
+  // Resources of the node on this machine: its share of a processor, the speed
+  // of that processor (1: that of the machine on which the capacity figures
+  // were measured) and, as link_mbps, the bandwidth of its network link.
   double processor_share = 1;
   double processor_speed = 1;
-  // Workers whose orders a leader carries itself, for each processor that it
-  // has; see OrderRouting.
+  // Number of workers to which a leader sends orders directly, per processor of
+  // its capacity; see OrderRouting.
   double direct_workers_per_processor = 900;
   double link_mbps = 1000;
 
@@ -48,16 +49,18 @@
   absl::Duration ended_kept = absl::Seconds(120);
   absl::Duration stop_grace = absl::Seconds(6);  // From SIGTERM to SIGKILL.
 
-  // All on, but for what the member "switched_off" names.
+  // All mechanisms are on except those that the member "switched_off" names.
   SchedulerPolicy policy;
 
   std::string PeerAddress() const;
-  // What this node can spend on leading a site, in processors: a leader that
-  // uses a whole processor fills a link of some 45 Mbit/s (docs/CAPACITY.md).
+  // The capacity of this node for leading a site, in processors. The network
+  // link limits it too: a leader that uses a whole processor fills a link of
+  // about 45 Mbit/s (docs/CAPACITY.md).
   double Capacity() const;
 };
 
-// Every fault of `text` at once, or the settings.
+// Parses the settings in `text`, which came from the file `source`. On failure
+// the error lists all faults of `text`.
 Result<NodeSettings> ParseNodeSettings(const std::string& text,
                                        const std::string& source);
 
--- a/keelbridge/daemon/request_server.cc
+++ b/keelbridge/daemon/request_server.cc
@@ -19,7 +19,7 @@
 constexpr size_t kMaxKeyBytes = 256;
 constexpr int kMaxAttempts = 4;
 
-// Headers that belong to one hop and are not handed on.
+// Returns whether a header belongs to one hop and must not be forwarded.
 bool IsHopByHopHeader(const std::string& name) {
   static const auto* names = new std::set<std::string>{"connection",
                                                        "keep-alive",
@@ -233,7 +233,8 @@
   return response;
 }
 
-// The request goes to the one gateway that may dispatch it.
+// Forwards the request to the gateway that issued the ticket, the only one that
+// may dispatch it.
 ServerResponse RequestServer::ForwardToIssuer(const Ticket& ticket,
                                               const ServerRequest& request,
                                               const RequestContext& context,
@@ -299,7 +300,7 @@
   return out;
 }
 
-// Headers that are set anew on each hop.
+// Returns whether a header is set by this class on each hop.
 bool RequestServer::IsPerHopHeader(const std::string& name) {
   for (const char* own :
        {kRequestIdHeader, kAttemptHeader, kDeadlineHeader, kTicketHeader}) {
@@ -393,8 +394,8 @@
   return "no_answer";
 }
 
-// What an attempt's outcome means. An answer to another request, or to
-// another attempt, is no answer.
+// Classifies the outcome of an attempt. An answer to another request or another
+// attempt counts as no answer.
 AttemptResult RequestServer::ClassifyAttempt(HttpOutcome& outcome,
                                              const RequestContext& context,
                                              int attempt) {
@@ -440,7 +441,8 @@
 }
 
 RetryBudget& RequestServer::RetryBudgetFor(const std::string& team) {
-  // Unknown names share one budget, so that made-up ones cost no memory.
+  // Beyond kMaxBudgets teams, further names share one budget, so that made-up
+  // names cannot exhaust memory.
   const bool known = budgets_.size() < kMaxBudgets || budgets_.count(team) > 0;
   return budgets_.try_emplace(known ? team : "", RetryBudget::Options())
       .first->second;
--- a/keelbridge/daemon/request_server.h
+++ b/keelbridge/daemon/request_server.h
@@ -1,8 +1,9 @@
-// Serves callers' requests: from a request to an answer with its verdict.
+// Serves callers' requests and answers each with a verdict.
 //
-// Finds the service, makes sure that what must not run twice does not, chooses
-// targets, retries within deadline and budget, and judges answers. Knows
-// nothing of configuration files, logs or peers; the gateway tells it.
+// Finds the service, prevents requests that must not run twice from doing so,
+// chooses targets, retries within the deadline and the retry budget, and
+// classifies the targets' answers. Does not access configuration files, logs or
+// peers itself; the gateway passes their contents in.
 //
 //   RequestServer requests(settings, incarnation, log, metrics);
 //   requests.ApplyConfiguration(configuration);
@@ -32,7 +33,7 @@
 
 namespace keelbridge {
 
-// Where callers get tickets.
+// Path at which callers obtain tickets.
 constexpr char kTicketPath[] = "/keelbridge/ticket";
 
 // Thread-safe.
@@ -42,25 +43,26 @@
                 Metrics& metrics);
 
   void ApplyConfiguration(const Configuration& configuration);
-  // Targets that get nothing new.
+  // Sets the targets that get no new requests.
   void SetLeaving(const std::set<std::string>& names);
-  // This gateway is `index` of `count` live ones in the zone.
+  // Sets the position of this gateway, `index`, among the `count` live gateways
+  // of the zone.
   void SetShare(int index, int count);
 
-  // Answers a caller. Every answer carries a verdict.
+  // Answers a caller's request. Every answer carries a verdict.
   ServerResponse Serve(const ServerRequest& request, Span& span);
   ServerResponse IssueTicket(const ServerRequest& request);
 
-  // To be stepped by a duty.
+  // The owner must call its Step() from a periodic task.
   ClaimService& claims() { return claims_; }
 
  private:
-  // What a request is allowed and how it is identified.
+  // Identification and limits of a request.
   struct RequestContext {
     std::string service;
     std::string request_id;
     std::string team;
-    absl::Time deadline;  // Monotonic.
+    absl::Time deadline;  // On the monotonic clock.
     bool repeatable = false;
   };
 
@@ -103,7 +105,7 @@
       ABSL_GUARDED_BY(mutex_);
   std::map<std::string, std::string> addresses_ ABSL_GUARDED_BY(mutex_);
   std::map<std::string, std::string> entry_hosts_ ABSL_GUARDED_BY(mutex_);
-  // Gateways that issued tickets, by address.
+  // Clients of the gateways that issued tickets, by address.
   std::map<std::string, std::shared_ptr<HttpClient>> ticket_issuers_
       ABSL_GUARDED_BY(mutex_);
   std::map<std::string, RetryBudget> budgets_ ABSL_GUARDED_BY(mutex_);
--- a/keelbridge/daemon/scheduler.cc
+++ b/keelbridge/daemon/scheduler.cc
@@ -35,7 +35,7 @@
 constexpr absl::Duration kCoreCallTimeout = absl::Seconds(5);
 constexpr absl::Duration kConfigurationRenewalInterval = absl::Minutes(10);
 
-// Something for the one thread that owns the `ZoneScheduler`.
+// A function to run on the thread that owns the `ZoneScheduler`.
 using Event = std::function<void(ZoneScheduler&, Now)>;
 
 ZoneScheduler::Options MakeOptions(const Settings& settings,
@@ -53,7 +53,7 @@
   options.leases.lease_ttl = settings.lease_ttl;
   options.leases.command_validity = settings.command_validity;
   options.leases.clock_error = settings.clock_error;
-  // Silence is more than a poll or two that went wrong.
+  // The log counts as down only after more than one or two failed polls.
   options.log_down_after =
       std::max(options.log_down_after, 3 * settings.poll_every);
   options.log.incarnation = incarnation;
@@ -125,7 +125,8 @@
     LogEvent(Severity::kInfo, "scheduler_drains", {});
     draining_ = true;
     server_->Drain();
-    // Releases go out, and what waits for the log gets the time to reach it.
+    // Sends the releases of leadership, and gives the queued entries time to
+    // reach the log.
     CallCore([this](ZoneScheduler& core, Now now) {
       for (Action& action : core.HandOver(now))
         ExecuteAction(std::move(action), now.mono);
@@ -145,12 +146,12 @@
  private:
   void Stop() {
     if (server_) server_->Stop();
-    // Its threads wake the decider, so they end first.
+    // The worker pool's threads wake the decider, so they must end first.
     workers_.Stop();
     tasks_.Stop();
   }
 
-  // The one thread that owns the core.
+  // Functions of the thread that owns the core.
 
   void Step() {
     for (Event& event : events_.Drain(kMaxEventsPerStep))
@@ -203,15 +204,16 @@
     });
   }
 
-  // An event that finds no room is lost like a message on the network; the core
-  // settles it in the same way.
+  // Queues an event. If the queue is full, the event is dropped, which the core
+  // handles like a message lost on the network.
   void PushEvent(Event event) {
     if (!events_.Push(std::move(event)))
       metrics_.Count("events_dropped_total", {});
     if (decider_task_ != nullptr) decider_task_->Wake();
   }
 
-  // Runs `f` on the core's thread and waits for its result.
+  // Runs `f` on the core's thread and waits for its result. Returns nullopt
+  // after kCoreCallTimeout.
   template <typename F>
   auto CallCore(F f)
       -> std::optional<decltype(f(std::declval<ZoneScheduler&>(), Now()))> {
@@ -250,7 +252,7 @@
     metrics_.Set("log_down", {}, core_.LogDown(now.mono) ? 1 : 0);
   }
 
-  // Duties around it.
+  // The other periodic tasks.
 
   void FollowConfiguration() {
     bool changed = configuration_.PollLog();
@@ -276,7 +278,7 @@
         SystemNow().mono, kConfigurationRenewalInterval);
     if (!renewal) return;
     const Envelope envelope{{RandomId() >> 1, 1}, {*renewal}};
-    // A renewal that is lost is made again at the next poll.
+    // A lost renewal is repeated at the next poll.
     (void)log_.Append(kConfigurationStream, EnvelopeToText(envelope),
                       settings_.log_timeout);
   }
@@ -306,7 +308,7 @@
       PushEvent([answer](ZoneScheduler& core, Now now) {
         core.OnAppendAnswer(answer, now);
       });
-      // What was written counts when it has been read back.
+      // An entry takes effect only once it has been read back from the log.
       log_reader_task_->Wake();
     }
   }
@@ -320,7 +322,7 @@
     });
   }
 
-  // Operators and peers.
+  // Requests of operators and peers.
 
   ServerResponse Handle(const ServerRequest& request) {
     if (request.path == "/healthz") return {200, {}, "ok\n", "text/plain"};
@@ -349,7 +351,8 @@
                                 absl::Seconds(1)));
   }
 
-  // Only the leader knows what is decided; a caller tries the next scheduler.
+  // Only the leader knows the decisions. An error makes the caller try the next
+  // scheduler.
   static JsonRpcReply LeaderReply(const Json::Value& value) {
     if (value["leads"].asBool()) return Reply(value);
     return ToRpcReply(MakeError(ErrorCode::kUnavailable,
@@ -459,7 +462,8 @@
                                 "same plan again, which is harmless"));
   }
 
-  // The refusal of a stale plan carries a fresh one for the same intents.
+  // The reply that rejects a stale plan contains a new plan for the same
+  // intents.
   JsonRpcReply StaleReply(const Plan& plan, const Error& error) {
     auto new_plan =
         CallCore([intents = plan.intents](ZoneScheduler& core, Now now) {
@@ -541,7 +545,7 @@
   std::atomic<bool> draining_{false};
   std::atomic<bool> leads_{false};
   int port_ = 0;
-  ZoneScheduler core_;  // Of the decider duty only.
+  ZoneScheduler core_;  // Used only by the decider task.
   absl::Time next_publish_ = absl::InfinitePast();
   WorkerPool workers_;
   PeriodicTask* decider_task_ = nullptr;
--- a/keelbridge/daemon/scheduler.h
+++ b/keelbridge/daemon/scheduler.h
@@ -17,16 +17,16 @@
 
 class Scheduler {
  public:
-  // Serves when it returns. It does not wait for the log or a configuration;
-  // `/readyz` tells of those.
+  // Starts serving before it returns. Does not wait for the log or a
+  // configuration; `/readyz` reports whether a configuration is in force.
   static Result<std::unique_ptr<Scheduler>> Start(const Settings& settings);
   ~Scheduler();
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
   int port() const;
-  // A planned stop: gives leadership back, lets the log take what waits for it,
-  // then returns.
+  // Stops the scheduler as planned: releases leadership, waits for the queued
+  // entries to reach the log, then returns.
   void Drain();
 
  private:
--- a/keelbridge/daemon/settings.cc
+++ b/keelbridge/daemon/settings.cc
@@ -63,7 +63,7 @@
   if (out.lease_ttl < 2 * out.hold_ttl) {
     reader.ReportFault(
         "lease_ttl_ms",
-        "must be at least twice hold_ttl_ms, so that tasks outlive a "
+        "must be at least twice hold_ttl_ms, so that tasks survive a "
         "change of leader");
   }
   reader.Finish();
@@ -74,9 +74,9 @@
 Result<std::string> ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file)
-    return MakeError(
-        ErrorCode::kNotFound,
-        absl::StrCat("cannot read ", path, "; check the path and its rights"));
+    return MakeError(ErrorCode::kNotFound,
+                     absl::StrCat("cannot read ", path,
+                                  "; check the path and its permissions"));
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
--- a/keelbridge/daemon/settings.h
+++ b/keelbridge/daemon/settings.h
@@ -1,5 +1,5 @@
-// What a daemon is told when it starts: JSON with comments, checked whole
-// before anything runs.
+// Settings of a gateway or scheduler daemon. The settings file is JSON with
+// comments and is validated completely before anything starts.
 //
 //   Result<Settings> settings = ParseSettings(text, "gateway.json");
 
@@ -16,34 +16,41 @@
 namespace keelbridge {
 
 struct Settings {
-  std::string
-      name;  // Of this entry host; the same for its gateway and its scheduler.
+  // Name of this entry host, the same for its gateway and its scheduler.
+  std::string name;
   std::string zone;
-  std::string
-      listen;       // Where this daemon serves. Port 0: the kernel picks one.
-  std::string log;  // The platform's log service.
-  std::string host_list;           // The platform's list of leaving hosts.
-  std::vector<std::string> peers;  // Gateways of the zone, to start from.
-  std::string scheduler;   // Of a gateway: a scheduler of its zone, which tells
-                           // of drained targets.
-  std::string ready_file;  // Written with the port when the daemon serves.
-  std::string trace_file;  // Spans as OTLP/JSON lines; "-": standard output.
+  // Address at which this daemon serves. Port 0: the kernel picks one.
+  std::string listen;
+  std::string log;        // Address of the platform's log service.
+  std::string host_list;  // Address of the platform's list of leaving hosts.
+  // Addresses of gateways of the zone: the initial members to contact, and
+  // sources of the configuration while the log does not answer.
+  std::vector<std::string> peers;
+  // For a gateway: a scheduler of its zone, which reports the drained targets.
+  std::string scheduler;
+  // File to which the port is written once the daemon serves.
+  std::string ready_file;
+  // File for spans as OTLP/JSON lines; "-": standard output.
+  std::string trace_file;
   Severity log_level = Severity::kInfo;
 
-  int64_t max_connections = 256;  // Callers' connections served at a time.
+  int64_t max_connections = 256;  // Callers' connections served concurrently.
   int64_t max_body_bytes = 4 << 20;
   absl::Duration log_timeout = absl::Seconds(2);
-  absl::Duration poll_every = absl::Seconds(2);  // Of log and host list.
-  // Least time between two appends of this daemon to the log, which takes about
-  // a hundred a second from everybody together.
+  // Interval between polls of the log and the host list.
+  absl::Duration poll_every = absl::Seconds(2);
+  // Minimum time between two appends of this daemon to the log, which accepts
+  // about a hundred appends a second from all its clients together.
   absl::Duration append_every = absl::Milliseconds(200);
-  absl::Duration drain_notice =
-      absl::Seconds(2);  // From the signal to no longer accepting.
-  absl::Duration drain_timeout =
-      absl::Seconds(30);  // At most until requests in flight have ended.
+  // Time from the stop signal until no new requests are accepted. For a
+  // scheduler, how long its queued entries have to reach the log.
+  absl::Duration drain_notice = absl::Seconds(2);
+  // Maximum time to wait for requests in flight while draining.
+  absl::Duration drain_timeout = absl::Seconds(30);
 
-  // Scheduler.
-  absl::Duration tick = absl::Milliseconds(100);  // Replies wake it earlier.
+  // Used by schedulers only.
+  // Maximum time between two steps; replies cause earlier ones.
+  absl::Duration tick = absl::Milliseconds(100);
   absl::Duration hold_ttl = absl::Seconds(3);
   absl::Duration lease_ttl = absl::Seconds(10);
   absl::Duration command_validity = absl::Seconds(1);
@@ -51,11 +58,12 @@
   int64_t worker_threads = 12;
 };
 
-// Every fault of `text` at once, or the settings.
+// Parses the settings in `text`, which came from the file `source`. On failure
+// the error lists all faults of `text`.
 Result<Settings> ParseSettings(const std::string& text,
                                const std::string& source);
 
-// The whole file, or why it cannot be read.
+// Returns the contents of the file at `path`, or an error if it cannot be read.
 Result<std::string> ReadFile(const std::string& path);
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/site_node.cc
+++ b/keelbridge/daemon/site_node.cc
@@ -13,19 +13,21 @@
 namespace {
 
 constexpr absl::Duration kElectionInterval = absl::Milliseconds(100);
-// Looks whether the configuration has to be confirmed; see `Freshness`.
+// How often to check whether the configuration must be confirmed; see
+// `Freshness`.
 constexpr absl::Duration kConfigurationCheckInterval = absl::Milliseconds(100);
-// Looks whether a heartbeat is due.
+// How often to check whether a heartbeat is due.
 constexpr absl::Duration kHeartbeatCheckInterval = absl::Milliseconds(50);
-// A node is ready while a leader that takes jobs answered this lately.
+// A node is ready if a leader that accepts jobs answered within this time.
 constexpr absl::Duration kMaxLeaderAnswerAge = absl::Milliseconds(1500);
-// From the stop signal until nothing new arrives: the balancer looks every
-// second and takes a node out after two misses.
+// Time from the stop signal until no new requests arrive: the balancer checks
+// readiness every second and removes a node after two failed checks.
 constexpr absl::Duration kDrainNotice = absl::Milliseconds(2300);
-// Before the grace ends, so that the process ends by itself.
+// The process ends this long before the grace period does, so that it exits by
+// itself.
 constexpr absl::Duration kGraceMargin = absl::Milliseconds(500);
-// Before that, all calls that wait are answered: what was read of a client must
-// not end without an answer.
+// All pending calls are answered this long before the process ends: a request
+// that was read from a client must not go without an answer.
 constexpr absl::Duration kFinalRepliesMargin = absl::Milliseconds(500);
 constexpr int kNotFoundStatus = 404;
 constexpr int kUnavailableStatus = 503;
@@ -75,7 +77,7 @@
   auto timer = std::make_shared<EventTimer>(loop_);
   auto run = std::make_shared<std::function<void()>>();
   *run = [timer, period, step = std::move(step), run] {
-    // Also when the step throws: the duty goes on with its next turn.
+    // Schedules the next call also if this one throws.
     const auto schedule_next = absl::MakeCleanup([&timer, &period, &run] {
       timer->expires_after(absl::ToChronoNanoseconds(period));
       timer->async_wait([run](boost::system::error_code error) {
--- a/keelbridge/daemon/site_node.h
+++ b/keelbridge/daemon/site_node.h
@@ -1,5 +1,5 @@
-// A node of a site: takes clients' calls, follows the configuration, knows who
-// leads, and leads when it is its turn.
+// A node of a site: serves clients' calls, follows the configuration and the
+// leader election, and leads the site when it is elected.
 //
 //   SiteNode node(loop, settings, ports, carrier, rpc);
 //   Result<void> started = node.Start();
@@ -33,19 +33,19 @@
 
 namespace keelbridge {
 
-// All on the loop's thread.
+// Not thread-safe: all members run on the thread of the event loop.
 class SiteNode {
  public:
   SiteNode(boost::asio::io_context& loop, NodeSettings settings,
            NodePorts ports, StoreFailover& store_failover, EventRpcClient& rpc);
 
   Result<void> Start();
-  // A planned stop: no longer ready, hands leadership over, finishes what is in
-  // flight, then calls `done`.
+  // Stops the node as planned: reports not ready, hands leadership over,
+  // finishes the calls in flight, then calls `done`.
   void Drain(std::function<void()> done);
 
  private:
-  // Another node, as far as this one has heard of it.
+  // Another node, as last reported to this one.
   struct Peer {
     std::string name;
     std::string address;
@@ -53,48 +53,51 @@
     bool store_ok = false;
     double capacity = 1;  // In processors; see NodeSettings::Capacity.
     absl::Time last_report = absl::InfinitePast();
-    bool was_fresh = false;  // At the last look.
+    bool was_fresh = false;  // At the last call of UpdatePeers.
   };
-  // A client's call on its way to an answer.
+  // A client's call that has not been answered yet.
   struct PendingCall {
     ClientCall call;
     absl::Time started_at;
     absl::Time deadline;
     CallOutcome call_outcome;
     absl::Duration retry_delay;  // Before the next try.
-    std::string trace;  // W3C traceparent of this node's span; "": not traced.
+    // W3C traceparent of this node's span; empty if the call is not traced.
+    std::string trace;
     std::function<void(ClientReply)> reply;
   };
 
   // site_node.cc
+  // Calls `step` at once and then again `period` after each call, even if a
+  // call throws.
   void RunPeriodically(absl::Duration period, std::function<void()> step);
   void ServeReady(const ServerRequest& request,
                   const EventHttpServer::Reply& reply);
   void ServeMetrics(const ServerRequest& request,
                     const EventHttpServer::Reply& reply);
   bool Ready() const;
-  // Nobody leads, as far as this node can tell, and it does not itself.
+  // True if this node does not lead and no leader has answered it recently.
   bool LeaderOutOfReach() const;
   void AddPeerMethods();
   void AddOrderMethods();
 
   // site_node_clients.cc
   void ServeClient(const ServerRequest& request, EventHttpServer::Reply reply);
-  // The answer to a call that this node cannot pass on: what it asks for does
-  // not exist, or perhaps does by a newer configuration.
+  // Returns the answer to a call that this node cannot forward: what it asks
+  // for does not exist, or might exist in a newer configuration.
   ClientReply DenialReply(const ServerRequest& request,
                           const Error& error) const;
-  // Counts and logs how a call was answered.
+  // Counts and logs the answer to a call.
   void RecordReply(ClientCallKind kind, JobId job, const ClientReply& answer,
                    int status, absl::Duration took);
   void TryCall(const std::shared_ptr<PendingCall>& pending);
   void TryLocally(const std::shared_ptr<PendingCall>& pending);
   void TryRemotely(const std::string& address,
                    const std::shared_ptr<PendingCall>& pending);
-  // Answers the call, unless it was answered before.
+  // Answers the call unless it has been answered already.
   void Finish(const std::shared_ptr<PendingCall>& pending,
               const ClientReply& reply);
-  // Answers all calls that wait: the process is about to end.
+  // Answers all pending calls because the process is about to end.
   void GiveUpAll();
   void RetryLater(const std::shared_ptr<PendingCall>& pending);
   void GiveUp(const std::shared_ptr<PendingCall>& pending);
@@ -102,14 +105,19 @@
   // site_node_peers.cc
   absl::Duration HeartbeatPeriod() const;
   void Heartbeat();
-  // `sent`: when the heartbeat was; `timeout`: how long its answer was waited
-  // for.
+  // Handles the outcome of the heartbeat that was sent to `to` at `sent` with
+  // the timeout `timeout`.
   void OnHeartbeatReply(const RpcOutcome& outcome, const LeaderRecord& to,
                         absl::Time sent, absl::Duration timeout);
   Json::Value HandleHeartbeat(const Json::Value& params);
   void RecordPeer(const Json::Value& in);
+  // Records the peers in the leader's heartbeat answer. An answer without a
+  // list confirms the previous one.
   void RecordLeaderPeers(const Json::Value& answer);
+  // Removes expired peers and passes the others to the election, the store
+  // failover, the leader session and the order relay client.
   void UpdatePeers();
+  // Builds the list of peers that this node reports in heartbeat answers.
   void UpdatePeerList();
   Json::Value DescribeSelf() const;
   void FetchConfiguration(const std::string& address);
@@ -124,63 +132,69 @@
                            const std::string& detail);
   void AskPeersThenClaim();
   void Claim();
-  // Records of who leads, of which the stream ends at `end`.
+  // Applies records of the control stream, which name the leader. The stream
+  // ended at `end` when it was read, at `read`.
   void ApplyControlRecords(const std::vector<Record>& records, int64_t end,
                            absl::Time read);
   void Reaffirm();
   void BeginTerm();
   void OnTermEnded(const std::string& why);
-  // Again and again in that term, until all have stopped.
+  // Asks the earlier leaders whether they have stopped, repeatedly during
+  // `term` until all have.
   void PollEarlierLeaders(const std::weak_ptr<LeaderSession>& term);
-  // When this process last gave an order as a leader, at the latest.
+  // The latest time at which this process may have given an order as a leader.
   absl::Time LastOrder() const;
   void OfferLeadership();
   void RequestTakeover(const Peer& peer);
 
   // site_node_configuration.cc
-  // Reads it anew: where to follow it from is not known.
+  // Reloads the configuration because the offset to follow it from is unknown.
   void ReadConfiguration();
-  // One page of that, after `key`. `begun`: when the first page was asked for;
-  // `end`: where the stream ended then.
+  // Reads the page of a reload that follows `key`. `started_at` is the time at
+  // which the first page was requested, `end` the end of the stream then.
   void ReadConfigurationAfter(const std::string& key, absl::Time started_at,
                               int64_t end);
   void FollowConfiguration();
   void FollowConfigurationFrom(int64_t next);
-  // False: it cannot be read.
+  // Puts the configuration in `document` in force if it is newer. Returns false
+  // if it cannot be parsed.
   bool ApplyConfiguration(const std::string& document,
                           const std::string& source);
-  // Nothing has told for a while that the version in force is the newest, or
-  // something tells that it is not.
+  // True if the version in force has not been confirmed as the newest for a
+  // while, or is known not to be the newest.
   bool ConfigurationCheckDue(absl::Time now) const;
-  // Asks the store when that is so, as `SourceReads` lets it.
+  // If a check is due, reads or probes the store as `SourceReads` permits.
   void CheckConfiguration();
-  // One read that does not wait.
+  // Issues one read that does not wait for new records.
   void ReadConfigurationNow(absl::Time now);
-  // Asks something small, to learn whether the store answers.
+  // Sends the store a query with a small answer to learn whether it answers.
   void ProbeStore();
-  // A peer has a newer one: from the store, or from the peer without it.
+  // Fetches the newer version that `peer` has from the store, or from the peer
+  // if the store cannot be reached.
   void CatchUpWithConfiguration(const std::string& peer, int64_t version);
   void OnConfigurationChecked(const ReadReply& reply, int64_t from,
                               absl::Time sent);
   void ApplyConfigurationRecords(const std::vector<Record>& records);
   void RecordUnreadableItems(const std::vector<UnreadableItem>& items);
-  // A peer said which version it has, and how long ago that was confirmed;
-  // `sent`: when it was asked.
+  // Handles a peer's report of its version and of the time since that version
+  // was confirmed. The peer was asked at `sent`.
   void OnPeerConfiguration(const std::string& address, const Json::Value& in,
                            absl::Time sent);
-  // Nothing newer than the version in force was written before `at`.
+  // Records that no version newer than the one in force was written before
+  // `at`.
   void OnConfigurationConfirmed(absl::Time at);
-  // The store answered a read of it.
+  // Records that the store answered a read of the configuration.
   void OnConfigurationSourceAnswered();
   void OnConfigurationReadFailed(const char* read, StoreResult result,
                                  const std::string& detail);
-  // How long ago the version in force was confirmed to be the newest.
+  // Time since the version in force was last confirmed as the newest.
   absl::Duration ConfigurationAge() const;
-  // The same in milliseconds for log lines; "never" before the first time.
+  // ConfigurationAge() in milliseconds for log lines; "never" before the first
+  // confirmation.
   std::string UnconfirmedText() const;
-  // Adds to `out` what `OnPeerConfiguration` reads.
+  // Adds the members to `out` that `OnPeerConfiguration` reads.
   void DescribeConfiguration(Json::Value* out) const;
-  int64_t configuration_version() const;  // 0: none yet.
+  int64_t configuration_version() const;  // 0 before the first one.
 
   boost::asio::io_context& loop_;
   const NodeSettings settings_;
@@ -194,74 +208,81 @@
   std::unique_ptr<EventHttpServer> ready_server_;
   std::unique_ptr<EventHttpServer> metrics_server_;
   EventRpcServer peer_server_;
-  OrderRelayClient order_relay_client_;  // Its own, as the leader.
-  OrderRelayServer order_relay_server_;  // Other leaders' orders.
+  OrderRelayClient order_relay_client_;  // Sends orders while this node leads.
+  OrderRelayServer
+      order_relay_server_;  // Forwards the orders of other leaders.
 
   std::shared_ptr<const SiteConfiguration> configuration_;
-  int64_t configuration_read_offset_ =
-      -1;  // Offset to follow from; -1: read anew.
+  // Offset to follow the stream from; -1 until the first reload.
+  int64_t configuration_read_offset_ = -1;
   bool fetching_configuration_ = false;
-  int64_t configuration_record_offset_ =
-      -1;  // Of the newest record that was taken.
-  // That record cannot be read: the version in force is not the newest, is not
-  // confirmed, and denies nothing.
+  // Offset of the newest record that was processed; -1 if none.
+  int64_t configuration_record_offset_ = -1;
+  // The newest record cannot be read. The version in force is then not the
+  // newest: it is not confirmed, and no call is denied because of it.
   bool configuration_unreadable_ = false;
-  int64_t unreadable_offset_ =
-      -1;  // Of the last record that could not be read.
-  int64_t newest_reported_version_ =
-      0;  // The highest version that a peer told of.
+  // Offset of the last record that could not be read; -1 if none.
+  int64_t unreadable_offset_ = -1;
+  int64_t newest_reported_version_ = 0;  // Highest version a peer reported.
   Freshness configuration_freshness_{Freshness::Options()};
   SourceReads configuration_reads_{SourceReads::Options()};
-  // Only a read anew tells from where to follow it. No poll is under way then,
-  // so that there is one loop.
+  // The offset to follow the stream from is unknown until a reload. No long
+  // poll is in flight while this is set, so that only one polling loop exists.
   bool configuration_reload_needed_ = true;
-  // The long poll under way: an answer to an earlier one is passed over.
+  // Number of the current long poll; the answer to an earlier one is ignored.
   int64_t configuration_poll_number_ = 0;
-  // The last read of the store failed, and no peer has told since that the
-  // version in force is the newest.
+  // The last read of the store failed, and no peer has since confirmed the
+  // version in force as the newest.
   bool configuration_source_lost_ = false;
-  // A log line told so, and no read was answered since.
+  // The loss was logged, and no read has been answered since.
   bool configuration_loss_logged_ = false;
 
   SiteElection election_;
   std::shared_ptr<LeaderSession> session_;
   std::map<std::string, Peer> peers_;  // By name.
-  // What this node tells of its peers when it leads, and which version of that
-  // the others have: an unchanged list is not sent again.
+  // The list of peers that this node reports while it leads. Its version spares
+  // sending an unchanged list again.
   Json::Value peer_list_;
   uint64_t peer_list_version_ = 0;
+  // Version of the list that the leader sent, and the names in it.
   uint64_t leader_peer_list_version_ = 0;
-  std::vector<std::string> leader_peer_names_;  // Names in the leader's list.
-  absl::Time next_offer_at_ = absl::InfinitePast();  // Of leadership to a peer.
+  std::vector<std::string> leader_peer_names_;
+  // Earliest time to offer leadership to a peer again.
+  absl::Time next_offer_at_ = absl::InfinitePast();
   EarlierLeaders earlier_leaders_;
-  // Of this process as a leader; at first when it started, since another that
-  // had its address before cannot have given a later one.
+  // Time of the last order of this process as a leader. Starts as the start
+  // time of the process: an earlier process at the same address cannot have
+  // given a later order.
   absl::Time last_order_ = SystemNow().mono;
   bool reading_control_ = false;
   bool following_control_ = false;
   bool control_lost_ = false;  // The last read of the control stream failed.
   bool claiming_ = false;
-  int64_t reaffirmed_store_returns_ = 0;  // Of the store, in this term.
-  // A peer fell silent: if a cut does that, its claim may land once it heals.
+  // Number of times in this term that the store became reachable again, as of
+  // the last reaffirmation.
+  int64_t reaffirmed_store_returns_ = 0;
+  // A peer has stopped responding. If a network partition is the cause, a claim
+  // of that peer may reach the store once the partition heals.
   bool peers_lost_ = false;
   int64_t control_read_offset_ = -1;
   bool heartbeat_in_flight_ = false;
   absl::Time next_heartbeat_at_ = absl::InfinitePast();
-  // How long the leader takes to answer. Nothing is taken for lost within
-  // 250 ms: loops of loaded leaders were seen up to 75 ms late.
+  // Times that the leader takes to answer. No answer counts as lost within
+  // 250 ms: event loops of loaded leaders ran up to 75 ms late.
   AnswerTimes heartbeat_times_{
       AnswerTimes::Options{absl::Milliseconds(250), absl::Milliseconds(700),
                            absl::ZeroDuration(), absl::ZeroDuration()}};
   int failed_heartbeats_ = 0;
   bool leader_accepts_jobs_ = false;
   absl::Time leader_answered_at_ = absl::InfinitePast();
-  // By epoch: when a leader was first heard to be at work; the newest few.
+  // Time at which each leader was first known to accept jobs, by epoch; only
+  // the newest epochs are kept.
   std::map<int64_t, absl::Time> leaders_seen_;
 
-  std::set<std::shared_ptr<PendingCall>> pending_calls_;  // Not answered yet.
+  std::set<std::shared_ptr<PendingCall>> pending_calls_;
 
   bool draining_ = false;
-  bool final_replies_sent_ = false;  // Nothing is passed on any more.
+  bool final_replies_sent_ = false;  // No call is forwarded any more.
   absl::Time drain_started_ = absl::InfiniteFuture();
   std::function<void()> on_drained_;
 };
--- a/keelbridge/daemon/site_node_clients.cc
+++ b/keelbridge/daemon/site_node_clients.cc
@@ -1,5 +1,6 @@
-// Clients' calls: read, carried to the leader, answered. All of them may be
-// tried again, since a job's id makes each of them happen once.
+// How a site node serves clients' calls: parses them, forwards them to the
+// leader and answers them. Every call may be retried, because the job's id
+// makes it idempotent.
 
 #include <algorithm>
 #include <utility>
@@ -14,19 +15,19 @@
 namespace keelbridge {
 namespace {
 
-// A client gets its answer this much before it stops waiting.
+// A client gets its answer this long before it stops waiting.
 constexpr absl::Duration kAnswerMargin = absl::Milliseconds(200);
 constexpr absl::Duration kMaxCallDuration = absl::Milliseconds(2600);
 constexpr absl::Duration kTryTimeout = absl::Milliseconds(1000);
-// The first pause before another try; each further one is twice as long.
+// Delay before the first retry; each further delay is twice as long.
 constexpr absl::Duration kMinRetryDelay = absl::Milliseconds(60);
 constexpr absl::Duration kMaxRetryDelay = absl::Milliseconds(480);
-// Without anybody who leads, a call is given up after this long.
+// A call that no leader can have executed is given up after this time.
 constexpr absl::Duration kLeaderlessTimeout = absl::Milliseconds(1000);
-// The same, once the leader is known to be out of reach.
+// The limit for such a call while the leader is known to be out of reach.
 constexpr absl::Duration kKnownLeaderlessTimeout = absl::Milliseconds(150);
 constexpr absl::Duration kRetryAfter = absl::Seconds(1);
-// Bytes of a path in a log line: enough for a prefix and a job's id.
+// Maximum length of a path in a log line: enough for a prefix and a job's id.
 constexpr size_t kMaxLoggedPathBytes = 128;
 constexpr int kFirstErrorStatus = 400;
 
@@ -49,7 +50,8 @@
   return "status";
 }
 
-// Not taken here and now, and not to be run.
+// The answer to a call that was not accepted and will not run; the client may
+// retry it later.
 ClientReply RetryLaterReply(std::string message) {
   ClientReply reply;
   reply.answer = ClientAnswer::kRejected;
@@ -58,8 +60,8 @@
   return reply;
 }
 
-// Callers choose which of their calls are traced: a span a hop. Null: not this
-// one.
+// Begins this hop's span of a call that its caller traces. Returns null if the
+// call is not traced.
 std::shared_ptr<Span> BeginSpan(const ServerRequest& request,
                                 const ClientCall& call) {
   const TraceContext parent =
@@ -120,7 +122,8 @@
                     started_at = pending->started_at, span = std::move(span),
                     reply = std::move(reply)](const ClientReply& answer) {
     ServerResponse response = ports_.dialect->FormatReply(answer);
-    // The balancer then leads the client to a node that can take work.
+    // On a new connection, the balancer directs the client to a node that can
+    // accept work.
     response.close_connection = !Ready();
     if (span != nullptr) span->Set("status", absl::StrCat(response.status));
     RecordReply(kind, job, answer, response.status,
@@ -136,8 +139,8 @@
   ClientReply denial;
   denial.answer = AnswerForError(error);
   denial.message = error.message;
-  // The queue may have been added since, also below a prefix that is known
-  // here: what is too old denies nothing.
+  // The queue may have been added since, even under a prefix that is known
+  // here, so an outdated configuration must not deny a call.
   const bool may_deny = !configuration_unreadable_ &&
                         configuration_freshness_.MayDeny(SystemNow().mono);
   if (!may_deny) {
@@ -161,8 +164,7 @@
                    absl::ToDoubleSeconds(took));
   metrics_.Count("calls_total",
                  {{"kind", KindName(kind)}, {"status", absl::StrCat(status)}});
-  // Looks at a state change nothing; only those that fail or deny a job are
-  // told of.
+  // Read-only calls are logged only if they failed or denied a job.
   const bool logged = kind == ClientCallKind::kSubmit ||
                       kind == ClientCallKind::kCancel ||
                       status >= kFirstErrorStatus;
--- a/keelbridge/daemon/site_node_configuration.cc
+++ b/keelbridge/daemon/site_node_configuration.cc
@@ -1,4 +1,5 @@
-// Following the operator's configuration, from the store and from peers.
+// How a site node follows the operator's configuration, from the store and from
+// peers.
 
 #include <algorithm>
 
@@ -11,21 +12,22 @@
 namespace keelbridge {
 namespace {
 
-// Of what may carry a whole configuration. One of 700 KB (2,800 queues) takes
-// 0.6 s on a link of 10 Mbit/s that carries nothing else, the slowest that
-// nodes have; up to three may share it (see `SourceReads`). Nothing waits for a
-// read that hangs.
+// Timeout of requests that may transfer a whole configuration. One of 700 KB
+// (2,800 queues) takes 0.6 s on an otherwise idle link of 10 Mbit/s, the
+// slowest that nodes have; up to three transfers may share it (see
+// `SourceReads`). Nothing waits for a read that hangs.
 constexpr absl::Duration kTransferTimeout = absl::Milliseconds(2500);
-// A read without a byte for so long is given up, which makes room for another.
-// A store that takes 1.2 s to answer (300 times its usual 4 ms, by the sites'
-// files) is still heard.
+// A read that receives no byte for this long is abandoned, so that another can
+// start. The limit still admits a store that takes 1.2 s to answer (300 times
+// its usual 4 ms, according to the sites' files).
 constexpr absl::Duration kTransferIdleTimeout = absl::Milliseconds(1500);
-// Of a probe, whose answer is small. A longer time-out would gain nothing: the
-// next probe may begin this soon (see `SourceReads`).
+// Timeout of a probe, whose answer is small. A longer one would gain nothing,
+// because the next probe may start after this time (see `SourceReads`).
 constexpr absl::Duration kProbeTimeout = absl::Milliseconds(500);
 constexpr absl::Duration kFollowWait = absl::Seconds(20);
 constexpr absl::Duration kFollowTimeout = absl::Seconds(22);
-// Ages are told to peers in whole milliseconds, rounded up, and bounded.
+// Ages are reported to peers in whole milliseconds, rounded up, up to a
+// maximum.
 constexpr absl::Duration kAgeUnit = absl::Milliseconds(1);
 constexpr absl::Duration kMaxReportedAge = absl::Hours(1);
 
@@ -42,7 +44,7 @@
       Stream::kConfiguration, key, {kTransferTimeout, kTransferIdleTimeout},
       [this, key, started_at, end](const NewestReply& r) {
         const std::string next_key = r.NextPageKey();
-        // A page that does not lead on would be asked for without end.
+        // A page whose next key does not advance would be requested forever.
         const bool advances = !r.more || (!next_key.empty() && next_key != key);
         if (r.result != StoreResult::kDone || !advances) {
           configuration_reads_.OnReadEnded(started_at, false);
@@ -50,7 +52,7 @@
         }
         ApplyConfigurationRecords(r.records);
         RecordUnreadableItems(r.unreadable);
-        // Reading goes on from where the first page was taken.
+        // Following starts at the end of the stream as of the first page.
         const int64_t next = key.empty() ? r.end : end;
         if (r.more) return ReadConfigurationAfter(next_key, started_at, next);
         configuration_reads_.OnReadEnded(started_at, true);
@@ -72,7 +74,7 @@
   ports_.store->Read(Stream::kConfiguration, from, kFollowWait, kFollowTimeout,
                      [this, from, poll](const ReadReply& reply) {
                        if (poll != configuration_poll_number_)
-                         return;  // Another took its place.
+                         return;  // Superseded by a newer poll.
                        if (reply.result != StoreResult::kDone) {
                          OnConfigurationReadFailed("follow", reply.result,
                                                    reply.message);
@@ -123,7 +125,7 @@
 }
 
 void SiteNode::ProbeStore() {
-  // Who leads is told by one short record.
+  // The control stream's newest record, which names the leader, is short.
   ports_.store->Newest(
       Stream::kControl, "", kProbeTimeout, [this](const NewestReply& reply) {
         const bool answered = reply.result == StoreResult::kDone;
@@ -131,8 +133,9 @@
         if (!answered)
           return OnConfigurationReadFailed("probe", reply.result,
                                            reply.message);
-        // If a peer carried the probe, the next turn (100 ms) is soon enough:
-        // the direct way may be back by then, and carries more.
+        // If a peer forwarded the probe, the next check (within 100 ms) is soon
+        // enough: by then the direct connection may be back, and it has more
+        // bandwidth.
         if (store_failover_.direct()) CheckConfiguration();
       });
 }
@@ -140,10 +143,12 @@
 void SiteNode::OnConfigurationChecked(const ReadReply& reply, int64_t from,
                                       absl::Time sent) {
   if (reply.result == StoreResult::kGone) {
-    // Another read has found this out, and has begun anew or moved on.
+    // Another read has noticed this already, and has started a reload or moved
+    // on.
     if (configuration_reload_needed_ || from != configuration_read_offset_)
       return;
-    // What followed was dropped: only a read anew tells what is newest.
+    // The store has dropped the records at this offset: only a reload shows
+    // which record is the newest.
     ++configuration_poll_number_;
     configuration_reads_.ExpediteNextRead();
     return ReadConfiguration();
@@ -153,13 +158,13 @@
   OnConfigurationSourceAnswered();
   ApplyConfigurationRecords(reply.records);
   const int64_t next = from + static_cast<int64_t>(reply.records.size());
-  // An answer may carry less than there is.
+  // An answer may end before the end of the stream.
   if (next >= reply.end) OnConfigurationConfirmed(sent);
-  // The poll failed while this check was under way. The check has read up to
-  // the end of the stream, so that no read from the beginning is needed.
+  // The poll failed during this check. The check has read up to the end of the
+  // stream, so no reload is needed.
   if (configuration_reload_needed_ && next >= reply.end)
     return FollowConfigurationFrom(next);
-  // The poll has moved on meanwhile, or there was nothing to bring.
+  // The poll has advanced in the meantime, or there were no new records.
   if (from != configuration_read_offset_ || reply.records.empty()) return;
   LogEvent(Severity::kWarning, "configuration_poll_missed",
            {{"from", absl::StrCat(from)},
@@ -171,9 +176,10 @@
   for (const Record& record : records) {
     const bool relevant =
         record.key == ports_.dialect->ConfigurationKey() && record.value;
-    // The answer to a slow read may bring records older than those taken.
+    // The answer to a slow read may contain records older than those processed
+    // already.
     if (!relevant || record.offset < configuration_record_offset_) continue;
-    if (record.offset == unreadable_offset_) continue;  // It was told of.
+    if (record.offset == unreadable_offset_) continue;  // Logged already.
     configuration_record_offset_ = record.offset;
     configuration_unreadable_ = !ApplyConfiguration(*record.value, "store");
     if (configuration_unreadable_) unreadable_offset_ = record.offset;
@@ -182,8 +188,8 @@
 
 void SiteNode::RecordUnreadableItems(const std::vector<UnreadableItem>& items) {
   for (const UnreadableItem& item : items) {
-    // One without a key that can be read is taken for nobody's: the operator's
-    // other records are not read either.
+    // An item whose key cannot be read is ignored, as are the operator's
+    // records under other keys.
     if (item.key != ports_.dialect->ConfigurationKey()) continue;
     if (!configuration_unreadable_)
       LogEvent(Severity::kError, "configuration_unreadable",
@@ -206,7 +212,8 @@
     return CatchUpWithConfiguration(address, version);
   if (version < configuration_version()) return;
   if (!in["configuration_age_ms"].isIntegral()) return;
-  // Its age is told after `sent`, so that this is no later than the truth.
+  // The peer computed the age after `sent`, so this time is no later than the
+  // true time of the confirmation.
   OnConfigurationConfirmed(
       sent - absl::Milliseconds(in["configuration_age_ms"].asInt64()));
 }
@@ -215,14 +222,15 @@
                                         int64_t version) {
   newest_reported_version_ = std::max(newest_reported_version_, version);
   CheckConfiguration();
-  // A large one in force everywhere at once would fill the leader's link.
+  // If all nodes fetched a large configuration from the leader at once, its
+  // link would be saturated.
   const bool ask_store =
       store_failover_.direct() && !configuration_source_lost_;
   if (!ask_store) FetchConfiguration(peer);
 }
 
 void SiteNode::OnConfigurationConfirmed(absl::Time at) {
-  // A newer version was written, but its record cannot be read.
+  // A newer version exists, but its record cannot be read.
   if (configuration_unreadable_) return;
   configuration_freshness_.OnConfirmed(at);
   configuration_source_lost_ = false;
@@ -241,7 +249,7 @@
   metrics_.Count("configuration_reads_failed_total",
                  {{"result", StoreResultName(result)}});
   configuration_source_lost_ = true;
-  // One line for an outage, not one for each try.
+  // An outage is logged once, not for each failed read.
   if (configuration_loss_logged_) return;
   configuration_loss_logged_ = true;
   LogEvent(Severity::kWarning, "configuration_source_lost",
--- a/keelbridge/daemon/site_node_leading.cc
+++ b/keelbridge/daemon/site_node_leading.cc
@@ -1,5 +1,5 @@
-// Who leads: reading and following the control stream, claiming, serving a
-// term.
+// Leadership of a site node: reading and following the control stream, claiming
+// leadership, and serving a term.
 
 #include <utility>
 
@@ -19,10 +19,10 @@
 constexpr absl::Duration kAskPeersTimeout = absl::Milliseconds(300);
 constexpr absl::Duration kEarlierLeaderPollInterval = absl::Milliseconds(300);
 constexpr absl::Duration kTakeOverTimeout = absl::Milliseconds(800);
-// A peer that was asked to lead in place of a weaker node gets that long.
+// Time that a peer has to take over leadership before it is offered again.
 constexpr absl::Duration kOfferInterval = absl::Seconds(2);
-// A leader that reaches the store only through peers for this long offers
-// leadership to one that reaches it itself.
+// A leader that has reached the store only through peers for this long offers
+// leadership to a peer that reaches it directly.
 constexpr absl::Duration kMaxStoreLostDuration = absl::Milliseconds(1200);
 
 }  // namespace
@@ -115,7 +115,7 @@
 
 void SiteNode::OnControlReadFailed(const char* read, StoreResult result,
                                    const std::string& detail) {
-  // One line for an outage, not one for each try.
+  // An outage is logged once, not for each failed read.
   if (control_lost_) return;
   control_lost_ = true;
   LogEvent(Severity::kWarning, "control_source_lost",
@@ -128,7 +128,7 @@
   claiming_ = true;
   struct PeerPoll {
     size_t outstanding = 0;
-    // When the leader last answered one of them.
+    // When the leader last answered any of the peers.
     absl::Time answered = absl::InfinitePast();
     absl::Time started_at;
   };
@@ -140,7 +140,7 @@
       election_.OnLeaderConfirmedByPeer(poll->answered);
       return;
     }
-    // Something may have been heard meanwhile.
+    // A newer leader may have been reported in the meantime.
     if (election_.Decide(SystemNow().mono) == ElectionStep::kClaim) Claim();
   };
   Json::Value params(Json::objectValue);
@@ -207,7 +207,7 @@
   next_offer_at_ = SystemNow().mono + kOfferInterval;
   LeaderSession::Options options;
   options.node = settings_.name;
-  // Half of what the store takes: headers and frames are not counted.
+  // Half of the store's limit, because headers and framing are not counted.
   options.max_append_bytes =
       static_cast<size_t>(settings_.store_append_bytes) / 2;
   options.scheduler.lease = settings_.lease;
@@ -274,8 +274,8 @@
 }
 
 void SiteNode::PollEarlierLeaders(const std::weak_ptr<LeaderSession>& term) {
-  // What is answered to an earlier term says nothing in this one: that node may
-  // have led since.
+  // An answer to a request of an earlier term proves nothing in this one: that
+  // node may have led in between.
   const auto in_term = [this, term] {
     return term.lock() == session_ && session_ != nullptr && !session_->ended();
   };
--- a/keelbridge/daemon/site_node_peers.cc
+++ b/keelbridge/daemon/site_node_peers.cc
@@ -1,5 +1,5 @@
-// What nodes tell each other: heartbeats to the leader, and calls on its
-// behalf.
+// Communication between the nodes of a site: heartbeats to the leader, and RPC
+// methods that nodes serve for each other.
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -15,23 +15,23 @@
 namespace keelbridge {
 namespace {
 
-// Heartbeats to a leader: each node sends one after this, and all nodes
-// together at most so many a second (what one costs the leader is not
-// measured).
+// Each node sends the leader a heartbeat at this interval, or less often in a
+// large site: all nodes together send at most kMaxHeartbeatsPerSecond.
 constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(250);
 constexpr double kMaxHeartbeatsPerSecond = 100;
-// A leader is suspect once two heartbeats in a row got no answer, but after
-// this long at the latest. Chosen, not measured.
+// A leader is suspect once two heartbeats in a row remain unanswered, but no
+// later than after this time.
 constexpr absl::Duration kMaxSuspectAfter = absl::Milliseconds(1400);
 constexpr absl::Duration kSuspicionMargin = absl::Milliseconds(50);
-// A timer may fire this much late on a loaded machine.
+// A timer may fire this late on a loaded machine.
 constexpr absl::Duration kMaxTimerDelay = absl::Milliseconds(300);
 constexpr absl::Duration kHeartbeatRetryDelay = absl::Milliseconds(40);
 constexpr absl::Duration kPeerFreshness = absl::Milliseconds(1500);
-// A peer that nobody heard for this long is forgotten.
+// A peer that was not reported for this long is removed.
 constexpr absl::Duration kPeerExpiry = absl::Seconds(30);
-// Leaders that are remembered: those of a minute in which one follows the other
-// every 4 s. What is forgotten makes a later leader wait longer, no worse.
+// Number of leaders to remember: enough for a minute in which the leader
+// changes every 4 s. A leader that was forgotten only makes a later leader wait
+// longer.
 constexpr size_t kMaxLeadersSeen = 16;
 constexpr int kInvalidParams = -32602;
 
@@ -88,7 +88,8 @@
     out["document"] = configuration_->document;
     reply(Ok(out));
   });
-  // A node that leads tells one that led before, and asks whether it stopped.
+  // Called by a leader on an earlier leader: reports the new leader, and
+  // returns whether the earlier one has stopped.
   peer_server_.Add("leader_heard", [this](const Json::Value& params,
                                           const EventRpcServer::Reply& reply) {
     election_.OnLeaderReported(LeaderFromJson(params["leader"]),
@@ -100,7 +101,7 @@
         Json::Int64(absl::ToInt64Milliseconds(SystemNow().mono - LastOrder()));
     reply(Ok(out));
   });
-  // How long ago the leader answered this node, in milliseconds.
+  // Returns the time since the leader last answered this node, in milliseconds.
   peer_server_.Add("leader_age", [this](const Json::Value& params,
                                         const EventRpcServer::Reply& reply) {
     Json::Value out(Json::objectValue);
@@ -156,7 +157,7 @@
 void SiteNode::RecordLeaderPeers(const Json::Value& answer) {
   leader_peer_list_version_ = answer["peers_version"].asUInt64();
   if (!answer.isMember("peers")) {
-    // As it was: all of it was heard again.
+    // The list is unchanged, which reports all of its peers again.
     for (const std::string& name : leader_peer_names_) {
       const auto peer = peers_.find(name);
       if (peer != peers_.end()) peer->second.last_report = SystemNow().mono;
@@ -201,8 +202,8 @@
 
 void SiteNode::UpdatePeers() {
   const absl::Time now = SystemNow().mono;
-  // Peers are heard of through the leader: when it falls silent, those that
-  // were there until then are the ones that can replace it.
+  // Peers are reported by the leader. When it stops responding, the candidates
+  // to replace it are the peers in its latest reports.
   absl::Time latest_report = absl::InfinitePast();
   for (const auto& [name, peer] : peers_)
     latest_report = std::max(latest_report, peer.last_report);
@@ -231,7 +232,7 @@
   }
   election_.SetPeers(std::move(candidates));
   if (store_relays.empty()) {
-    // Before anybody was heard, the seeds may reach the store.
+    // Until a peer that reaches the store is known, the seeds may reach it.
     for (const std::string& seed : settings_.seeds) {
       const std::string address = absl::StrCat(seed.substr(0, seed.find(':')),
                                                ":", settings_.peer_listen.port);
@@ -303,13 +304,13 @@
                                 const LeaderRecord& to, absl::Time sent,
                                 absl::Duration timeout) {
   const absl::Time now = SystemNow().mono;
-  // An answer that lay in the socket while this process stood still tells
-  // nothing of now; one that came in time counts from its arrival, so that a
-  // slow leader is not taken for a silent one.
+  // An answer that lay in the socket while this process was paused says nothing
+  // about the present. An answer in time counts from its arrival, so that a
+  // slow leader is not mistaken for an unresponsive one.
   const bool in_time = now - sent <= timeout + kMaxTimerDelay;
   if (!outcome.answered || !in_time) {
-    // A closed port tells that the process is gone; a connection that broke is
-    // looked into at once.
+    // A closed port means that the process is gone. After any first failure,
+    // such as a broken connection, another heartbeat follows soon.
     if (outcome.refused && to.epoch == election_.leader().epoch)
       election_.OnLeaderGone(now);
     if (++failed_heartbeats_ == 1) {
@@ -317,7 +318,7 @@
       LogEvent(Severity::kWarning, "leader_silent",
                {{"leader", to.node},
                 {"epoch", absl::StrCat(to.epoch)},
-                {"detail", outcome.answered ? "the answer came too late"
+                {"detail", outcome.answered ? "the answer arrived too late"
                                             : outcome.error}});
     }
     return;
@@ -330,14 +331,16 @@
   election_.OnLeaderReported(LeaderFromJson(in["leader"]), now);
   RecordLeaderPeers(in);
   OnPeerConfiguration(to.address, in, sent);
-  // What the answer tells is about the process that was asked, which may have
-  // been replaced by the leader that it names.
+  // The rest of the answer is about the process that was asked, which the
+  // leader named in the answer may have replaced.
   if (election_.leader().epoch != to.epoch) return;
   if (in["boot"].asUInt64() != to.boot) {
     election_.OnLeaderGone(now);
     return;
   }
-  if (!in["leads"].asBool()) return;  // It stepped down; silence follows.
+  // A leader that stepped down is not recorded as answering, so it becomes
+  // suspect.
+  if (!in["leads"].asBool()) return;
   election_.OnHeartbeatAnswered(now);
   leader_accepts_jobs_ = in["accepts"].asBool();
   leader_answered_at_ = now;
