--- a/keelbridge/protocol/client_call.h
+++ b/keelbridge/protocol/client_call.h
@@ -1,4 +1,4 @@
-// What clients ask of a site and how it answers, apart from how it travels.
+// The calls of a site's clients and the replies, independent of their encoding.
 
 #ifndef KEELBRIDGE_PROTOCOL_CLIENT_CALL_H_
 #define KEELBRIDGE_PROTOCOL_CLIENT_CALL_H_
@@ -21,19 +21,20 @@
   ClientCallKind kind = ClientCallKind::kStatus;
   std::string queue;
   JobId job = 0;
-  JobSpec spec;                                 // Of a submission.
-  absl::Duration remaining = absl::Seconds(3);  // The client waits this long.
+  JobSpec spec;  // Only for `kSubmit`.
+  // How much longer the client waits for the reply.
+  absl::Duration remaining = absl::Seconds(3);
 };
 
 enum class ClientAnswer {
-  kAccepted,  // The job is kept, or the cancel is.
+  kAccepted,  // The job, or its cancellation, is durable.
   kState,     // The state of a job.
-  kWaiting,   // The count of waiting jobs.
+  kWaiting,   // The number of waiting jobs.
   kNoSuchJob,
   kNoSuchQueue,
-  kRejected,  // Did not run and never will; come back after `retry_after`.
-  kUnknown,   // Nobody can tell whether it was taken.
-  kInvalid,   // The call is wrong.
+  kRejected,  // Not executed, now or later. Retry after `retry_after`.
+  kUnknown,   // The call may or may not have been executed.
+  kInvalid,   // The call is malformed.
 };
 
 struct ClientReply {
@@ -44,13 +45,13 @@
   absl::Duration retry_after = absl::Seconds(1);
 };
 
-// How a deployment's clients, operator and workers write things down. Reads and
-// formats; decides nothing.
+// Reads and writes the formats of a deployment's clients, operator and workers.
+// Makes no decisions.
 class SiteDialect {
  public:
   virtual ~SiteDialect() = default;
-  // The call that `request` makes under `configuration`, or the reply to a
-  // request that makes none.
+  // Returns the call that `request` makes under `configuration`. A request that
+  // is no valid call yields the error to reply with.
   virtual Result<ClientCall> ParseClientCall(
       const ServerRequest& request,
       const SiteConfiguration& configuration) const = 0;
@@ -59,7 +60,7 @@
       const std::string& document) const = 0;
   virtual Result<WorkerRecord> ParseWorkerRecord(
       const std::string& id, const std::string& document) const = 0;
-  // The key of the operator's configuration in its stream.
+  // Returns the key of the operator's configuration in its stream.
   virtual std::string ConfigurationKey() const = 0;
 };
 
--- a/keelbridge/protocol/configuration.cc
+++ b/keelbridge/protocol/configuration.cc
@@ -15,7 +15,7 @@
 constexpr int kMilliPerCore = 1000;
 constexpr int kMibPerGib = 1024;
 
-// Notes each name once and reports the second.
+// The names declared in one list. Reports duplicates and undeclared names.
 class DeclaredNames {
  public:
   void Add(JsonReader& reader, const std::string& name) {
--- a/keelbridge/protocol/configuration.h
+++ b/keelbridge/protocol/configuration.h
@@ -1,11 +1,12 @@
 // The configuration that operators publish: zones, entry hosts, workers,
-// targets, services, teams, policy.
+// targets, services, teams and policy.
 //
-// Its version is the log offset of its first publication and only grows. The
-// same reader checks it on the command line, on a daemon and in tests.
+// The version of a configuration is the log offset of its first publication, so
+// versions only increase. The command line, the daemons and the tests check
+// configurations with the same parser.
 //
-//   Result<Configuration> configuration = ParseConfiguration(text,
-//   "desk.json");
+//   Result<Configuration> configuration =
+//       ParseConfiguration(text, "desk.json");
 
 #ifndef KEELBRIDGE_PROTOCOL_CONFIGURATION_H_
 #define KEELBRIDGE_PROTOCOL_CONFIGURATION_H_
@@ -22,7 +23,7 @@
 
 struct ZoneConfig {
   std::string name;
-  double one_way_ms = 0;  // To the other zones of the deployment.
+  double one_way_ms = 0;  // One-way latency to the other zones.
 };
 
 struct EntryHostConfig {
@@ -44,26 +45,27 @@
   std::string name;
   std::string zone;
   std::string address;
-  int64_t slots = 0;        // Requests that it runs at the same time.
+  int64_t slots = 0;        // Requests that it runs concurrently.
   int64_t connections = 0;  // Connections that it accepts.
   std::vector<std::string> services;
 };
 
 struct ServiceConfig {
   std::string name;
-  bool repeatable = false;  // Running a request twice does no harm.
+  bool repeatable = false;  // A request may be run twice.
   absl::Duration timeout = absl::Seconds(5);
 };
 
 struct TeamConfig {
   std::string name;
-  double quota = 0;  // Share of the cell, 0 to 1, that it can always get back.
+  // Share of the cell, 0 to 1, that the team can always reclaim.
+  double quota = 0;
 };
 
 enum class PolicyKind { kWaitingFirst, kPackingFirst };
 
 struct Configuration {
-  // The offset of the first publication; -1 when it has none yet.
+  // The log offset of the first publication; -1 if not published yet.
   int64_t version = -1;
   std::string deployment;
   PolicyKind policy = PolicyKind::kWaitingFirst;
@@ -73,19 +75,20 @@
   std::vector<TargetConfig> targets;
   std::vector<ServiceConfig> services;
   std::vector<TeamConfig> teams;
-  // The text that was published, handed on unchanged.
+  // The published text, which is passed to peers unchanged.
   std::string text;
 };
 
-// Every fault of `text` at once, or the configuration. Names must be unique;
-// zones and services must exist.
+// Returns the configuration, or an error that lists every fault of `text`.
+// Names must be unique, and zones and services that are referred to must be
+// declared.
 Result<Configuration> ParseConfiguration(const std::string& text,
                                          const std::string& source);
 
-// Whether any majority of the workers of each zone in `from` shares a worker
-// with any majority in `to`. Only then can no two schedulers lead a zone, one
-// by the old list and one by the new. On false, `why` says which zone and how
-// many workers may change at once.
+// Whether every majority of the workers of each zone in `from` shares a worker
+// with every majority in `to`. Only then can no two schedulers lead a zone, one
+// by the old list of workers and one by the new. If not, `why` names the zone
+// and says how many workers are kept.
 bool MajoritiesOverlap(const Configuration& from, const Configuration& to,
                        std::string* why);
 
--- a/keelbridge/protocol/intent.h
+++ b/keelbridge/protocol/intent.h
@@ -1,4 +1,4 @@
-// What operators ask for, and the plan that answers.
+// The intents of operators, and the plan that is computed from them.
 //
 //   Result<std::vector<Intent>> intents = ParseIntents(text, "tonight.json");
 
@@ -27,7 +27,7 @@
   kPriority
 };
 
-// Order matters: a lower value goes first.
+// A lower value has a higher priority.
 enum class WorkClass { kUrgent, kInteractive, kStandard, kBulk };
 constexpr int kWorkClasses = 4;
 
@@ -38,55 +38,58 @@
   std::string team;
   WorkClass work_class = WorkClass::kStandard;
   int64_t tasks = 0;
-  Resources resources;  // Of each task.
-  absl::Duration
-      task_duration;          // The estimate for one task; zero for a service.
-  double estimate_error = 0;  // 0.5: a task may take half as long again.
-  int64_t deadline_ms = 0;  // Wall clock; 0: none. Files give "deadline_in_ms",
-                            // counted from the plan.
-  absl::Duration deadline_in;  // As the file gave it.
-  bool spread_racks = false;  // At most an even share of the tasks in any rack.
-  bool exclusive = true;      // A task never runs on two hosts at once.
-  bool repeatable = true;     // A task that may have run can be run again.
-  bool checkpoints = false;   // A task can save its progress before it stops.
-  std::string subject;  // Of a drain, cancel, resize or priority: the host,
-                        // target or intent.
+  Resources resources;           // Of each task.
+  absl::Duration task_duration;  // Estimate for one task; 0 for a service.
+  double estimate_error = 0;     // 0.5: a task may take 50% longer.
+  // Wall clock; 0 if there is no deadline. Files specify "deadline_in_ms",
+  // which is relative to the time of the plan.
+  int64_t deadline_ms = 0;
+  absl::Duration deadline_in;  // As specified in the file.
+  bool spread_racks = false;   // No rack gets more than an even share of tasks.
+  bool exclusive = true;       // A task never runs on two hosts at once.
+  bool repeatable = true;      // A task that may have run may be run again.
+  bool checkpoints = false;    // A task can save its progress before it stops.
+  // For a drain, cancel, resize or priority: the host, target or intent that it
+  // applies to.
+  std::string subject;
 };
 
 const char* IntentKindName(IntentKind kind);
 const char* WorkClassName(WorkClass work_class);
 
-// Every fault of `text` at once, or its intents: {"intents": [...]}.
+// Returns the intents in `text`, {"intents": [...]}, or an error that lists
+// every fault of it.
 Result<std::vector<Intent>> ParseIntents(const std::string& text,
                                          const std::string& source);
 
 Json::Value ToJson(const Intent& intent);
 Intent IntentFromJson(const Json::Value& in);
 
-// One line of a plan: what happens to a group of tasks.
+// One step of a plan: what happens to a group of tasks.
 struct PlanStep {
   std::string what;  // "start", "wait", "yield", "move", "drain", "cancel",
                      // "resize" or "priority".
   std::string intent;
-  std::string worker;  // Empty when no single worker is meant.
+  std::string worker;  // Empty if the step has no single worker.
   int64_t tasks = 0;
   int64_t start_in_ms = 0;
   std::string detail;
 };
 
-// What confirming would do. Nothing has changed yet.
+// The effects that confirming the intents would have. Computing a plan changes
+// nothing.
 struct Plan {
   std::string id;
   std::string zone;
-  int64_t base = -1;  // The offset of the zone's last confirmed plan when this
-                      // one was computed.
+  // Offset of the zone's latest confirmed plan when this plan was computed.
+  int64_t base = -1;
   std::vector<Intent> intents;
   std::vector<PlanStep> steps;
-  std::vector<std::string>
-      risks;  // Promises that are at risk, and the earliest that can be kept.
-  std::vector<std::string>
-      rejected_alternatives;        // What else was weighed, and why it lost.
-  std::vector<std::string> quotas;  // Teams' shares before and after.
+  // Deadlines at risk, each with the earliest time that can be met.
+  std::vector<std::string> risks;
+  // Alternatives that were considered, and why they were rejected.
+  std::vector<std::string> rejected_alternatives;
+  std::vector<std::string> quotas;  // The teams' shares before and after.
 };
 
 Json::Value ToJson(const Plan& plan);
--- a/keelbridge/protocol/job.cc
+++ b/keelbridge/protocol/job.cc
@@ -31,7 +31,7 @@
   return Success();
 }
 
-// Writes a member only when it differs from zero, to keep records small.
+// Writes a member only if it differs from its default, to keep records small.
 template <typename T>
 void SetIfNotDefault(Json::Value& out, const char* key, const T& value) {
   if (value != T()) out[key] = value;
@@ -83,7 +83,7 @@
   return step;
 }
 
-// A member that is there has the type that it is written with.
+// Whether each member that is present has the type that `StepToJson` writes.
 bool HasValidStepTypes(const Json::Value& step) {
   if (!step.isObject()) return false;
   const auto all = [&step](std::initializer_list<const char*> keys,
--- a/keelbridge/protocol/job.h
+++ b/keelbridge/protocol/job.h
@@ -1,8 +1,9 @@
-// What a client hands in: a job of steps of tasks, and how it is named.
+// The specification of a job, which consists of steps of tasks, and the ids of
+// jobs and tasks.
 //
 //   JobSpec spec;
 //   spec.steps.push_back(StepSpec{});
-//   Json::Value text = ToJson(spec);  // The product's own form: store, peers.
+//   Json::Value json = ToJson(spec);  // For the record store and for peers.
 
 #ifndef KEELBRIDGE_PROTOCOL_JOB_H_
 #define KEELBRIDGE_PROTOCOL_JOB_H_
@@ -19,24 +20,24 @@
 
 namespace keelbridge {
 
-// Limits on what one job may hold; a job over them is refused with a 4xx.
+// Limits on one job. A job that exceeds them is refused with a 4xx status.
 constexpr size_t kMaxSteps = 64;
 constexpr int32_t kMaxTasksPerStep = 2000;
 constexpr int32_t kMaxRounds = 10000;
 constexpr size_t kMaxPayloadBytes = 4000;
 
-// A job's id: 64 bits that its client chose.
+// The id of a job: 64 bits chosen by its client.
 using JobId = uint64_t;
 
-// "5c0e7a21d94b36f8": 16 lower-case hex digits.
+// Returns 16 lower-case hex digits, for example "5c0e7a21d94b36f8".
 std::string JobIdText(JobId id);
-// False when `text` is not 16 hex digits.
+// Returns false if `text` is not 16 hex digits.
 bool ParseJobId(const std::string& text, JobId* id);
 
 // One task of one round of a job.
 struct TaskId {
   JobId job = 0;
-  int32_t round = 0;  // 0 for jobs that run once.
+  int32_t round = 0;  // 0 for a job that runs once.
   int32_t step = 0;
   int32_t index = 0;
 
@@ -55,30 +56,31 @@
   }
 };
 
-// "ID.ROUND.STEP.INDEX", as logs and workers name a task.
+// Returns "ID.ROUND.STEP.INDEX", which logs and workers use to name a task.
 std::string TaskIdText(const TaskId& id);
 bool ParseTaskId(const std::string& text, TaskId* id);
 
 struct StepSpec {
-  int32_t count = 1;           // Tasks, all alike.
+  int32_t count = 1;           // Number of tasks, which are all alike.
   Resources need;              // Of each task.
-  int64_t estimated_ms = 0;    // A client's rough guess of a task's time.
-  std::vector<int32_t> after;  // Earlier steps whose tasks must be done.
-  bool checkpoints = false;    // Its progress can be carried to a later run.
-  bool gang = false;           // The tasks work only all together.
-  bool same_rack = false;      // Slower when spread over racks.
-  bool duplicates = false;     // Copies may run side by side.
+  int64_t estimated_ms = 0;    // The client's rough estimate of a task's time.
+  std::vector<int32_t> after;  // Earlier steps whose tasks must be done first.
+  bool checkpoints = false;    // A later run can continue from saved progress.
+  bool gang = false;           // All tasks must run at the same time.
+  bool same_rack = false;      // Slower if the tasks run in several racks.
+  bool duplicates = false;     // Copies of a task may run concurrently.
   bool long_running = false;   // Runs until the job is cancelled.
-  bool best_effort = false;    // Takes only what others leave unused.
-  std::string label;           // Of the workers that may run it; "": all.
-  std::string rack;            // Where the data lies; "": anywhere.
-  int32_t max_per_worker = 0;  // 0: no bound.
-  int32_t max_down_tasks = 0;  // Of a lasting step, tasks that may be away.
-  int64_t target_ms = 0;       // Of a lasting step that serves users.
-  std::string image;           // Tasks of one image behave alike.
+  bool best_effort = false;    // Uses only processor time that others leave.
+  std::string label;           // Required label of a worker; "": none.
+  std::string rack;            // The rack that holds the data; "": any.
+  int32_t max_per_worker = 0;  // 0: no limit.
+  int32_t max_down_tasks = 0;  // Tasks of a long-running step that may be down.
+  int64_t target_ms = 0;       // Latency target of a long-running service.
+  std::string image;           // Tasks with the same image behave alike.
 };
 
-// What one task takes of a worker's room: of one that fills, no processors.
+// Returns the capacity that one task of `step` occupies on a worker. A
+// best-effort task occupies no processor time.
 inline Resources CapacityNeeded(const StepSpec& step) {
   Resources need = step.need;
   if (step.best_effort) need.cpu_milli = 0;
@@ -86,21 +88,21 @@
 }
 
 struct JobSpec {
-  std::string payload;  // Handed to every task as it is.
+  std::string payload;  // Passed to every task unchanged.
   std::vector<StepSpec> steps;
-  int32_t rounds = 0;          // 0: runs once, at once.
-  int64_t first_round_ms = 0;  // Wall clock, since 1970.
+  int32_t rounds = 0;          // 0: runs once, immediately.
+  int64_t first_round_ms = 0;  // Wall clock, since 1970 (Unix time).
   int64_t round_interval_ms = 0;
 };
 
-// Why `spec` cannot be taken, naming step and field; success otherwise.
+// Returns an error that names the step and field if `spec` is not acceptable.
 Result<void> CheckJobSpec(const JobSpec& spec);
 
-// The product's own form, for the record store and between nodes.
+// The encoding for the record store and between nodes.
 Json::Value ToJson(const JobSpec& spec);
 JobSpec JobSpecFromJson(const Json::Value& json);
-// The same of a record that may have been spoilt: false when a member has
-// another type or makes no sense.
+// Reads a specification that may be corrupt. Returns false if a member has the
+// wrong type or an invalid value.
 bool ReadJobSpec(const Json::Value& json, JobSpec* spec);
 
 }  // namespace keelbridge
--- a/keelbridge/protocol/log_messages.h
+++ b/keelbridge/protocol/log_messages.h
@@ -1,16 +1,17 @@
-// What stands in the platform's log, and the calls that put it there.
+// The records in the platform's log, and the calls that append and read them.
 //
-// One append carries one envelope with many entries, because the log takes
-// about a hundred appends a second for everybody. An envelope has an id; a
-// reader that meets the same id twice takes only the first. So a writer whose
-// answer was lost sends the same envelope again and nothing happens twice.
+// One append carries one envelope with many entries, because the log accepts
+// only about a hundred appends a second for all writers. An envelope has an id,
+// and a reader applies only the first envelope with a given id. A writer that
+// received no answer can therefore send the same envelope again, and no entry
+// takes effect twice.
 //
-//   POST /append?stream=S   text of an envelope   -> {"offset": N}
-//   GET  /read?stream=S&from=N&most=M             -> {"first": F, "next": N,
-//   "records": [{"offset", "text"}]}
+//   POST /append?stream=S            text of an envelope -> {"offset": N}
+//   GET  /read?stream=S&from=N&most=M
+//     -> {"first": F, "next": N, "records": [{"offset", "text"}]}
 //
-// `first` is the lowest offset that the log still has; a reader that asks below
-// it has met a gap.
+// `first` is the lowest offset that the log still has. A reader that asks for a
+// lower offset has missed records.
 
 #ifndef KEELBRIDGE_PROTOCOL_LOG_MESSAGES_H_
 #define KEELBRIDGE_PROTOCOL_LOG_MESSAGES_H_
@@ -27,45 +28,46 @@
 
 namespace keelbridge {
 
-// Who wrote an envelope: a process run, and a number that grows with each
-// envelope of it.
+// Identifies an envelope: the run of the process that wrote it, and a number
+// that increases with each envelope of that run.
 struct EnvelopeId {
   uint64_t incarnation = 0;
   int64_t sequence = 0;
 };
 
-// A scheduler leads the zone from here on; entries of lower epochs that come
-// after it are void.
+// A scheduler leads the zone from this entry on. Later entries of lower epochs
+// are void.
 struct LeaderEntry {
   int64_t epoch = 0;
   std::string scheduler;
 };
 
-// An operator confirmed a plan. It counts only if `base` is still the zone's
-// last confirmed plan.
+// An operator confirmed a plan. The entry is effective only if `base` is still
+// the zone's latest confirmed plan.
 struct PlanEntry {
   std::string plan;
   int64_t base = -1;
   std::vector<Intent> intents;
 };
 
-// A task ended for certain and is never started again.
+// A task has definitely ended and is never started again.
 struct TaskEndedEntry {
   int64_t epoch = 0;
   std::string task;
-  std::string outcome;  // "finished", "failed" or "unknown" (not repeatable,
-                        // and it may have run).
+  // "finished", "failed", or "unknown" for a non-repeatable task that may have
+  // run.
+  std::string outcome;
 };
 
-// A task that must not be repeated is about to start; only the first of these
-// for a task counts.
+// A non-repeatable task is about to start. Only the first such entry for a task
+// is effective.
 struct StartClaimEntry {
   int64_t epoch = 0;
   std::string task;
   int64_t attempt = 0;
 };
 
-// The start of `attempt` was refused or proved never to have happened; the task
+// The start of `attempt` was refused or definitely did not happen, so the task
 // may start again.
 struct StartReleaseEntry {
   int64_t epoch = 0;
@@ -73,34 +75,36 @@
   int64_t attempt = 0;
 };
 
-// A piece of the state as of `covers`; a snapshot is complete when all `count`
-// pieces are in.
+// A piece of a snapshot of the state up to offset `covers`. The snapshot is
+// complete once all `count` pieces have been read.
 struct SnapshotEntry {
   std::string id;
   int64_t covers = -1;
   int64_t index = 0;
   int64_t count = 0;
-  uint64_t checksum = 0;  // Of the whole text.
+  uint64_t checksum = 0;  // Of the text of all pieces.
   std::string text;
 };
 
-// A published configuration. It counts only if `base` is the version in force,
-// or for a renewal
-// (`version` >= 0) if that version is still the newest.
+// A published configuration. A new publication is effective only if `base` is
+// the version in force; a renewal (`version` >= 0) only if that version is
+// still the newest.
 struct ConfigurationEntry {
   int64_t base = -1;
-  int64_t version = -1;  // Of a renewal: the offset of the first publication.
-                         // -1: a new publication.
+  // For a renewal: the offset of the first publication; -1 for a new
+  // publication.
+  int64_t version = -1;
   std::string text;
 };
 
-// A gateway claims the one run of the request with this key.
+// A gateway claims the right to run the request with this key, which may run
+// only once.
 struct KeyClaimEntry {
   std::string key;
   uint64_t gateway = 0;  // Incarnation.
 };
 
-// The claim's request did not run; the key may be claimed again.
+// The request of the claim did not run, so the key may be claimed again.
 struct KeyReleaseEntry {
   std::string key;
   uint64_t gateway = 0;
@@ -119,7 +123,7 @@
 std::string EnvelopeToText(const Envelope& envelope);
 Result<Envelope> EnvelopeFromText(const std::string& text);
 
-// One record as a reader got it.
+// One record as read from the log.
 struct LogRecord {
   int64_t offset = 0;
   std::string text;
--- a/keelbridge/protocol/platform_clients.cc
+++ b/keelbridge/protocol/platform_clients.cc
@@ -13,13 +13,14 @@
 HttpClient::Options ConnectionOptions() {
   HttpClient::Options options;
   options.max_idle = 2;
-  // Longer than the time between two polls, so that they share a connection,
-  // and shorter than a server of the platform keeps an idle one.
+  // Longer than the interval between two polls, so that they share a
+  // connection, and shorter than the platform's servers keep an idle
+  // connection.
   options.idle_expiry = absl::Seconds(4);
   return options;
 }
 
-// The JSON object of a whole, successful answer.
+// Returns the JSON object of a complete, successful answer.
 std::optional<Json::Value> ParseObject(const HttpOutcome& outcome) {
   if (!outcome.response || outcome.response->status != kOk) return std::nullopt;
   const JsonDocument document =
--- a/keelbridge/protocol/platform_clients.h
+++ b/keelbridge/protocol/platform_clients.h
@@ -1,5 +1,6 @@
-// Narrow ports to the platform: its log, its host list, its workers. One class
-// each, typed calls, one place to change when the real thing speaks otherwise.
+// Typed clients of the platform: its log, its host list and its workers. Each
+// has one class, which is the only place that depends on the platform's
+// protocol.
 //
 //   LogClient log(address);
 //   Result<int64_t> offset = log.Append("zone-a", text, absl::Seconds(2));
@@ -21,15 +22,15 @@
 
 namespace keelbridge {
 
-// The append-only log. Assumed: offsets of a stream grow by one; a record, once
-// read, never changes; a read tells the lowest offset that is still kept.
-// Thread-safe.
+// The append-only log. It is assumed that the offsets of a stream increase by
+// one per record, that a record never changes once it was read, and that a read
+// returns the lowest offset that is still kept. Thread-safe.
 class LogClient {
  public:
   explicit LogClient(Address address);
 
-  // The record's offset. `kUnavailable`: it was not appended. `kUnknown`: it
-  // may have been.
+  // Returns the offset of the record. Error `kUnavailable`: the record was not
+  // appended. Error `kUnknown`: it may have been appended.
   Result<int64_t> Append(const std::string& stream, const std::string& text,
                          absl::Duration timeout);
   Result<LogBatch> Read(const std::string& stream, int64_t from,
@@ -39,7 +40,7 @@
   HttpClient http_;
 };
 
-// The platform's list of leaving hosts, which lags. Thread-safe.
+// The platform's list of leaving hosts, which may be out of date. Thread-safe.
 class HostListClient {
  public:
   explicit HostListClient(Address address);
@@ -49,13 +50,13 @@
   HttpClient http_;
 };
 
-// One worker; see `worker_messages.h` for what is assumed of it. Thread-safe.
+// One worker. `worker_messages.h` lists what is assumed of it. Thread-safe.
 class WorkerClient {
  public:
   explicit WorkerClient(Address address);
 
-  // Nothing when no whole answer came: the command may or may not have taken
-  // effect.
+  // Each returns nullopt if no complete answer was received: the command may or
+  // may not have taken effect.
   std::optional<HoldReply> Hold(const HoldRequest& request,
                                 absl::Duration timeout);
   std::optional<CommandReply> Start(const StartRequest& request,
--- a/keelbridge/protocol/record_store.cc
+++ b/keelbridge/protocol/record_store.cc
@@ -3,7 +3,7 @@
 namespace keelbridge {
 namespace {
 
-// The lengths before a key and a value.
+// The encoded lengths of a key and a value.
 constexpr size_t kLengthBytes = 5;
 
 }  // namespace
--- a/keelbridge/protocol/record_store_test.cc
+++ b/keelbridge/protocol/record_store_test.cc
@@ -5,7 +5,7 @@
 namespace keelbridge {
 namespace {
 
-TEST_CASE("record store: a batch is cut into appends of bounded size") {
+TEST_CASE("record store: a batch is split into appends of bounded size") {
   std::vector<Record> records;
   records.reserve(10);
   for (int i = 0; i < 10; ++i)
@@ -14,7 +14,7 @@
   CHECK(CountForAppend(records, 0, 10000) == 10);
   CHECK(CountForAppend(records, 0, 350) == 3);
   CHECK(CountForAppend(records, 9, 350) == 1);
-  // One that is too large by itself is left to the store to refuse.
+  // A single record above the limit is appended, and the store refuses it.
   CHECK(CountForAppend(records, 2, 50) == 1);
   CHECK(CountForAppend({}, 0, 350) == 0);
 }
--- a/keelbridge/protocol/resources.h
+++ b/keelbridge/protocol/resources.h
@@ -1,4 +1,4 @@
-// Amounts of what a worker has and a task needs.
+// Amounts of the resources that a worker has or a task needs.
 //
 //   Resources free = total - used;
 //   if (need.FitsIn(free)) ...
@@ -50,16 +50,17 @@
   }
 };
 
-// Every amount at least zero in a and in b: the part of `a` that `b` does not
-// cover.
+// Returns the part of `a` that `b` does not cover. No amount of the result is
+// negative.
 inline Resources Shortfall(const Resources& a, const Resources& b) {
   return {std::max(0, a.cpu_milli - b.cpu_milli),
           std::max(0, a.memory_mib - b.memory_mib),
           std::max(0, a.accelerators - b.accelerators)};
 }
 
-// The largest of the three shares of `part` in `whole` (dominant resource),
-// from 0 up; 0 of nothing is 0.
+// Returns the dominant share of `part` in `whole`: the largest of the shares of
+// the three resources. The share of a resource of which `whole` has nothing is
+// 0.
 inline double DominantShare(const Resources& part, const Resources& whole) {
   const auto share = [](int64_t p, int64_t w) {
     return w <= 0 ? 0.0 : static_cast<double>(p) / static_cast<double>(w);
--- a/keelbridge/protocol/site_configuration.cc
+++ b/keelbridge/protocol/site_configuration.cc
@@ -6,7 +6,8 @@
 namespace keelbridge {
 namespace {
 
-// The better match for `path` of `best`, which may be null, and `queue`.
+// Returns whichever of `best`, which may be null, and `queue` matches `path`
+// with the longer prefix.
 const Queue* LongerMatch(const Queue* best, const Queue& queue,
                          const std::string& path) {
   if (!absl::StartsWith(path, queue.path_prefix)) return best;
@@ -21,7 +22,7 @@
   by_name_.clear();
   by_host_.clear();
   for (size_t i = 0; i < queues.size(); ++i) {
-    by_name_.emplace(queues[i].name, i);  // The first of a name counts.
+    by_name_.emplace(queues[i].name, i);  // The first queue of a name wins.
     by_host_[absl::AsciiStrToLower(queues[i].host)].push_back(i);
   }
 }
--- a/keelbridge/protocol/site_configuration.h
+++ b/keelbridge/protocol/site_configuration.h
@@ -1,5 +1,6 @@
-// What the operator configures for a site: queues of jobs, pools of workers and
-// limits on clients' requests. Versions rise; a newer one replaces the whole.
+// The operator's configuration of a site: queues of jobs, pools of workers and
+// limits on the requests of clients. Versions increase, and a newer
+// configuration replaces the older one entirely.
 //
 //   const Queue* queue = configuration.FindQueue("host.example", "/restore/1");
 
@@ -14,30 +15,33 @@
 
 namespace keelbridge {
 
-// The cost and the life of advice on which workers may run a step.
+// The cost and the validity of advice on which workers may run a step.
 struct AdviceTerms {
   bool needed = false;
-  double base_ms = 0;        // Of one call.
-  double per_worker_ms = 0;  // More for each worker named.
-  int64_t validity_ms = 0;   // Of a ticket, from the answer on.
+  double base_ms = 0;        // Cost of one call.
+  double per_worker_ms = 0;  // Additional cost of each worker in the call.
+  int64_t validity_ms = 0;   // Validity of a ticket, from the answer on.
 };
 
 struct Queue {
   std::string name;
-  std::string host;          // Of the requests that reach it.
-  std::string path_prefix;   // The longest one that fits wins.
-  std::string pool;          // Of the workers that run its tasks.
+  std::string host;          // Host of the requests for this queue.
+  std::string path_prefix;   // The longest matching prefix wins.
+  std::string pool;          // The workers that run the queue's tasks.
   int32_t priority = 0;      // 0 is the most urgent.
-  int32_t max_attempts = 1;  // Failed ends until the job has failed.
-  double stretch = 1;        // Objective: stretch x longest chain of work ...
-  int64_t target_latency_ms = 0;  // ... and this much more.
-  int64_t timeout_ms = 0;         // Of a client's request.
+  int32_t max_attempts = 1;  // Failures after which the job has failed.
+  // Objective for the latency of a job: `stretch` times its longest chain of
+  // work, plus `target_latency_ms`.
+  double stretch = 1;
+  int64_t target_latency_ms = 0;
+  int64_t timeout_ms = 0;  // Of a client's request.
   AdviceTerms advice;
 };
 
 struct Pool {
   std::string name;
-  bool workers_check_capacity = false;  // They refuse what does not fit.
+  // Workers of the pool refuse tasks that do not fit.
+  bool workers_check_capacity = false;
   bool spare = false;
 };
 
@@ -47,26 +51,27 @@
 };
 
 struct SiteConfiguration {
-  int64_t version = 0;  // 0: none yet.
+  int64_t version = 0;  // 0: no configuration yet.
   std::vector<Queue> queues;
   std::vector<Pool> pools;
   RequestLimits limits;
-  std::string document;  // As the operator wrote it, to hand on to peers.
+  std::string document;  // The original text, which is passed to peers.
 
-  // Makes the look-ups below fast, whatever the number of queues. Call again
-  // after `queues` changed; without it they look at all queues in turn.
+  // Builds an index, so that the time of the lookups below does not depend on
+  // the number of queues. Call it again after `queues` has changed. Without an
+  // index the lookups scan all queues.
   void BuildIndex();
-  // The queue for a request, or null.
+  // Returns the queue for a request, or null if there is none.
   const Queue* FindQueue(const std::string& host,
                          const std::string& path) const;
   const Queue* FindQueueByName(const std::string& name) const;
   const Pool* FindPool(const std::string& name) const;
 
  private:
-  // Positions in `queues`.
+  // Indices into `queues`.
   absl::flat_hash_map<std::string, size_t> by_name_;
-  absl::flat_hash_map<std::string, std::vector<size_t>> by_host_;  // In lower
-                                                                   // case.
+  // The host names are in lower case.
+  absl::flat_hash_map<std::string, std::vector<size_t>> by_host_;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/protocol/site_configuration_test.cc
+++ b/keelbridge/protocol/site_configuration_test.cc
@@ -19,7 +19,7 @@
   return configuration;
 }
 
-TEST_CASE("site configuration: the index finds what a search finds") {
+TEST_CASE("site configuration: the index finds the same queues as a scan") {
   const SiteConfiguration plain = WithQueues(200);
   SiteConfiguration indexed = WithQueues(200);
   indexed.BuildIndex();
--- a/keelbridge/protocol/site_worker.h
+++ b/keelbridge/protocol/site_worker.h
@@ -1,8 +1,9 @@
-// What workers of a site tell and are told, apart from how it travels.
+// The messages between a site and its workers, independent of their encoding.
 //
-// Orders carry a fence: a worker does nothing for a lower one than it has seen.
-// All that runs on a worker is under one lease, an absolute time on the
-// worker's own steady clock, which may run up to 2% slow.
+// Orders carry a fencing token: a worker refuses an order whose token is lower
+// than the highest one it has seen. All runs on a worker share one lease, which
+// ends at an absolute time of the worker's own steady clock. That clock may run
+// up to 2% slow.
 
 #ifndef KEELBRIDGE_PROTOCOL_SITE_WORKER_H_
 #define KEELBRIDGE_PROTOCOL_SITE_WORKER_H_
@@ -18,9 +19,9 @@
 
 namespace keelbridge {
 
-// One life of a worker, as it describes itself.
+// One incarnation of a worker, as the worker describes itself.
 struct WorkerRecord {
-  std::string id;  // Of this life; see WorkerIncarnationId.
+  std::string id;  // Of this incarnation; see `WorkerIncarnationId`.
   std::string machine;
   std::string address;
   std::string zone;
@@ -29,12 +30,12 @@
   std::string rack;
   Resources capacity;
   bool draining = false;
-  int64_t leaves_in_ms =
-      -1;  // While it drains: the least time left; -1: unsaid.
+  // The least time until a draining worker leaves; -1 if not reported.
+  int64_t leaves_in_ms = -1;
 };
 
-// How long the answer to an order is waited for where nothing is known of how
-// long answers take.
+// How long to wait for the answer to an order if answer times have not been
+// observed yet.
 constexpr absl::Duration kOrderTimeout = absl::Milliseconds(300);
 
 struct StartOrder {
@@ -42,10 +43,11 @@
   int32_t run = 0;
   std::string payload;
   std::string checkpoint;  // "": from the beginning.
-  std::string ticket;      // Of the advice; "": none needed.
+  std::string ticket;      // From the advice service; "": none needed.
   int64_t lease_until_ms = 0;
   int64_t fence = 0;
-  absl::Duration timeout = kOrderTimeout;  // Then it counts as unanswered.
+  // After this time the order counts as unanswered.
+  absl::Duration timeout = kOrderTimeout;
 };
 
 struct StopOrder {
@@ -55,30 +57,31 @@
   absl::Duration timeout = kOrderTimeout;
 };
 
-// How an order was answered.
+// The result of an order.
 enum class OrderResult {
   kDone,
-  kFenced,  // The worker has seen a higher fence.
-  kOldRun,  // A run as high was stopped or ended there.
-  kLate,    // The lease had passed when the order arrived.
+  kFenced,  // The worker has seen a higher fencing token.
+  kOldRun,  // The same or a later run was stopped or has ended on the worker.
+  kLate,    // The lease had expired when the order arrived.
   kNoCapacity,
   kBadTicket,
-  kOtherIncarnation,  // Another life of the worker answered: the one meant is
-                      // gone.
-  kUnhealthy,         // The worker refused and did nothing.
-  kInvalid,           // The worker does not understand the order.
-  kNotSent,           // No byte left: it was not carried out and will not be.
-  kUnknown,           // No answer: it may have been, or may be later.
+  // Another incarnation of the worker answered: the addressed one is gone.
+  kOtherIncarnation,
+  kUnhealthy,  // The worker refused the order and did nothing.
+  kInvalid,    // The worker does not understand the order.
+  kNotSent,    // No byte was sent: the order is never executed.
+  kUnknown,    // No answer: the order may have been executed, or may be later.
 };
 
 const char* OrderResultName(OrderResult result);
 
 struct OrderReply {
   OrderResult result = OrderResult::kUnknown;
-  int64_t clock_ms = -1;  // The worker's clock; -1: not told.
+  int64_t clock_ms = -1;  // The worker's clock; -1 if not reported.
   std::string message;    // Why there was no answer, for logs.
-  // The id of the life that answered, when it is not the one that was asked, or
-  // when the asked id tells of no birth; empty: as asked, or not told.
+  // The id of the incarnation that answered, if it is not the addressed one or
+  // if the addressed id has no start time. Otherwise empty; also empty if the
+  // worker did not report it.
   std::string incarnation;
 };
 
@@ -94,7 +97,7 @@
 const char* RunEndName(RunEnd end);
 
 struct EndedTask {
-  int64_t number = 0;  // Rises from 1 within a life of the worker.
+  int64_t number = 0;  // Counts from 1 in each incarnation.
   TaskId task;
   int32_t run = 0;
   RunEnd end = RunEnd::kFailed;
@@ -103,10 +106,10 @@
 
 struct ObserveOrder {
   int64_t fence = 0;
-  int64_t ends_acknowledged = 0;  // Ends up to here may be forgotten.
-  int64_t lease_until_ms = 0;     // 0: do not touch the lease.
-  int64_t wait_ms = 0;            // How long the answer may wait for an end.
-  // How long to wait for the answer beyond that.
+  int64_t ends_acknowledged = 0;  // Ends up to this number may be forgotten.
+  int64_t lease_until_ms = 0;     // 0: leave the lease unchanged.
+  int64_t wait_ms = 0;            // How long the worker may wait for an end.
+  // How long to wait for the answer in addition to `wait_ms`.
   absl::Duration timeout = absl::Milliseconds(400);
 };
 
@@ -114,11 +117,12 @@
   OrderReply order;
   std::vector<RunningTask> running;
   std::vector<EndedTask> ended;
-  // The worker may hold more ends than this answer had room for.
+  // The worker may have more ends than fit into this answer.
   bool more_ends = false;
 };
 
-// Carries orders to workers. All calls and callbacks on the loop's thread.
+// Sends orders to workers. All calls and callbacks are on the thread of the
+// event loop.
 class WorkerOrders {
  public:
   virtual ~WorkerOrders() = default;
@@ -148,8 +152,8 @@
   std::vector<AdviceTicket> good;
 };
 
-// Asks which workers may run a step. One call at a time is answered for each
-// machine that asks.
+// Asks which workers may run a step. The service answers one call at a time for
+// each calling machine.
 class AdviceService {
  public:
   virtual ~AdviceService() = default;
--- a/keelbridge/protocol/verdict.h
+++ b/keelbridge/protocol/verdict.h
@@ -1,6 +1,6 @@
-// What is known about whether a request ran.
+// What is known about whether a request was executed.
 //
-// Only `kDidNotRun` allows another try of a request that must not be repeated.
+// Only `kDidNotRun` permits a retry of a request that must not be repeated.
 //
 //   if (verdict == Verdict::kDidNotRun || service.repeatable) Retry();
 
@@ -12,14 +12,15 @@
 namespace keelbridge {
 
 enum class Verdict {
-  kDidNotRun,  // It did not run and will not: no byte of it left, or the target
-               // refused it.
+  // The request did not run and never will: no byte of it was sent, or the
+  // target refused it.
+  kDidNotRun,
   kMayHaveRun,  // It may have run, may be running, or may still run.
-  kRan,         // It ran, and this is its whole answer.
+  kRan,         // It ran, and the answer is complete.
 };
 
-// The header that carries the verdict to callers, and a target's own refusal to
-// the gateway.
+// The header that reports the verdict to callers, and the refusal of a target
+// to the gateway.
 constexpr char kVerdictHeader[] = "Keelbridge-Verdict";
 constexpr char kRequestIdHeader[] = "Keelbridge-Request-Id";
 constexpr char kAttemptHeader[] = "Keelbridge-Attempt";
@@ -28,7 +29,7 @@
 constexpr char kIdempotencyKeyHeader[] = "Idempotency-Key";
 constexpr char kTeamHeader[] = "Keelbridge-Team";
 
-// "DidNotRun", "MayHaveRun" or "Ran".
+// Returns "DidNotRun", "MayHaveRun" or "Ran".
 inline const char* VerdictName(Verdict verdict) {
   switch (verdict) {
     case Verdict::kDidNotRun:
@@ -41,7 +42,7 @@
   return "MayHaveRun";
 }
 
-// The verdict on a request that got no answer.
+// Returns the verdict on a request that received no answer.
 inline Verdict VerdictFromFailure(SendFailure failure) {
   return failure == SendFailure::kNothingSent ? Verdict::kDidNotRun
                                               : Verdict::kMayHaveRun;
--- a/keelbridge/protocol/worker_incarnation.cc
+++ b/keelbridge/protocol/worker_incarnation.cc
@@ -11,8 +11,8 @@
 }  // namespace
 
 std::string WorkerIncarnationId(const WorkerIncarnation& incarnation) {
-  // A name that holds the sign is told from a name with a birth by always
-  // having one.
+  // If the name contains the separator, the start time is always appended, so
+  // that the name cannot be mistaken for a name with a start time.
   const bool omits_start_time =
       incarnation.start_time_ms == 0 &&
       incarnation.name.find(kStartTimeSeparator) == std::string::npos;
--- a/keelbridge/protocol/worker_incarnation.h
+++ b/keelbridge/protocol/worker_incarnation.h
@@ -1,13 +1,14 @@
-// Which life of a worker is meant.
+// Identifies one incarnation of a worker.
 //
-// A worker that starts again may do so under the name that it had. It then
-// knows nothing of before, and its clock, the numbers of its ends and the fence
-// that it has seen begin anew. So what is known of a worker, is ordered of it
-// and is kept on record is so of one life: its name and when it was born.
+// A worker may restart under the same name. The new incarnation has no state of
+// the previous one, and its clock, the numbers of its ends and the highest
+// fencing token it has seen start anew. Therefore knowledge of a worker, orders
+// to it and its durable records refer to one incarnation: a name and a start
+// time.
 //
 //   std::string id = WorkerIncarnationId({"i-7f3a", 1791525600123});
-//   WorkerIncarnation life = ParseWorkerIncarnation(id);  //
-//   "i-7f3a@1791525600123"
+//   // id == "i-7f3a@1791525600123"
+//   WorkerIncarnation incarnation = ParseWorkerIncarnation(id);
 
 #ifndef KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
 #define KEELBRIDGE_PROTOCOL_WORKER_INCARNATION_H_
@@ -18,12 +19,13 @@
 namespace keelbridge {
 
 struct WorkerIncarnation {
-  std::string name;           // Later lives may have it, too.
-  int64_t start_time_ms = 0;  // Wall clock of the worker; 0: not told.
+  std::string name;           // Later incarnations may have the same name.
+  int64_t start_time_ms = 0;  // Wall clock of the worker; 0 if not reported.
 };
 
-// Text that names the life. That of a life whose birth is not told is the name
-// itself, as in records of versions that knew no births.
+// Returns text that identifies the incarnation. If its start time is not
+// reported, the text is the name alone, as in records of versions without start
+// times.
 std::string WorkerIncarnationId(const WorkerIncarnation& incarnation);
 WorkerIncarnation ParseWorkerIncarnation(const std::string& id);
 
--- a/keelbridge/protocol/worker_incarnation_test.cc
+++ b/keelbridge/protocol/worker_incarnation_test.cc
@@ -5,7 +5,7 @@
 namespace keelbridge {
 namespace {
 
-TEST_CASE("worker life: an id gives back the name and the birth") {
+TEST_CASE("worker life: an id parses into its name and start time") {
   for (const WorkerIncarnation& incarnation :
        {WorkerIncarnation{"i-7f3a", 1791525600123},
         WorkerIncarnation{"i-7f3a", 0}, WorkerIncarnation{"a@7", 0},
@@ -19,7 +19,8 @@
   }
 }
 
-TEST_CASE("worker life: a life whose birth is not told is its name") {
+TEST_CASE(
+    "worker life: the id of an incarnation without start time is its name") {
   CHECK(WorkerIncarnationId({"i-7f3a", 0}) == "i-7f3a");
   CHECK(ParseWorkerIncarnation("i-7f3a").start_time_ms == 0);
 }
--- a/keelbridge/protocol/worker_messages.cc
+++ b/keelbridge/protocol/worker_messages.cc
@@ -12,8 +12,8 @@
   return absl::Milliseconds(v.asInt64());
 }
 
-// An enumerator out of range becomes the named fall-back, which is always the
-// harmless one.
+// Reads an enumerator. A value out of range yields `fallback`, which is always
+// the harmless one.
 template <typename E>
 E EnumFrom(const Json::Value& in, E last, E fallback) {
   const int value = in.asInt();
@@ -33,7 +33,7 @@
   return row;
 }
 
-// The part that every command carries.
+// Writes the members that all commands have in common.
 template <typename Command>
 void WriteFence(const Command& command, Json::Value& out) {
   out["holder"] = command.holder;
@@ -67,8 +67,8 @@
 }
 
 uint64_t LeaseDigest(const std::vector<LeaseRow>& rows) {
-  // A sum does not depend on the order of the rows. An empty table is 1, so
-  // that 0 can mean "knows nothing".
+  // A sum does not depend on the order of the rows. The digest of an empty
+  // table is 1, so that 0 can mean that the rows are not known.
   uint64_t sum = 1;
   for (const LeaseRow& row : rows) {
     const std::string line = absl::StrCat(row.task, "|", row.attempt, "|",
--- a/keelbridge/protocol/worker_messages.h
+++ b/keelbridge/protocol/worker_messages.h
@@ -1,20 +1,20 @@
-// What a scheduler says to a worker, and the answers.
+// The requests of a scheduler to a worker, and the replies.
 //
-// The worker is the platform's. What is assumed of it, and nothing else:
-//   1. It keeps one *hold*: a lease of no resources, for one holder and epoch,
-//   which lapses by itself. While
-//      a hold stands, commands of any other holder or epoch are refused.
+// The worker belongs to the platform. Only the following is assumed of it:
+//   1. It has one *hold*, a leadership lease: it covers no resources, belongs
+//      to one holder and epoch, and expires by itself. While the hold is
+//      active, commands of any other holder or epoch are refused.
 //   2. It refuses a command whose not-after time (wall clock) has passed, and
-//   one whose epoch is lower than the
-//      highest it has seen in this incarnation.
-//   3. It runs a task only while the task's lease stands, and stops it when the
-//   lease lapses.
-//   4. It keeps the row of an ended task until that is acknowledged.
-//   5. A worker that restarts has a new incarnation, runs nothing, and says how
-//   long it has been up.
+//      one whose epoch is lower than the highest epoch that it has seen in this
+//      incarnation.
+//   3. It runs a task only while the lease of the task is valid, and stops the
+//      task when the lease expires.
+//   4. It keeps the row of an ended task until the end is acknowledged.
+//   5. A worker that restarts has a new incarnation, runs nothing, and reports
+//      its uptime.
 //
-// One hold a second renews the leadership, seals the worker, renews every task
-// lease on it and tells what ended.
+// One hold request per second renews the leadership, reconciles the worker,
+// renews every task lease on it and reports the tasks that ended.
 //
 //   POST /hold   HoldRequest  -> HoldReply
 //   POST /start  StartRequest -> CommandReply
@@ -35,24 +35,26 @@
 namespace keelbridge {
 
 enum class HoldMode {
-  kQuery,    // Only asks.
-  kAcquire,  // Takes the hold if it is free or ours, and renews the task
-             // leases.
-  kRelease,  // Gives the hold back at once; task leases stay.
+  kQuery,  // Only reads the state of the hold.
+  // Acquires the hold if it is free or belongs to the caller, and renews the
+  // task leases.
+  kAcquire,
+  kRelease,  // Releases the hold immediately; task leases stay.
 };
 
 enum class LeaseState { kRunning, kFinished, kFailed, kCheckpointed, kStopped };
 
-// A lease as its worker tells of it.
+// A task lease as reported by its worker.
 struct LeaseRow {
   std::string task;
   int64_t attempt = 0;
   Resources resources;
   LeaseState state = LeaseState::kRunning;
-  int64_t progress_ms = 0;  // Work that a checkpoint or the finish has saved.
+  // Work saved by a checkpoint or by finishing the task.
+  int64_t progress_ms = 0;
   int64_t started_ms = 0;  // Worker's wall clock, milliseconds since the epoch.
-  std::string decision;    // The record of the decision that placed it, as the
-                           // scheduler sent it.
+  // The record of the placement decision, as sent by the scheduler.
+  std::string decision;
 };
 
 struct HoldRequest {
@@ -62,17 +64,17 @@
   absl::Duration hold_ttl;
   absl::Duration lease_ttl;  // Zero: the task leases are not renewed.
   int64_t not_after_ms = 0;  // Wall clock, milliseconds since the epoch.
-  uint64_t known_digest =
-      0;  // Rows travel only when the worker's digest differs from this.
-  std::vector<int64_t>
-      acknowledged;  // Attempts whose end is recorded; their rows are dropped.
+  // The worker sends its rows only if their digest differs from this one.
+  uint64_t known_digest = 0;
+  // Attempts whose end is recorded. The worker drops their rows.
+  std::vector<int64_t> acknowledged;
 };
 
 struct HoldReply {
   bool granted = false;
-  std::string refusal;  // "held", "stale_epoch" or "late"; empty when granted.
+  std::string refusal;  // "held", "stale_epoch" or "late"; empty if granted.
   std::string holder;
-  int64_t epoch = 0;  // The highest that this incarnation has seen.
+  int64_t epoch = 0;  // The highest epoch seen by this incarnation.
   absl::Duration hold_remaining;
   uint64_t incarnation = 0;
   absl::Duration uptime;  // Since this incarnation started.
@@ -89,8 +91,9 @@
   std::string task;
   int64_t attempt = 0;
   Resources resources;
-  absl::Duration work;  // What the task is expected to take; zero for a
-                        // service. Stand-ins run it for so long.
+  // The expected duration of the task; zero for a service. Simulated workers
+  // run the task for this long.
+  absl::Duration work;
   int64_t progress_ms = 0;
   std::string decision;
   std::string traceparent;
@@ -108,22 +111,23 @@
 };
 
 struct CommandReply {
-  bool done = false;  // Accepted. A start: the task runs. A stop: it ends soon,
-                      // or has ended.
-  bool ended = false;       // Of a stop: the task has ended already.
-  int64_t progress_ms = 0;  // Of a stop that has ended: work that was saved.
-  std::string refusal;      // "held", "stale_epoch", "late", "capacity",
-                            // "duplicate" or "unknown_task".
+  // The command was accepted. For a start: the task runs. For a stop: the task
+  // has ended or will end soon.
+  bool done = false;
+  bool ended = false;       // For a stop: the task has already ended.
+  int64_t progress_ms = 0;  // For a stop of an ended task: the saved work.
+  // "held", "stale_epoch", "late", "capacity", "duplicate" or "unknown_task".
+  std::string refusal;
 };
 
 const char* LeaseStateName(LeaseState state);
 
-// The digest of a worker's rows: equal digests mean equal (task, attempt,
-// state) sets.
+// Returns a digest of a worker's rows. Equal digests mean equal sets of (task,
+// attempt, state).
 uint64_t LeaseDigest(const std::vector<LeaseRow>& rows);
 
-// Codecs. Reading a malformed value throws `Json::Exception`, which adapters
-// turn into an error.
+// JSON encoding. Reading a malformed value throws `Json::Exception`, which the
+// callers turn into an error.
 Json::Value ToJson(const LeaseRow& row);
 Json::Value ToJson(const HoldRequest& request);
 Json::Value ToJson(const HoldReply& reply);
--- a/keelbridge/state/cell.cc
+++ b/keelbridge/state/cell.cc
@@ -6,7 +6,8 @@
 namespace keelbridge {
 namespace {
 
-// The finest level of free processor time, in thousandths of a processor.
+// The scale of the levels of free processor time, in thousandths of a
+// processor. Levels are about linear below it and logarithmic above it.
 constexpr double kFinestLevel = 250;
 constexpr double kLevelsPerDoubling = 4;
 
--- a/keelbridge/state/cell.h
+++ b/keelbridge/state/cell.h
@@ -1,15 +1,16 @@
-// The workers of a zone and what of them is given out: compact, and indexed by
-// free room.
+// The workers of a zone and their allocated resources, in a compact table with
+// an index by free capacity.
 //
-// Capacity is accounted for from grants, never from usage reports, which lag.
-// The index groups workers by free accelerators and by a logarithmic level of
-// free processor time, so that a search meets workers that fit first and a
-// decision touches few of them.
+// Allocation is computed from grants and never from usage reports, because the
+// reports lag. The index groups workers by free accelerators and by a
+// logarithmic level of free processor time, so that a search visits workers
+// with enough capacity first and a decision touches few of them.
 //
 //   Cell cell;
-//   WorkerId w = cell.Add("w1", "rack-1", {64000, 131072, 2});
-//   cell.Visit(need, SearchOrder::kBestFit, salt, [&](WorkerId id) { ...;
-//   return keep_going; });
+//   WorkerId worker = cell.Add("w1", "rack-1", {64000, 131072, 2});
+//   cell.Visit(need, SearchOrder::kBestFit, salt, [&](WorkerId id) {
+//     return !TryPlace(id);
+//   });
 
 #ifndef KEELBRIDGE_STATE_CELL_H_
 #define KEELBRIDGE_STATE_CELL_H_
@@ -27,20 +28,20 @@
 using WorkerId = int32_t;
 constexpr WorkerId kNoWorker = -1;
 
-// Which workers a search meets first.
+// The order in which a search visits workers.
 enum class SearchOrder {
-  kBestFit,   // Least room that may fit: keeps large rooms whole.
-  kWorstFit,  // Most room: keeps work apart.
+  kBestFit,   // Least free capacity first: keeps large free capacity whole.
+  kWorstFit,  // Most free capacity first: spreads tasks over the workers.
 };
 
 class Cell {
  public:
-  // Adds a worker with nothing given out. `name` must be new.
+  // Adds a worker without allocations. `name` must be new.
   WorkerId Add(const std::string& name, const std::string& rack,
                const Resources& total);
 
   size_t size() const { return rows_.size(); }
-  // `kNoWorker` when there is none of that name.
+  // Returns `kNoWorker` if no worker has that name.
   WorkerId Find(const std::string& name) const;
   const std::string& Name(WorkerId id) const { return rows_[id].name; }
   int Rack(WorkerId id) const { return rows_[id].rack; }
@@ -50,38 +51,39 @@
   const Resources& Used(WorkerId id) const { return rows_[id].used; }
   Resources Free(WorkerId id) const { return rows_[id].total - rows_[id].used; }
 
-  // Whether new work may go there: known, sealed, healthy and not leaving.
+  // Whether new tasks may be assigned to the worker: its state is known and
+  // reconciled, and it is healthy and not leaving.
   bool Schedulable(WorkerId id) const { return rows_[id].schedulable; }
   void SetSchedulable(WorkerId id, bool schedulable);
-  // Changes what a worker has; what is given out stays given out, so free room
-  // may become negative.
+  // Changes the total resources of a worker. Allocations stay, so free
+  // resources may become negative.
   void SetTotal(WorkerId id, const Resources& total);
 
-  // Gives out, or takes back. Adopted leases may exceed the total after it
-  // shrank; new work never does.
+  // Allocates or releases resources. Adopted leases may exceed the total after
+  // a worker has shrunk; new allocations never do.
   void Allocate(WorkerId id, const Resources& amount);
   void Release(WorkerId id, const Resources& amount);
 
-  // Sums over schedulable workers.
+  // Free processor time of all schedulable workers.
   int64_t FreeCpuMilli() const {
     return schedulable_cpu_ - schedulable_used_cpu_;
   }
-  const std::array<int64_t, 3>& Totals() const {
-    return totals_;
-  }  // Of all workers: cpu, memory, accelerators.
+  // Sums over all workers: processor time, memory, accelerators.
+  const std::array<int64_t, 3>& Totals() const { return totals_; }
 
   // Calls `visit(WorkerId)` for each schedulable worker on which `need` may
-  // fit, in roughly `order`, until it returns false. Workers without
-  // accelerators come first for work that needs none. `salt` turns the starting
-  // point inside a group, so that equals are met in turn.
+  // fit, in roughly the given order, until it returns false. For a need without
+  // accelerators, workers without accelerators come first. `salt` selects the
+  // starting point within a bucket of equal workers, so that they take turns.
   template <typename Visitor>
   void Visit(const Resources& need, SearchOrder order, uint32_t salt,
              Visitor visit) const;
 
  private:
   static constexpr int kLevels = 48;
-  static constexpr int kAcceleratorGroups =
-      10;  // No accelerators at all; 0 free, 1 free, ... 8 or more free.
+  // Group 0: workers without accelerators. Groups 1 to 9: workers with 0, 1,
+  // ... 8 or more free accelerators.
+  static constexpr int kAcceleratorGroups = 10;
 
   struct Row {
     std::string name;
@@ -89,7 +91,7 @@
     Resources total;
     Resources used;
     bool schedulable = true;
-    int16_t group = -1;  // Where the index has it; -1: nowhere.
+    int16_t group = -1;  // Position in the index; -1 if not indexed.
     int16_t level = -1;
     int32_t position = -1;
   };
@@ -107,14 +109,14 @@
   absl::flat_hash_map<std::string, WorkerId> by_name_;
   std::vector<std::string> rack_names_;
   std::array<std::array<Bucket, kLevels>, kAcceleratorGroups> index_;
-  std::array<uint64_t, kAcceleratorGroups>
-      occupied_{};  // A bit for each level that holds a worker.
+  // For each group, a bitmap of the levels that contain workers.
+  std::array<uint64_t, kAcceleratorGroups> occupied_{};
   std::array<int64_t, 3> totals_{};
   int64_t schedulable_cpu_ = 0;
   int64_t schedulable_used_cpu_ = 0;
 };
 
-// Implementation details of the template only.
+// Implementation of the member templates.
 
 template <typename Visitor>
 bool Cell::VisitGroup(int group, int min_level, SearchOrder order,
@@ -141,8 +143,8 @@
                  Visitor visit) const {
   const int min_level = FreeCpuLevel(need.cpu_milli);
   if (need.accelerators == 0) {
-    // Group 0 has no accelerators at all. Then those with the fewest free ones:
-    // the least is stranded there.
+    // Workers without accelerators come first, then those with the fewest free
+    // ones, so that the fewest accelerators are stranded.
     for (int group = 0; group < kAcceleratorGroups; ++group) {
       if (!VisitGroup(group, min_level, order, salt, visit)) return;
     }
--- a/keelbridge/state/configuration_state.cc
+++ b/keelbridge/state/configuration_state.cc
@@ -27,18 +27,19 @@
 
 void ConfigurationState::Apply(int64_t offset,
                                const ConfigurationEntry& entry) {
-  if (entry.version >= 0) {  // A renewal says again what was accepted before;
-                             // it is as old as its version.
+  if (entry.version >= 0) {
+    // A renewal repeats a version that was accepted before, and it counts as
+    // old as that version.
     if (entry.version == current_.version)
       carried_at_ = std::max(carried_at_, offset);
     if (entry.version > current_.version)
       Adopt(entry.version, entry.text, offset, Transition::kLaterVersion);
     return;
   }
-  if (offset <= current_.version) return;  // Already taken from a peer.
-  // With nothing known and records dropped, this may be the loser of a race
-  // whose winner is gone: wait for a renewal, which its author knew to be in
-  // force.
+  if (offset <= current_.version) return;  // Already received from a peer.
+  // If no configuration is known and records were dropped, this record may have
+  // lost a race against one that is dropped. Wait for a renewal instead: its
+  // writer knew that the version is in force.
   const bool first_ever =
       current_.version == -1 && entry.base == -1 && history_complete_;
   const bool follows = current_.version != -1 && entry.base == current_.version;
@@ -69,8 +70,8 @@
   Result<Configuration> next =
       ParseConfiguration(text, "configuration from a peer");
   if (!next) return false;
-  // No overlap check: the peer took each step, and this host may have missed
-  // some of them.
+  // The overlap of majorities is not checked here: the peer checked each
+  // version, and this host may have missed some of them.
   current_ = std::move(next.value());
   current_.version = version;
   return true;
--- a/keelbridge/state/configuration_state.h
+++ b/keelbridge/state/configuration_state.h
@@ -1,13 +1,13 @@
-// Which configuration is in force: the newest accepted one, never an older one
-// again.
+// Tracks which configuration is in force: the newest accepted one, which is
+// never replaced by an older one.
 //
-// A version is the offset of the first publication. Records come from the log;
-// whole versions come from peers when the log cannot be read. Both ways a lower
-// version never replaces a higher one.
+// The version of a configuration is the log offset of its first publication.
+// Records come from the log; whole configurations come from peers when the log
+// cannot be read. In both cases a lower version never replaces a higher one.
 //
 //   ConfigurationState state;
-//   state.OnBatch(batch);          // From the log, read from state.next().
-//   state.OnPeer(version, text);   // From a peer of the zone.
+//   state.OnBatch(batch);         // From the log, read from state.next().
+//   state.OnPeer(version, text);  // From a peer of the zone.
 
 #ifndef KEELBRIDGE_STATE_CONFIGURATION_STATE_H_
 #define KEELBRIDGE_STATE_CONFIGURATION_STATE_H_
@@ -23,22 +23,23 @@
 
 class ConfigurationState {
  public:
+  // Applies the records of `batch`, which was read from offset `next()`.
   void OnBatch(const LogBatch& batch);
-  // True when the peer's version was newer and is now in force.
+  // Returns true if the peer's version was newer and is now in force.
   bool OnPeer(int64_t version, const std::string& text);
 
   int64_t next() const { return next_; }
-  // Version -1: none yet.
+  // The configuration in force. Its version is -1 if there is none yet.
   const Configuration& current() const { return current_; }
-  // Offset of the newest record that carries the version in force.
+  // Offset of the newest record that contains the version in force.
   int64_t carried_at() const { return carried_at_; }
   int64_t first_retained() const { return first_retained_; }
   bool CaughtUp() const { return caught_up_; }
   int refused() const { return refused_; }
 
  private:
-  // Whether the version in force is the direct predecessor. Only then can one
-  // step be judged by itself.
+  // Whether an accepted version directly follows the version in force. The
+  // overlap of majorities can be checked only for a direct successor.
   enum class Transition { kDirectSuccessor, kLaterVersion };
 
   void Apply(int64_t offset, const ConfigurationEntry& entry);
@@ -51,8 +52,8 @@
   int64_t carried_at_ = -1;
   int64_t first_retained_ = 0;
   bool caught_up_ = false;
-  bool history_complete_ =
-      true;  // Nothing of the stream was dropped before it was read.
+  // No record of the stream was dropped before it was read.
+  bool history_complete_ = true;
   int refused_ = 0;
 };
 
--- a/keelbridge/state/configuration_state_test.cc
+++ b/keelbridge/state/configuration_state_test.cc
@@ -30,7 +30,7 @@
   return text.replace(text.find("d0"), 2, absl::StrCat("d", n));
 }
 
-// Appends one record by a writer of its own.
+// Appends each record with a new writer.
 class Publisher {
  public:
   explicit Publisher(testing::FakeLog& log) : log_(log) {}
@@ -56,7 +56,7 @@
       log.Read(kConfigurationStream, state.next(), 100, absl::UnixEpoch()));
 }
 
-TEST_CASE("configuration: two operators publish at once, the first wins") {
+TEST_CASE("configuration: of two concurrent publications the first one wins") {
   testing::FakeLog log;
   Publisher publisher(log);
   ConfigurationState state;
@@ -69,7 +69,7 @@
   CHECK(state.refused() == 1);
 }
 
-TEST_CASE("configuration: a renewal never outranks a later version") {
+TEST_CASE("configuration: a renewal never replaces a later version") {
   testing::FakeLog log;
   Publisher publisher(log);
   ConfigurationState state;
@@ -80,12 +80,12 @@
   CHECK(state.current().deployment == "d2");
 }
 
-TEST_CASE("configuration: after a gap only a renewal or a peer is believed") {
+TEST_CASE("configuration: after a gap only a renewal or a peer is accepted") {
   testing::FakeLog log;
   Publisher publisher(log);
   publisher.Publish(-1, SameWorkers(1));
-  publisher.Publish(0, SameWorkers(2));  // The winner, which is dropped below.
-  publisher.Publish(0, SameWorkers(3));  // The loser.
+  publisher.Publish(0, SameWorkers(2));  // Wins the race; dropped below.
+  publisher.Publish(0, SameWorkers(3));  // Loses the race.
   log.DropBefore(kConfigurationStream, 2);
   ConfigurationState fresh;
   Read(log, fresh);
@@ -101,18 +101,19 @@
   CHECK(other.current().deployment == "d2");
 }
 
-TEST_CASE("configuration: a change after which two could lead is refused") {
+TEST_CASE("configuration: a change that permits two leaders is refused") {
   testing::FakeLog log;
   Publisher publisher(log);
   ConfigurationState state;
   publisher.Publish(-1, Text(1));
-  publisher.Publish(0, Text(2));  // Not one worker in common.
+  publisher.Publish(0, Text(2));  // The two versions share no worker.
   Read(log, state);
   CHECK(state.current().deployment == "d1");
 }
 
-// Random publications, renewals, drops, reads, restarts and peers. Returns
-// how often a host's version went back. The naive host takes the newest record.
+// Runs a random schedule of publications, renewals, dropped records, reads,
+// restarts and updates from peers. Returns how often the version of a host
+// decreased. A naive host adopts the newest record, whatever its version.
 int Reversals(uint64_t seed, bool naive) {
   std::mt19937_64 random(seed);
   const auto pick = [&random](int n) {
@@ -136,7 +137,7 @@
         publisher.Publish(hosts[h].current().version, SameWorkers(step));
         break;
       case 1:
-        // A slow leader renews what it still thinks is in force.
+        // A slow leader renews the version that it believes to be in force.
         if (hosts[h].current().version >= 0) {
           publisher.Renew(hosts[h].current().version, hosts[h].current().text);
         }
@@ -148,7 +149,7 @@
         }
         break;
       case 3:
-        // A host is replaced: it knows what a peer gives it, and no more.
+        // A host is replaced: it knows only the version that a peer sends.
         hosts[h] = ConfigurationState();
         hosts[h].OnPeer(hosts[(h + 1) % 3].current().version,
                         hosts[(h + 1) % 3].current().text);
@@ -178,7 +179,7 @@
   return reversals;
 }
 
-TEST_CASE("configuration: no host ever goes back, over 500 seeded schedules") {
+TEST_CASE("configuration: no host reverts in 500 random schedules") {
   int naive_seeds = 0;
   for (uint64_t seed = 1; seed <= 500; ++seed) {
     CAPTURE(seed);
--- a/keelbridge/state/envelope_filter.h
+++ b/keelbridge/state/envelope_filter.h
@@ -1,11 +1,12 @@
-// Lets each envelope of a stream through once.
+// Removes duplicate envelopes from a stream.
 //
-// A writer whose answer was lost sends the same envelope again under the same
-// id, and its envelopes come in the order of their sequence. So the highest
-// sequence of each writer is all that has to be kept.
+// A writer that received no answer sends the same envelope again under the same
+// id, and the envelopes of a writer arrive in the order of their sequence
+// numbers. It is therefore enough to keep the highest sequence number of each
+// writer.
 //
 //   EnvelopeFilter filter;
-//   if (filter.Take(envelope.id, offset)) Apply(envelope);
+//   if (filter.Accept(envelope.id, offset)) Apply(envelope);
 
 #ifndef KEELBRIDGE_STATE_ENVELOPE_FILTER_H_
 #define KEELBRIDGE_STATE_ENVELOPE_FILTER_H_
@@ -22,10 +23,11 @@
  public:
   struct Writer {
     int64_t sequence = 0;
-    int64_t offset = 0;  // Of its last envelope.
+    int64_t offset = 0;  // Of its latest envelope.
   };
 
-  // False when this envelope, or a later one of its writer, was taken before.
+  // Accepts an envelope. Returns false if this envelope, or a later one of its
+  // writer, was accepted before.
   bool Accept(const EnvelopeId& id, int64_t offset) {
     if (WasAccepted(id)) return false;
     writers_[id.incarnation] = {id.sequence, offset};
@@ -38,15 +40,15 @@
     return it != writers_.end() && it->second.sequence >= id.sequence;
   }
 
-  // For snapshots.
+  // The state of the filter, for snapshots.
   const std::map<uint64_t, Writer>& writers() const { return writers_; }
   void Restore(uint64_t incarnation, Writer writer) {
     writers_[incarnation] = writer;
   }
 
  private:
-  // A writer that has been silent for this many records is forgotten; its last
-  // answer was settled long before.
+  // A writer without an envelope among this many records is forgotten. The
+  // outcome of its latest append was settled long before.
   static constexpr int64_t kIdleRecords = 100000;
   static constexpr int64_t kIdleSweepInterval = 1024;
 
--- a/keelbridge/state/job_table.cc
+++ b/keelbridge/state/job_table.cc
@@ -15,7 +15,8 @@
 constexpr char kProgressPrefix[] = "p/";
 constexpr size_t kPrefixLength = 2;
 
-// One hex digit for four tasks, the first task in the lowest bit.
+// Returns which tasks of `step` are done, as one hex digit for each four tasks.
+// The first task is the lowest bit.
 std::string FormatDoneBits(const StepState& step) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string bits((step.tasks.size() + 3) / 4, '0');
@@ -29,7 +30,8 @@
   return bits;
 }
 
-// False when they are not the bits of such a step.
+// Marks the tasks of `step` that `in` lists as done. Returns false if `in` is
+// not a valid bit string for the step.
 bool ReadDoneBits(const Json::Value& in, StepState* step) {
   if (!in.isString()) return false;
   const std::string bits = in.asString();
@@ -48,8 +50,8 @@
   return true;
 }
 
-// The end that a progress record names; kQueued: it names none. False when it
-// cannot be read.
+// Reads the end of the job from a progress record; kQueued if the job has not
+// ended. Returns false if the end cannot be read.
 bool ReadEnd(const Json::Value& in, JobState* end) {
   *end = JobState::kQueued;
   if (!in.isMember("end")) return true;
@@ -164,8 +166,9 @@
   return &round.steps[step].tasks[index];
 }
 
-// Of a job that keeps them. One that cannot be read is not taken for none: all
-// of the job then count as not kept.
+// Reads the placements of a job that persists them. A placement that cannot be
+// read must not be mistaken for a task that runs nowhere, so one such placement
+// marks all placements of the job as not persisted.
 void ReadPlacements(const Json::Value& in, Job* job, Round& round) {
   if (!in.isNull() && !in.isObject()) {
     job->placements_persisted = false;
@@ -253,8 +256,9 @@
   return true;
 }
 
-// False when it cannot be read: taken for a round of which nothing is known,
-// its tasks would run again.
+// Adds the round that `in` describes to `job`. Returns false if it cannot be
+// read: if it were taken for a round without progress, its tasks would run
+// again.
 bool ReadRound(const Json::Value& in, Job* job) {
   const bool has_valid_types = in.isObject() && in["round"].isInt() &&
                                IsObjectOrMissing(in, "failed_runs") &&
@@ -298,7 +302,7 @@
       [job](const Json::Value& round) { return ReadRound(round, job); });
 }
 
-// Null when the description cannot be read.
+// Returns null if the description cannot be read.
 std::unique_ptr<Job> ReadDescription(JobId id, const Json::Value& in) {
   JobSpec spec;
   const bool read = in["queue"].isString() && in["accepted_ms"].isInt64() &&
@@ -467,7 +471,7 @@
     job->recovered = true;
     jobs.emplace(id, std::move(job));
   }
-  // Jobs that have ended keep only their progress.
+  // Only the progress record is kept of a job that has ended.
   for (const auto& [id, value] : progress_) {
     if (jobs.count(id) > 0 || unreadable_jobs_.count(id) > 0) continue;
     JobState end = JobState::kQueued;
--- a/keelbridge/state/job_table.h
+++ b/keelbridge/state/job_table.h
@@ -1,16 +1,20 @@
-// The jobs of a site and how far they are, with the records that make them
-// last.
+// The jobs of a site, their progress, and the records that persist them.
 //
-// A job has two records: its description, written once, and its progress,
-// written again whenever something happened that a later leader must know: an
-// end that was taken note of, a cancel, how the job ended. What runs where is
-// not recorded, since the workers know it, but for tasks that last: those are
-// few, and without a placement a later leader waits for every silent worker's
-// lease before it starts one again.
+// Each job has two records: a description, written once, and a progress record,
+// rewritten whenever something happens that a later leader must know: a run's
+// end was acknowledged, the job was cancelled, or the job ended. Placements are
+// not recorded, because the workers report what they run. The exception is
+// long-running tasks: there are few of them, and without a recorded placement a
+// later leader would have to wait for the lease of every unresponsive worker to
+// expire before it could start such a task again.
 //
 //   Job job(id, "restore", spec, accepted_ms);
 //   Record record = DescriptionRecord(job);
-//   ApplyJobRecord(record, &jobs);  // In a process that starts.
+//
+//   // In a process that starts:
+//   JobRecords records;
+//   records.Add(record);
+//   JobTable jobs = records.Build();
 
 #ifndef KEELBRIDGE_STATE_JOB_TABLE_H_
 #define KEELBRIDGE_STATE_JOB_TABLE_H_
@@ -35,72 +39,85 @@
 const char* JobStateName(JobState state);
 
 enum class TaskPhase {
-  kWaiting,    // Not on any worker.
-  kStarting,   // The order is on its way.
-  kUncertain,  // The order had no answer: it may run, or may start later.
+  kWaiting,   // Assigned to no worker.
+  kStarting,  // The start order was sent and is not answered yet.
+  // The start order was not answered: the task may run, or may start later.
+  kUncertain,
   kRunning,
-  kStopping,  // Still takes its room.
+  kStopping,  // Still occupies its capacity.
   kDone,
 };
 
 // A run whose worker crashed.
 struct CrashedRun {
   int32_t run = 0;
-  int64_t ran_ms = 0;  // From its start to the first sign of the crash.
-  double chance = 0;   // That a sound task meets a crash in that time.
-  bool begun = false;  // The worker had told of it.
+  // From the run's start to the first sign of the crash.
+  int64_t ran_ms = 0;
+  // Probability that the worker of a harmless task crashes within `ran_ms`.
+  double chance = 0;
+  // The worker had confirmed that the run started.
+  bool begun = false;
 };
 
-// A run whose worker may be about to crash of it, or has fallen silent soon
-// after its start. On record, so that a later leader that finds another life at
-// the machine knows what ran there.
+// A run that may be about to crash its worker, or whose worker stopped
+// responding soon after the run started. It is persisted, so that a later
+// leader that finds another incarnation of the worker on the machine knows what
+// ran there.
 struct ExposedRun {
-  std::string worker;  // Empty: none.
+  std::string worker;  // Empty if there is no such run.
   int32_t run = 0;
-  int64_t since_ms = 0;  // Wall clock: when it was ordered.
-  int64_t ran_ms = -1;   // Until its worker fell silent; -1: it did not yet.
+  int64_t since_ms = 0;  // Wall clock time at which the start was ordered.
+  // How long the run lasted before its worker stopped responding; -1 if the
+  // worker still responds.
+  int64_t ran_ms = -1;
+  // The worker had confirmed that the run started.
   bool begun = false;
 };
 
-// A start whose order its worker has not answered. The order may be carried out
-// late, by whatever life the worker then has.
+// A start order that its worker has not answered. The worker may still execute
+// it late, in whatever incarnation it then has.
 struct UnansweredStart {
-  std::string worker;  // By its name, whichever life; empty: there is none.
+  // Name of the worker, without an incarnation. Empty if there is no such
+  // order.
+  std::string worker;
   int32_t run = 0;
-  // Of the leader that sent it: until when. A later leader reckons it by when
-  // that one had to stop.
+  // Latest time at which the order may arrive. Known only to the leader that
+  // sent the order; a later leader derives it from the time by which that
+  // leader must have stopped.
   absl::Time may_arrive_until = absl::InfinitePast();
 };
 
 struct TaskState {
   TaskPhase phase = TaskPhase::kWaiting;
-  int32_t run = 0;  // The last run that was ordered; 0: none yet.
-  // The runs that ended failed. Named, not counted: a later leader hears of the
-  // same end again, and of ends on several workers in any order. A gang keeps
-  // them at its first task.
+  int32_t run = 0;  // The latest run that was ordered; 0 if there is none.
+  // The runs that failed. They are listed rather than counted, because a later
+  // leader receives reports of the same end again, and of ends on several
+  // workers in any order. A gang keeps them at its first task.
   std::vector<int32_t> failed_runs;
-  // Crashes under its runs, in a row: a run that goes on for long clears them.
-  // A gang keeps them at its first task.
+  // Consecutive crashes of workers during runs of this task. A run that lasts
+  // long enough clears them. A gang keeps them at its first task.
   std::vector<CrashedRun> crashes;
   ExposedRun exposed;
   UnansweredStart unanswered;
-  bool observed = false;  // This leader started it or found it running.
-  std::string worker;     // While it is on one.
-  std::string failed_on;  // The worker of the last failure.
-  // Of a task whose job keeps placements: the only worker that may run it. Kept
-  // for good before the order leaves; empty: none runs it.
+  // This leader started the task or found it running.
+  bool observed = false;
+  std::string worker;     // The worker that the task is assigned to, if any.
+  std::string failed_on;  // The worker of the latest failure.
+  // For a task of a job with persisted placements: the only worker that may run
+  // the task, or empty if none does. Made durable before the start order is
+  // sent.
   std::string placed_on;
   std::string checkpoint;
   absl::Time retry_at = absl::InfinitePast();
-  int32_t preemptions = 0;  // How often it made room for others.
+  int32_t preemptions = 0;  // How often the task was preempted.
 };
 
-// Which workers may run a step, as far as the advice service has told.
+// What the advice service has answered so far on which workers may run a step.
 struct StepAdvice {
-  int32_t calls_in_flight = 0;  // Calls under way.
+  int32_t calls_in_flight = 0;
   absl::Time next_ask_at = absl::InfinitePast();
-  int32_t ask_count = 0;  // Times asked, in one or more calls.
-  absl::flat_hash_map<std::string, bool> known;  // Worker -> may run it.
+  int32_t ask_count = 0;  // Searches for advice, each of one or more calls.
+  absl::flat_hash_map<std::string, bool> known;  // Worker -> may run the step.
   struct Ticket {
     std::string ticket;
     absl::Time expires;
@@ -114,23 +131,28 @@
   StepAdvice advice;
   absl::Time ready_since = absl::InfiniteFuture();
   absl::Time gang_started = absl::InfinitePast();
-  // Workers where room is kept for so many tasks of it, and when that is looked
-  // into again.
+  // Workers on which capacity is reserved, each with the number of tasks of
+  // this step that the reservation is for.
   std::vector<std::pair<std::string, int32_t>> reserved;
+  // When the reservations are next reconsidered.
   absl::Time next_reservation_at = absl::InfinitePast();
-  // A task of it was seen by this leader before it was done: no earlier leader
-  // can have started what depends on it.
+  // This leader observed a task of the step before the task was done. So no
+  // earlier leader can have started a step that depends on this one.
   bool observed_before_end = false;
-  // A worker crashed soon after it was given a task of this step: its tasks
-  // start one at a time until one has been at work for a while.
+  // A worker crashed soon after it was assigned a task of this step. The step's
+  // tasks then start one at a time until one of them has run for a while.
   bool suspected = false;
-  bool crashed = false;     // A task of it has crashes on record.
-  int32_t probe_task = -1;  // The task that was started to learn of that.
+  // At least one task of the step has recorded crashes.
+  bool crashed = false;
+  // Index of the task that was started to find out whether the step's tasks
+  // crash workers; -1 if there is none.
+  int32_t probe_task = -1;
   absl::Time probe_ends_at = absl::InfinitePast();
-  // A task of it was at work for a while, or done: its tasks are no danger to
-  // all workers that they are given to.
+  // A task of the step has run for a while or is done, so the step's tasks do
+  // not crash every worker that they are assigned to.
   bool proven = false;
-  std::string blocked_reason;  // Why nothing of it started at the last attempt.
+  // Why no task of the step started at the latest attempt.
+  std::string blocked_reason;
 };
 
 struct Round {
@@ -145,23 +167,23 @@
   std::string queue;
   JobSpec spec;
   int64_t accepted_ms;       // Wall clock.
-  absl::Time accepted_at;    // Of this process's steady clock.
-  std::deque<Round> rounds;  // Those that have fallen due.
-  int32_t rounds_done = 0;   // All before this one are done and dropped.
-  bool begun = false;        // A task of it has run.
-  bool recovered = false;    // Was accepted under an earlier leader.
-  // Its record tells which worker each task that lasts was given to. Not so for
-  // a job whose last leader did not keep that.
+  absl::Time accepted_at;    // Steady clock of this process.
+  std::deque<Round> rounds;  // The rounds that are due and not done.
+  int32_t rounds_done = 0;   // All lower-numbered rounds are done and dropped.
+  bool begun = false;        // A task of the job has run.
+  bool recovered = false;    // Accepted under an earlier leader.
+  // The progress record names the worker that each long-running task was
+  // assigned to. False if the job's latest leader did not record placements.
   bool placements_persisted = false;
-  JobState end = JobState::kQueued;  // kQueued: has not ended.
+  JobState end = JobState::kQueued;  // kQueued: the job has not ended.
   int64_t ended_ms = 0;              // Wall clock.
-  absl::Time ended_at;               // Of this process's steady clock.
-  std::string failure;               // Why it failed, for explanations.
+  absl::Time ended_at;               // Steady clock of this process.
+  std::string failure;               // Why the job failed, for explanations.
   int64_t description_batch = 0;     // The batch that holds the description.
   int64_t end_batch = 0;             // The batch that holds the end.
 
   bool Ended() const { return end != JobState::kQueued; }
-  // Adds the round `number`, with all tasks waiting.
+  // Adds round `number`, with all its tasks waiting.
   Round& AddRound(int32_t number);
   Round* FindRound(int32_t number);
   StepState* FindStep(const TaskId& id);
@@ -169,30 +191,32 @@
   // Whether all tasks of the steps that `step` depends on are done.
   bool StepReady(const Round& round, size_t step) const;
   bool RoundDone(const Round& round) const;
-  // Whether a task of it lasts.
+  // Whether any step of the job is long-running.
   bool HasLongRunningStep() const;
-  // Whether the record tells where tasks of `step` were started.
+  // Whether the progress record names the workers on which tasks of `step` were
+  // started.
   bool HasPersistedPlacements(size_t step) const;
 };
 
-// The jobs by id. Stable addresses.
+// The jobs by id. The address of a job does not change.
 using JobTable = std::map<JobId, std::unique_ptr<Job>>;
 
-// How much of a job's description and progress is kept in which record.
+// Keys and values of the two records of a job.
 std::string DescriptionKey(JobId id);
 std::string ProgressKey(JobId id);
 Record DescriptionRecord(const Job& job);
 Record ProgressRecord(const Job& job);
+// The record that drops `key` from the store.
 Record DropRecord(std::string key);
 
-// Records in any order, before `BuildJobs`.
+// Collects job records, in any order, and builds the jobs from them.
 class JobRecords {
  public:
-  // Takes one record; one that cannot be read is counted, and its job is known
-  // by its id only.
+  // Adds one record. A record that cannot be read is counted, and only the id
+  // of its job is kept.
   void Add(const Record& record);
-  // The jobs that the records describe, but for those in `unreadable_jobs`,
-  // which grow by those whose records make no sense.
+  // Returns the jobs that the records describe, except those in
+  // `unreadable_jobs()`, to which jobs with invalid records are added.
   JobTable Build();
   int64_t unreadable() const { return unreadable_; }
   const std::set<JobId>& unreadable_jobs() const { return unreadable_jobs_; }
--- a/keelbridge/state/job_table_test.cc
+++ b/keelbridge/state/job_table_test.cc
@@ -22,7 +22,7 @@
   return job;
 }
 
-// The job as a later leader builds it.
+// Returns the job as a later leader rebuilds it from its records.
 std::unique_ptr<Job> RecoverJob(const Job& job, const Record& progress) {
   JobRecords records;
   records.Add(DescriptionRecord(job));
@@ -31,7 +31,8 @@
   return std::move(jobs.at(kId));
 }
 
-TEST_CASE("job table: placements of tasks that last are kept with their runs") {
+TEST_CASE(
+    "job table: placements of long-running tasks persist with their runs") {
   Job job = LongRunningJob();
   job.placements_persisted = true;
   TaskState& placed = job.rounds[0].steps[0].tasks[1];
@@ -45,14 +46,16 @@
   CHECK(tasks[1].run == 1003);
 }
 
-// Nothing may be concluded from placements that are not there.
-TEST_CASE("job table: a job whose leader kept no placements says so") {
+// The absence of placements must not be taken to mean that the tasks run
+// nowhere.
+TEST_CASE(
+    "job table: a job whose leader persisted no placements is marked so") {
   const Job job = LongRunningJob();
   const auto recovered = RecoverJob(job, ProgressRecord(job));
   CHECK_FALSE(recovered->placements_persisted);
 }
 
-TEST_CASE("job table: a placement that cannot be read is not taken for none") {
+TEST_CASE("job table: an unreadable placement is not taken for a missing one") {
   Job job = LongRunningJob();
   job.placements_persisted = true;
   job.rounds[0].steps[0].tasks[1].placed_on = "i-1";
@@ -68,8 +71,9 @@
   }
 }
 
-// Of one job, whose description or progress another writer spoilt: known to be
-// unreadable, neither run as something else nor forgotten.
+// Checks that a job whose record `key` another writer replaced by the invalid
+// `value` is known to be unreadable: it is neither run as something else nor
+// forgotten, and other jobs are not affected.
 void CheckUnreadable(const std::string& key, const std::string& value) {
   CAPTURE(key);
   CAPTURE(value);
@@ -87,7 +91,7 @@
   CHECK(jobs.count(kId + 1) == 1);
 }
 
-TEST_CASE("job table: a description that cannot be read is not taken for one") {
+TEST_CASE("job table: an unreadable description is not taken for a job") {
   for (
       const char* value :
       {"", "no record", "[]", "{}",
@@ -108,8 +112,10 @@
     CheckUnreadable(DescriptionKey(kId), value);
 }
 
-// Taken for progress of which nothing is known, the job would run again.
-TEST_CASE("job table: a progress that cannot be read is not taken for none") {
+// If an unreadable progress record were taken for a missing one, the job would
+// run again.
+TEST_CASE(
+    "job table: an unreadable progress record is not taken for a missing one") {
   for (const char* value :
        {"",
         "no record",
@@ -141,8 +147,7 @@
     CheckUnreadable(ProgressKey(kId), value);
 }
 
-TEST_CASE(
-    "job table: an end without a description that cannot be read counts") {
+TEST_CASE("job table: an unreadable end without a description is counted") {
   for (const char* value :
        {R"({"end":"completed","ended_ms":1,"queue":[]})",
         R"({"end":"completed","ended_ms":{}})", R"({"end":"wobbly"})"}) {
@@ -154,7 +159,8 @@
   }
 }
 
-TEST_CASE("job table: what is held against a task lasts with its job") {
+TEST_CASE(
+    "job table: crashes and unanswered starts of a task persist with its job") {
   JobSpec spec;
   spec.steps.push_back(StepSpec{});
   spec.steps[0].count = 3;
@@ -184,7 +190,7 @@
   CHECK(read.exposed.since_ms == 12345);
   CHECK(read.exposed.ran_ms == 40);
   CHECK(read.exposed.begun);
-  // No later run has a number that was given.
+  // No later run gets a number that was already used.
   CHECK(read.run == 6);
 }
 
--- a/keelbridge/state/known_workers.cc
+++ b/keelbridge/state/known_workers.cc
@@ -12,7 +12,8 @@
 
 constexpr char kPrefix[] = "w/";
 
-// A member that is there has the type that it is written with.
+// Whether each member that is present has the type that `KnownWorkerRecord`
+// writes.
 bool HasValidTypes(const Json::Value& value) {
   const auto all = [&value](std::initializer_list<const char*> keys,
                             bool (Json::Value::*is)() const) {
@@ -34,7 +35,7 @@
          all({"cpu_milli", "memory_mib", "accelerators"}, &Json::Value::isInt);
 }
 
-// False when one of them names no task.
+// Returns false if `texts` is not a list of task ids.
 bool ReadLastTasks(const Json::Value& texts, std::vector<TaskId>* tasks) {
   if (!texts.isNull() && !texts.isArray()) return false;
   for (const Json::Value& text : texts) {
@@ -45,7 +46,7 @@
   return true;
 }
 
-// Of a record whose types hold.
+// Reads a record that satisfies `HasValidTypes`.
 bool ReadKnown(const Json::Value& value, KnownWorker* known) {
   if (value.isMember("epoch")) known->epoch = value["epoch"].asInt64();
   known->retired = value["closed"].asBool();
@@ -101,7 +102,7 @@
                     HasValidTypes(document.root()) &&
                     ReadKnown(document.root(), &known);
   if (read) return known;
-  // What was read of it before its fault is not to be trusted either.
+  // The members that were read before the invalid one cannot be trusted either.
   KnownWorker unreadable;
   unreadable.worker.id = known.worker.id;
   unreadable.unreadable = true;
--- a/keelbridge/state/known_workers.h
+++ b/keelbridge/state/known_workers.h
@@ -1,9 +1,10 @@
-// The workers that a leader may have given work to, kept for later leaders.
+// Durable records of the workers that a leader may have assigned tasks to, for
+// later leaders.
 //
-// The platform's list of workers may miss one that still runs, for example
-// after an outage. A leader gives work only to a worker whose record here is
-// durable, so that the next one knows whom to ask before it starts anything
-// again.
+// The platform's list of workers may miss a worker that still runs, for example
+// after an outage. A leader assigns tasks only to a worker whose record is
+// durable, so that the next leader knows which workers to observe before it
+// starts a task again.
 //
 //   Record record = KnownWorkerRecord({worker, epoch});
 //   std::optional<KnownWorker> known = ParseKnownWorker(record);
@@ -25,21 +26,23 @@
 
 struct KnownWorker {
   WorkerRecord worker;
-  // Of the last leader that may have given it work or extended its lease. A
-  // record that names none may be anybody's.
+  // Epoch of the latest leader that may have assigned tasks to the worker or
+  // extended its lease. A record without an epoch may be of any leader.
   int64_t epoch = std::numeric_limits<int64_t>::max();
-  // It says that it leaves and runs nothing, and that leader gives it nothing
-  // any more.
+  // The worker has reported that it drains and runs nothing, and that leader
+  // assigns nothing more to it.
   bool retired = false;
-  // Whatever may run there unseen and lasts has its placement on record. Not so
-  // after a leader of a version that kept none: it writes this record anew when
-  // it gives the worker work, and no job's.
+  // Every long-running task that may run on the worker unobserved has a
+  // persisted placement. False after a leader of a version that persisted no
+  // placements: such a leader rewrites this record when it assigns tasks to the
+  // worker, but records no placement in any job.
   bool persists_placements = false;
-  // It says that it leaves, and that leader gives it nothing any more: of that
-  // leader's and earlier ones' tasks only these may run there. Empty: any may,
-  // if it is not closed.
+  // Set once the worker has reported that it drains and that leader assigns
+  // nothing more to it: of the tasks of that leader and earlier ones, only
+  // these may run on the worker. If empty, any task may run on a worker that is
+  // not retired.
   std::vector<TaskId> last_tasks{};
-  // It started again under the name that it had.
+  // The worker was restarted under the same name.
   bool restarted = false;
   // The record cannot be read: only the worker's id is known.
   bool unreadable = false;
@@ -48,9 +51,9 @@
 std::string KnownWorkerKey(const std::string& worker_id);
 bool IsKnownWorkerKey(const std::string& key);
 Record KnownWorkerRecord(const KnownWorker& known);
-// None when `record` is another kind of record, or drops one. Of one that
-// cannot be read the id is known, from its key: any leader may have used that
-// worker.
+// Returns nullopt if `record` is of another kind or drops a worker. If the
+// record cannot be read, the result holds only the id, which is in the key: any
+// leader may have used that worker.
 std::optional<KnownWorker> ParseKnownWorker(const Record& record);
 
 }  // namespace keelbridge
--- a/keelbridge/state/known_workers_test.cc
+++ b/keelbridge/state/known_workers_test.cc
@@ -10,7 +10,7 @@
 
 constexpr int64_t kUnknownEpoch = std::numeric_limits<int64_t>::max();
 
-TEST_CASE("known workers: a record is read as it was written") {
+TEST_CASE("known workers: a written record is read back unchanged") {
   WorkerRecord worker;
   worker.id = "i-1";
   worker.machine = "m-1";
@@ -34,8 +34,9 @@
   CHECK(ParseKnownWorker(KnownWorkerRecord({worker, 4, true}))->retired);
 }
 
-// Its id is in the key: taken for none, what it runs would be started again.
-TEST_CASE("known workers: one whose record cannot be read is still known") {
+// The id of the worker is in the key. If the record were ignored, the tasks
+// that the worker runs would be started again.
+TEST_CASE("known workers: a worker whose record is unreadable is still known") {
   for (const char* value :
        {"", "no record", "[]", "7", R"({"epoch":"x","closed":true})",
         R"({"epoch":1,"closed":"x"})", R"({"epoch":1,"machine":["m"]})",
@@ -50,14 +51,15 @@
         ParseKnownWorker(Record{KnownWorkerKey("i-1"), value, -1});
     REQUIRE(known.has_value());
     CHECK(known->worker.id == "i-1");
-    // Nothing is concluded from the rest: any leader may have used it.
+    // Nothing is concluded from the rest of the record: any leader may have
+    // used the worker.
     CHECK(known->epoch == kUnknownEpoch);
     CHECK_FALSE(known->retired);
     CHECK(known->unreadable);
   }
 }
 
-TEST_CASE("known workers: other records and dropped ones name none") {
+TEST_CASE("known workers: other records and dropped ones name no worker") {
   CHECK_FALSE(ParseKnownWorker(Record{"d/1", "{}", -1}).has_value());
   CHECK_FALSE(
       ParseKnownWorker(Record{KnownWorkerKey(""), "{}", -1}).has_value());
--- a/keelbridge/state/zone_replica.cc
+++ b/keelbridge/state/zone_replica.cc
@@ -8,7 +8,8 @@
 namespace keelbridge {
 namespace {
 
-// Incomplete snapshots that are kept at a time; the oldest goes first.
+// Incomplete snapshots that are kept. Beyond this, the first one by id is
+// dropped.
 constexpr size_t kMaxIncompleteSnapshots = 4;
 
 uint64_t Checksum(const std::string& text) {
@@ -39,8 +40,8 @@
     next_ = batch.first;
   }
   for (const LogRecord& record : batch.records) {
-    // A snapshot that was just loaded moves `next_` back; the rest of the batch
-    // is then read again.
+    // Loading a snapshot moves `next_` back. The rest of the batch is then read
+    // again.
     if (record.offset != next_) break;
     ++next_;
     ApplyRecord(record);
--- a/keelbridge/state/zone_replica.h
+++ b/keelbridge/state/zone_replica.h
@@ -1,12 +1,12 @@
-// Follows a zone's stream in the log and keeps a `ZoneState` in step with it.
+// Follows the stream of a zone in the log and applies it to a `ZoneState`.
 //
-// When the log no longer has what comes next (a gap, or a fresh start on an old
-// log), the replica looks for the newest complete snapshot, loads it and reads
-// on from what it covers.
+// If the log no longer has the next record (because of a gap, or because a new
+// replica reads an old log), the replica looks for the newest complete
+// snapshot, loads it and continues after the records that the snapshot covers.
 //
 //   ZoneReplica replica;
-//   replica.OnBatch(batch);            // Ask the log again from
-//   replica.next(). if (replica.Current()) Use(replica.state());
+//   replica.OnBatch(batch);  // Read the next batch from replica.next().
+//   if (replica.Current()) Use(replica.state());
 
 #ifndef KEELBRIDGE_STATE_ZONE_REPLICA_H_
 #define KEELBRIDGE_STATE_ZONE_REPLICA_H_
@@ -20,24 +20,26 @@
 
 namespace keelbridge {
 
-// Cuts a snapshot of `state` into entries of at most `max_bytes` of text each.
+// Splits a snapshot of `state` into entries of at most `max_bytes` of text
+// each.
 std::vector<SnapshotEntry> SplitSnapshot(const ZoneState& state,
                                          const std::string& id,
                                          size_t max_bytes);
 
 class ZoneReplica {
  public:
-  // Takes what the log answered to a read from `next()`. Malformed records are
-  // counted and passed over.
+  // Applies the log's answer to a read from offset `next()`. Malformed records
+  // are counted and skipped.
   void OnBatch(const LogBatch& batch);
 
   int64_t next() const { return next_; }
   const ZoneState& state() const { return state_; }
   std::vector<std::string> TakeEnded() { return state_.TakeEnded(); }
-  // True when everything up to the end of the log, as of the last batch, is
+  // Whether everything up to the end of the log, as of the latest batch, is
   // applied and nothing is missing.
   bool Current() const { return current_ && !awaiting_snapshot_; }
-  // Offsets since the last complete snapshot that this replica has seen.
+  // Number of offsets since the latest complete snapshot that this replica
+  // read.
   int64_t OffsetsSinceSnapshot() const { return next_ - last_snapshot_covers_; }
   int64_t first_retained() const { return first_retained_; }
   int64_t last_snapshot_covers() const { return last_snapshot_covers_; }
@@ -56,8 +58,8 @@
   ZoneState state_;
   int64_t next_ = 0;
   bool current_ = false;
-  bool awaiting_snapshot_ =
-      false;  // State is incomplete; only snapshots are of use.
+  // The state is incomplete, so only snapshots are read.
+  bool awaiting_snapshot_ = false;
   std::map<std::string, PartialSnapshot> pieces_;
   int64_t last_snapshot_covers_ = -1;
   int64_t first_retained_ = 0;
--- a/keelbridge/state/zone_state.cc
+++ b/keelbridge/state/zone_state.cc
@@ -11,7 +11,7 @@
 namespace keelbridge {
 namespace {
 
-// Confirming a plan twice is recognised for this many later plans.
+// A repeated confirmation of a plan is recognized for this many later plans.
 constexpr size_t kMaxPlanOutcomes = 256;
 
 Json::Int64 Int(int64_t v) { return static_cast<Json::Int64>(v); }
@@ -101,7 +101,8 @@
   } else if (const auto* plan = std::get_if<PlanEntry>(&entry)) {
     ApplyPlan(offset, *plan);
   } else if (const auto* ended = std::get_if<TaskEndedEntry>(&entry)) {
-    // An ending is a fact whoever reports it, so an earlier epoch's counts too.
+    // The end of a task is a fact whoever reports it, so entries of earlier
+    // epochs count too.
     ApplyEnded(*ended);
   } else if (const auto* start = std::get_if<StartClaimEntry>(&entry)) {
     if (start->epoch >= epoch_)
@@ -127,8 +128,8 @@
   switch (intent.kind) {
     case IntentKind::kService:
     case IntentKind::kBatch:
-      // A name that is in use keeps its first meaning; plans refuse it before
-      // it comes here.
+      // An id that is in use keeps its first intent. Such plans are refused
+      // before they are confirmed.
       work_.emplace(intent.id, WorkRecord{intent, offset, {}, {}});
       break;
     case IntentKind::kDrainHost:
@@ -163,8 +164,8 @@
     return;
   it->second.ended.Insert(index);
   if (entry.outcome == "unknown") it->second.unknown.Insert(index);
-  // A batch that is done is forgotten, unless an operator has to look at what
-  // became of some tasks.
+  // A batch whose tasks have all ended is forgotten, unless an operator must
+  // check the tasks of unknown outcome.
   if (it->second.ended.Count() >= it->second.intent.tasks &&
       it->second.unknown.Count() == 0)
     work_.erase(it);
--- a/keelbridge/state/zone_state.h
+++ b/keelbridge/state/zone_state.h
@@ -1,9 +1,10 @@
-// What operators confirmed and what ended, as the log of a zone says it.
+// The plans that operators confirmed and the tasks that ended, as recorded in
+// the log of a zone.
 //
-// Every reader that applies the same records has the same state, to the byte of
-// its snapshot text. Nothing here looks at a clock. Entries that come too late
-// (a stale plan, an entry of an earlier epoch) are applied as refused, by every
-// reader alike.
+// All readers that apply the same records have the same state, to the byte of
+// its snapshot text. Nothing here reads a clock. Entries that arrive too late
+// (a stale plan, an entry of an earlier epoch) are refused by every reader
+// alike.
 //
 //   ZoneState state;
 //   state.Apply(offset, envelope);
@@ -27,8 +28,8 @@
 
 namespace keelbridge {
 
-// A set of task numbers, kept as runs: a batch that ends in any order stays
-// small.
+// A set of task numbers, stored as ranges of consecutive numbers, so that a
+// batch stays small whatever the order in which its tasks end.
 class IndexRanges {
  public:
   void Insert(int64_t index);
@@ -38,20 +39,23 @@
   static IndexRanges FromText(const std::string& text);
 
  private:
-  std::map<int64_t, int64_t> ranges_;  // First to last, both inside.
+  // First number -> last number, inclusive.
+  std::map<int64_t, int64_t> ranges_;
 };
 
-// A service or batch that operators asked for.
+// A service or batch that an operator confirmed.
 struct WorkRecord {
   Intent intent;  // With later resizes and priorities applied.
   int64_t confirmed_at = -1;
   IndexRanges ended;
-  IndexRanges unknown;  // Part of `ended`: may have run, must not be repeated.
+  // Subset of `ended`: may have run and must not be repeated.
+  IndexRanges unknown;
 };
 
 class ZoneState {
  public:
-  // Applies one record. False when its id was seen before and nothing happened.
+  // Applies one record. Returns false, without effect, if the envelope was
+  // applied before.
   bool Apply(int64_t offset, const Envelope& envelope);
 
   int64_t next_offset() const { return next_offset_; }
@@ -64,19 +68,20 @@
     return drained_targets_;
   }
 
-  // The attempt that may run a task which must not be repeated; 0 when none has
-  // been claimed.
+  // Returns the attempt that may run a non-repeatable task, or 0 if no attempt
+  // has claimed its start.
   int64_t ClaimedAttempt(const std::string& task) const;
 
   enum class PlanOutcome { kUnknown, kConfirmed, kStale };
-  // What became of a confirmation, for as long as recent fates are kept.
+  // Returns the outcome of a confirmed plan, or kUnknown if the plan is not
+  // among the recent ones.
   PlanOutcome GetPlanOutcome(const std::string& plan) const;
 
-  // True when the last entry of this writer that was applied is `sequence` or
-  // later.
+  // Whether this envelope, or a later one of its writer, was applied.
   bool Applied(const EnvelopeId& id) const { return writers_.WasAccepted(id); }
 
-  // Tasks whose end was applied since the last call; not part of the state.
+  // Returns the tasks whose end was applied since the previous call. They are
+  // not part of the state.
   std::vector<std::string> TakeEnded() { return std::exchange(ended_, {}); }
 
   std::string Snapshot() const;
@@ -102,9 +107,9 @@
   std::vector<std::string> ended_;
 };
 
-// "intent/number".
+// Returns "intent/number".
 std::string TaskName(const std::string& intent, int64_t index);
-// False when `task` is no task name.
+// Returns false if `task` is not a task name.
 bool SplitTaskName(const std::string& task, std::string* intent,
                    int64_t* index);
 
--- a/keelbridge/state/zone_state_test.cc
+++ b/keelbridge/state/zone_state_test.cc
@@ -16,7 +16,7 @@
   return intent;
 }
 
-TEST_CASE("index runs hold what a set holds, and survive their text") {
+TEST_CASE("index ranges match a set, also when read back from text") {
   const bool ok = rc::check([](const std::vector<uint8_t>& indices) {
     IndexRanges runs;
     std::set<int64_t> set;
@@ -35,7 +35,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("a snapshot restores to the same state, to the byte") {
+TEST_CASE("a restored snapshot has the same state, to the byte") {
   const bool ok = rc::check([](const std::vector<uint16_t>& steps) {
     ZoneState state;
     int64_t offset = 0;
@@ -73,7 +73,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("an envelope that comes twice takes effect once") {
+TEST_CASE("an envelope that is received twice is applied once") {
   ZoneState state;
   const Envelope plan{{7, 1}, {PlanEntry{"p", -1, {Batch("b", 3)}}}};
   CHECK(state.Apply(0, plan));
@@ -92,7 +92,7 @@
   CHECK(state.ClaimedAttempt("b/0") == 2);
 }
 
-TEST_CASE("the state grows with live work, not with what has ended") {
+TEST_CASE("the state grows with running work and not with ended work") {
   const auto bytes = [](int ended_batches) {
     ZoneState state;
     int64_t offset = 0;
