--- a/keelbridge/base/bounded_queue.h
+++ b/keelbridge/base/bounded_queue.h
@@ -1,11 +1,12 @@
-// A bounded queue that joins two duties.
+// A bounded queue that passes items between threads.
 //
-// `Push` never waits: a full ring answers false, and the caller gives a verdict
-// at once in place of holding work that nobody will reach in time.
+// `Push` never blocks. It returns false if the queue is full, so that the
+// caller can reject work immediately instead of queueing work that would not be
+// processed in time.
 //
-//   BoundedQueue<Event> ring(1024);
-//   if (!ring.Push(std::move(event))) return Overloaded();
-//   for (Event& e : ring.Drain(64)) Handle(e);
+//   BoundedQueue<Event> queue(1024);
+//   if (!queue.Push(std::move(event))) return Overloaded();
+//   for (Event& e : queue.Drain(64)) Handle(e);
 
 #ifndef KEELBRIDGE_BASE_BOUNDED_QUEUE_H_
 #define KEELBRIDGE_BASE_BOUNDED_QUEUE_H_
@@ -20,13 +21,13 @@
 
 namespace keelbridge {
 
-// Any number of producers and consumers. Thread-safe.
+// Thread-safe. Supports any number of producers and consumers.
 template <typename T>
 class BoundedQueue {
  public:
   explicit BoundedQueue(size_t capacity) : items_(capacity) {}
 
-  // False when the ring is full or closed; `item` is then dropped.
+  // Adds `item`. Returns false and drops `item` if the queue is full or closed.
   bool Push(T item) ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
     if (closed_ || items_.full()) return false;
@@ -34,14 +35,15 @@
     return true;
   }
 
-  // Takes up to `most` items without waiting.
+  // Removes and returns up to `max_items` items without waiting.
   std::vector<T> Drain(size_t max_items) ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
     return TakeLocked(max_items);
   }
 
-  // Waits up to `wait` for the first item, then takes up to `most`. Empty when
-  // time ran out or the ring closed.
+  // Waits up to `wait` for the first item, then removes and returns up to
+  // `max_items` items. The result is empty if the wait timed out, or if the
+  // queue is closed and empty.
   std::vector<T> WaitAndDrain(size_t max_items, absl::Duration wait)
       ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
@@ -50,13 +52,14 @@
     return TakeLocked(max_items);
   }
 
-  // Refuses further items and wakes all that wait; what is inside can still be
-  // taken.
+  // Rejects further items and wakes all waiting threads. Items already in the
+  // queue can still be removed.
   void Close() ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
     closed_ = true;
   }
 
+  // Returns true if the queue is closed and holds no more items.
   bool ClosedAndEmpty() const ABSL_LOCKS_EXCLUDED(mutex_) {
     absl::MutexLock lock(&mutex_);
     return closed_ && items_.empty();
--- a/keelbridge/base/clock.h
+++ b/keelbridge/base/clock.h
@@ -1,7 +1,7 @@
-// The two clocks that decisions read, passed in as values.
+// Defines the two clocks that decisions depend on; they are passed as values.
 //
-// Decision logic never asks for the time. Whoever drives it passes a `Now`, so
-// that a test can drive the same logic on a virtual clock.
+// Decision logic never reads a clock itself. Its caller passes a `Now`, so that
+// a test can run the same logic on a virtual clock.
 //
 //   core.OnTick(Now{absl::UnixEpoch() + absl::Seconds(5), wall});
 
@@ -14,35 +14,39 @@
 
 namespace keelbridge {
 
-// The steady clock of this machine, in the form of <chrono>: never goes back,
-// and goes on while the machine is suspended. std::chrono::steady_clock stands
-// still then: a lease that had passed, or an age beyond its bound, would count
-// as too young by all that time.
+// The steady clock of this machine, as a <chrono> clock. It never goes back,
+// and it advances while the machine is suspended. std::chrono::steady_clock
+// does not advance during a suspension: an expired lease would still count as
+// valid, and the age of outdated data would be too low by the length of the
+// suspension.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  static constexpr bool is_steady = true;  // NOLINT: <chrono> names it so.
+  static constexpr bool is_steady = true;  // NOLINT: name required by <chrono>.
 
   static time_point now();
 
-  // As if the machine were suspended for `time`: what std::chrono::steady_clock
-  // tells stays as it is. For tests.
+  // Simulates a suspension of the machine for `time`: advances this clock, but
+  // not std::chrono::steady_clock. For tests only.
   static void SimulateSuspensionForTest(absl::Duration time);
 };
 
+// The readings of both clocks at one moment.
 struct Now {
-  // Of `BootClock`; only differences mean something.
+  // Reading of `BootClock`. Only differences between readings are meaningful.
   absl::Time mono;
-  // What other machines call the time, within the bound that the settings name.
+  // Wall-clock time. It differs from that of other machines by at most the
+  // clock error in the settings.
   absl::Time wall;
 };
 
 // Reads both clocks of this machine.
 Now SystemNow();
 
-// Milliseconds since the epoch of `time`, as messages carry them.
+// Converts `time` to milliseconds since the Unix epoch, the form used in
+// messages.
 inline int64_t ToMillis(absl::Time time) { return absl::ToUnixMillis(time); }
 
 }  // namespace keelbridge
--- a/keelbridge/base/json_reader.cc
+++ b/keelbridge/base/json_reader.cc
@@ -12,7 +12,7 @@
 namespace keelbridge {
 namespace {
 
-// Deeper texts are refused before they cost stack.
+// Texts with deeper nesting are rejected before they can overflow the stack.
 constexpr int kMaxNesting = 32;
 constexpr size_t kMaxShownValueBytes = 60;
 
@@ -43,7 +43,7 @@
 }  // namespace
 
 std::string ToJsonText(const Json::Value& value) {
-  // Making a writer costs more than writing a message.
+  // Reused because creating a writer costs more than writing a message.
   thread_local const std::unique_ptr<Json::StreamWriter> writer = [] {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
@@ -58,7 +58,7 @@
   JsonDocument document;
   document.text_ = std::move(text);
   document.source_ = std::move(source);
-  // Making a reader costs more than reading a message.
+  // Reused because creating a reader costs more than parsing a message.
   thread_local const std::unique_ptr<Json::CharReader> reader = MakeReader();
   Json::Value root;
   std::string errors;
--- a/keelbridge/base/json_reader.h
+++ b/keelbridge/base/json_reader.h
@@ -1,8 +1,8 @@
-// Reads JSON objects whole and reports every fault at once.
+// Validates JSON objects and reports all faults at once.
 //
-// Each fault names line, key, value and what is allowed. Unknown and duplicate
-// keys are faults. The same code reads the settings, the configuration and the
-// intents, and checks what peers send.
+// Each fault names the line, the key, the value and what is allowed. Unknown
+// and duplicate keys are faults. Used for settings, configurations and intents,
+// and to validate messages from peers.
 //
 //   JsonDocument doc = JsonDocument::Parse(text, "settings.json");
 //   JsonReader reader(doc, doc.root(), "");
@@ -27,17 +27,17 @@
 
 namespace keelbridge {
 
-// A parsed text and the faults found in it so far. Faults also come from
-// readers over its values.
+// A parsed JSON text and the faults found in it so far. A `JsonReader` adds the
+// faults that it finds to its document.
 class JsonDocument {
  public:
-  // Never fails: a text that is no JSON object gives a document with faults and
-  // an empty root.
+  // Parses `text`. `source` names the text in faults. Never fails: if `text` is
+  // not a JSON object, the document has a fault and an empty root.
   static JsonDocument Parse(std::string text, std::string source);
 
   const Json::Value& root() const { return root_; }
   const std::vector<std::string>& faults() const { return faults_; }
-  // All faults, one a line, as an error of kind `kInvalid`.
+  // Returns all faults, one per line, as an error with code `kInvalid`.
   Error FaultError() const;
   void AddFault(const Json::Value& at, const std::string& key,
                 const std::string& what);
@@ -51,14 +51,15 @@
   std::vector<std::string> faults_;
 };
 
-// Reads the members of one object. A member read without `Optional…` must be
-// there.
+// Reads the members of one object and checks their types and values. Members
+// read by methods without the prefix `Optional` are required.
 class JsonReader {
  public:
   JsonReader(JsonDocument& document, const Json::Value& object,
              std::string path);
 
-  // Required members. `out` keeps its value when the member is at fault.
+  // Methods for required members. `*out` keeps its value if the member is
+  // missing or invalid. Strings must not be empty.
   void String(const std::string& key, std::string* out);
   void OneOf(const std::string& key, const std::vector<std::string>& allowed,
              std::string* out);
@@ -70,14 +71,15 @@
   void ObjectList(const std::string& key,
                   const std::function<void(JsonReader&)>& read);
   void StringList(const std::string& key, std::vector<std::string>* out);
-  // The same of what others write, who may add members: unknown ones are no
-  // faults.
+  // Read an object or a list of objects from other writers, which may add
+  // members: unknown members are not faults.
   void ExtensibleObject(const std::string& key,
                         const std::function<void(JsonReader&)>& read);
   void ExtensibleObjectList(const std::string& key,
                             const std::function<void(JsonReader&)>& read);
 
-  // True when the member is there; the calls above may then read it.
+  // Returns true if the member is present. A caller can use this to read an
+  // optional member with the methods above.
   bool Has(const std::string& key) const { return object_.isMember(key); }
 
   void OptionalString(const std::string& key, std::string* out);
@@ -86,14 +88,14 @@
   void OptionalNumber(const std::string& key, double min_value,
                       double max_value, double* out);
   void OptionalBool(const std::string& key, bool* out);
-  // The key must end in `_ms`.
+  // Reads a number of milliseconds. `key` must end in `_ms`.
   void OptionalMillis(const std::string& key, int64_t min_value,
                       int64_t max_value, absl::Duration* out);
 
-  // Reports a fault of a member that was read but makes no sense.
+  // Reports a fault for a member that has a valid type but an invalid value.
   void ReportFault(const std::string& key, const std::string& what);
 
-  // Reports every member that nobody asked for. Call last.
+  // Reports every member that no call above has read. Call this last.
   void Finish();
 
  private:
@@ -107,8 +109,8 @@
   std::set<std::string> requested_keys_;
 };
 
-// The shortest text of `value`, keys in order, so that equal values give equal
-// texts.
+// Serializes `value` without whitespace and with sorted keys, so that equal
+// values have equal texts.
 std::string ToJsonText(const Json::Value& value);
 
 }  // namespace keelbridge
--- a/keelbridge/base/json_reader_test.cc
+++ b/keelbridge/base/json_reader_test.cc
@@ -14,8 +14,8 @@
 }
 
 TEST_CASE(
-    "settings: every fault at once, with line, key, value and what is "
-    "allowed") {
+    "settings: all faults are reported with line, key, value and what "
+    "is allowed") {
   const Result<Settings> settings = ParseSettings(R"({
   // A comment is fine.
   "name": "",
@@ -38,7 +38,7 @@
   CHECK(Has(error, "line 9: colour: is \"red\"; unknown key; known here:"));
 }
 
-TEST_CASE("hostile JSON is refused with a reason and bounded cost") {
+TEST_CASE("hostile JSON is rejected with an error of bounded length") {
   const std::string deep(100000, '[');
   for (const std::string& text :
        {deep, std::string("{\"a\": 1e999}"), std::string("{\"a\": NaN}"),
@@ -53,8 +53,8 @@
 }
 
 TEST_CASE(
-    "configuration and intents: names that do not exist, numbers out of "
-    "range") {
+    "configuration and intents: undeclared names and numbers out of "
+    "range are reported") {
   const Result<Configuration> configuration = ParseConfiguration(R"({
 "deployment": "d", "policy": "fastest", "zones": [{"name": "a"}, {"name": "a"}],
 "services": [{"name": "s", "repeatable": "yes"}], "teams": [], "entry_hosts": [],
--- a/keelbridge/base/line_writer.cc
+++ b/keelbridge/base/line_writer.cc
@@ -10,18 +10,19 @@
 namespace keelbridge {
 namespace {
 
-// A pipe takes up to so many bytes whole or not at all (POSIX: PIPE_BUF).
+// A write of at most this many bytes to a pipe is atomic (PIPE_BUF on Linux).
 constexpr size_t kMaxAtomicWrite = 4096;
 constexpr int kNoTimeout = -1;
 
-// How much of `text` to write at once: whole lines where they fit.
+// Returns how many bytes of `text` to write in one call: as many whole lines as
+// fit into an atomic write, or a part of the first line if it does not fit.
 size_t NextWriteLength(std::string_view text) {
   if (text.size() <= kMaxAtomicWrite) return text.size();
   const size_t end = text.rfind('\n', kMaxAtomicWrite - 1);
   return end == std::string_view::npos ? kMaxAtomicWrite : end + 1;
 }
 
-// Writes all of `text`; gives up on a descriptor that is closed.
+// Writes all of `text`. Gives up on a write error, such as a closed descriptor.
 void WriteAll(int descriptor, std::string_view text) {
   while (!text.empty()) {
     const ssize_t written =
--- a/keelbridge/base/line_writer.h
+++ b/keelbridge/base/line_writer.h
@@ -1,9 +1,9 @@
-// Writes lines to a descriptor from a thread of its own, many at a time.
+// Writes lines to a file descriptor in batches on a background thread.
 //
-// Whoever adds a line never waits for whoever reads the descriptor: lines stand
-// in a bounded buffer, and what does not fit is dropped and counted. The thread
-// wakes once for all lines of a pause, so that a line costs its caller neither
-// a system call nor a switch of threads.
+// A thread that adds a line never waits for the reader of the descriptor: lines
+// are kept in a bounded buffer, and lines that do not fit are dropped and
+// counted. The background thread wakes once per flush interval, so that most
+// lines cost the caller neither a system call nor a context switch.
 //
 //   LineWriter writer(STDOUT_FILENO, LineWriter::Options());
 //   writer.Add("{\"event\":\"started\"}");
@@ -26,27 +26,30 @@
 class LineWriter {
  public:
   struct Options {
-    size_t max_buffer_bytes = 256
-                              << 10;  // About half a second of a busy leader.
+    // About half a second of log output of a busy leader.
+    size_t max_buffer_bytes = 256 << 10;
     absl::Duration flush_interval = absl::Milliseconds(20);
   };
 
-  // The descriptor must stay open for the process's life.
+  // `descriptor` must stay open until the process ends.
   LineWriter(int descriptor, Options options);
-  // Does not wait for lines that were not written; see `Stop`.
+  // Does not wait for unwritten lines; call `Stop` first to write them.
   ~LineWriter();
   LineWriter(const LineWriter&) = delete;
   LineWriter& operator=(const LineWriter&) = delete;
 
-  // Adds a line, without its end; false when it was dropped.
+  // Adds `line`, which must not end in a newline. Returns false if it was
+  // dropped.
   bool Add(std::string_view line);
+  // Returns the number of lines dropped so far.
   int64_t dropped() const;
-  // Writes what is left and ends the thread; false when that took longer than
-  // `patience`, as nobody reads.
+  // Writes the remaining lines and ends the thread. Returns false if this takes
+  // longer than `timeout`, for example because nothing reads from the
+  // descriptor.
   bool Stop(absl::Duration timeout);
 
  private:
-  // Outlives the writer when its thread hangs in a write.
+  // Shared with the thread, which outlives the writer if a write blocks.
   struct State {
     std::mutex mutex;
     std::condition_variable changed;
--- a/keelbridge/base/line_writer_test.cc
+++ b/keelbridge/base/line_writer_test.cc
@@ -24,7 +24,7 @@
   }
 }
 
-TEST_CASE("line writer: lines arrive whole and in order, the last ones too") {
+TEST_CASE("line writer: all lines arrive in order, including the last ones") {
   std::array<int, 2> pipe_fds{};
   REQUIRE(pipe(pipe_fds.data()) == 0);
   LineWriter writer(pipe_fds[1], LineWriter::Options());
@@ -39,14 +39,14 @@
   close(pipe_fds[0]);
 }
 
-TEST_CASE("line writer: a descriptor that does not block loses nothing") {
+TEST_CASE("line writer: a non-blocking descriptor loses no lines") {
   std::array<int, 2> pipe_fds{};
   REQUIRE(pipe2(pipe_fds.data(), O_NONBLOCK) == 0);
   LineWriter::Options options;
   options.max_buffer_bytes = 1 << 20;
   LineWriter writer(pipe_fds[1], options);
   const std::string line(100, 'x');
-  // More than the pipe takes at once.
+  // More than the pipe can buffer.
   constexpr size_t kLines = 5000;
   for (size_t i = 0; i < kLines; ++i) CHECK(writer.Add(line));
   std::string text;
@@ -61,7 +61,8 @@
   close(pipe_fds[1]);
 }
 
-TEST_CASE("line writer: a reader that stands still costs lines, never time") {
+TEST_CASE(
+    "line writer: with a stalled reader, lines are dropped without blocking") {
   std::array<int, 2> pipe_fds{};
   REQUIRE(pipe(pipe_fds.data()) == 0);
   LineWriter::Options options;
@@ -70,7 +71,7 @@
   LineWriter writer(pipe_fds[1], options);
   const std::string line(100, 'x');
   absl::Duration max_add_duration;
-  // The pipe and the buffer hold far less than this.
+  // The pipe and the buffer hold far less than the lines added here.
   for (int round = 0; round < 200; ++round) {
     const absl::Time start_time = absl::Now();
     for (int i = 0; i < 50; ++i) writer.Add(line);
@@ -80,7 +81,8 @@
   CHECK(max_add_duration < absl::Seconds(1));
   CHECK(writer.dropped() > 0);
   CHECK(!writer.Stop(absl::Milliseconds(50)));
-  // The thread hangs in its write; closing the reader's end lets it go.
+  // The thread is blocked in a write. Closing the read end makes the write
+  // fail, so that the thread can finish.
   signal(SIGPIPE, SIG_IGN);
   close(pipe_fds[0]);
 }
--- a/keelbridge/base/log_rate_limiter.h
+++ b/keelbridge/base/log_rate_limiter.h
@@ -1,6 +1,6 @@
-// Bounds the lines that are logged of one kind of event in a period.
+// Limits the number of log lines of one kind of event in each period.
 //
-//   LogRateLimiter lines({.most = 5, .period = absl::Seconds(1)});
+//   LogRateLimiter lines({.max_lines = 5, .period = absl::Seconds(1)});
 //   if (const auto left_out = lines.Take(now))
 //     LogEvent(..., {{"lines_left_out", absl::StrCat(*left_out)}});
 
@@ -15,19 +15,20 @@
 
 namespace keelbridge {
 
-// Of one thread.
+// Not thread-safe.
 class LogRateLimiter {
  public:
   struct Options {
-    int max_lines = 5;  // Lines in a period.
+    int max_lines = 5;  // Per period.
     absl::Duration period = absl::Seconds(1);
   };
 
   LogRateLimiter() : LogRateLimiter(Options()) {}
   explicit LogRateLimiter(Options options) : options_(options) {}
 
-  // How many lines were left out since the last one that was not; none: this
-  // one is left out, too.
+  // Decides whether a line may be logged at `now`. Returns the number of lines
+  // suppressed since the last logged line, or nullopt if this line is
+  // suppressed too.
   std::optional<int64_t> Take(absl::Time now) {
     if (now - period_start_ >= options_.period) {
       period_start_ = now;
--- a/keelbridge/base/log_rate_limiter_test.cc
+++ b/keelbridge/base/log_rate_limiter_test.cc
@@ -5,7 +5,7 @@
 namespace keelbridge {
 namespace {
 
-TEST_CASE("line limit: so many in a period, then the count left out") {
+TEST_CASE("line limit: lines beyond the limit are suppressed and counted") {
   const absl::Time begin = absl::UnixEpoch() + absl::Hours(1);
   LogRateLimiter::Options options;
   options.max_lines = 2;
--- a/keelbridge/base/logging.cc
+++ b/keelbridge/base/logging.cc
@@ -29,7 +29,7 @@
   return *name;
 }
 
-// How long a process that ends waits for its last lines to be read.
+// How long a terminating process waits for its last log lines to be written.
 constexpr absl::Duration kStopTimeout = absl::Milliseconds(200);
 
 LineWriter*& Writer() {
@@ -37,7 +37,7 @@
   return writer;
 }
 
-// Hands each line to the writer, in the thread that logs it.
+// Passes each line to the writer on the thread that logs it.
 class WriterBackend : public logging::sinks::basic_formatted_sink_backend<
                           char, logging::sinks::concurrent_feeding> {
  public:
--- a/keelbridge/base/logging.h
+++ b/keelbridge/base/logging.h
@@ -1,10 +1,10 @@
-// Structured log lines: one line an event, JSON, on standard output or error.
+// Writes structured logs: one JSON object per event and line, on standard
+// output or standard error.
 //
-// An event has a stable name and fields; a program filters by them, a person
-// reads them.
+// Each event has a stable name and named fields, by which tools can filter.
 //
-//   LogEvent(Severity::kInfo, "leader_won", {{"zone", zone}, {"epoch",
-//   std::to_string(epoch)}});
+//   LogEvent(Severity::kInfo, "leader_won",
+//            {{"zone", zone}, {"epoch", std::to_string(epoch)}});
 
 #ifndef KEELBRIDGE_BASE_LOGGING_H_
 #define KEELBRIDGE_BASE_LOGGING_H_
@@ -18,26 +18,28 @@
 
 enum class Severity { kDebug, kInfo, kWarning, kError };
 
-// "debug", "info", "warning" or "error"; anything else is info.
+// Parses "debug", "info", "warning" or "error". Any other name gives `kInfo`.
 Severity SeverityFromName(const std::string& name);
 
 using LogFields = std::vector<std::pair<std::string, std::string>>;
 
-// Names the process in each line and drops events below `least`. Call once,
+// Sets up logging to standard error. Each line contains the process name
+// "PROGRAM/NAME"; events below `min_severity` are dropped. Call this once,
 // before the first event.
 void InitLogging(const std::string& program, const std::string& name,
                  Severity min_severity);
 
-// Like `InitLogging`, for processes that must never wait for whoever reads
-// their log: lines go through a bounded ring to a writer of their own, on
-// standard output. What does not fit is dropped and counted.
+// Like `InitLogging`, but for processes that must never block on their log. A
+// background thread writes the lines from a bounded buffer to standard output.
+// Lines that do not fit into the buffer are dropped and counted.
 void InitBoundedLogging(const std::string& program, const std::string& name,
                         Severity min_severity);
 
-// Lines dropped so far because the ring was full.
+// Returns the number of lines dropped so far because the buffer was full.
 int64_t DroppedLogLines();
 
-// Writes what the ring holds and ends its writer, waiting a little at most.
+// Writes the buffered lines and ends the background thread. Gives up after a
+// short time if nothing reads standard output.
 void StopLogging();
 
 // Writes one event. Thread-safe.
--- a/keelbridge/base/result.h
+++ b/keelbridge/base/result.h
@@ -1,7 +1,8 @@
-// Errors without exceptions.
+// Error handling without exceptions.
 //
-// Every function that can fail returns `Result<T>`: a value, or an `Error` that
-// says what was wrong, and where it helps, when to try again.
+// Every function that can fail returns `Result<T>`: either a value, or an
+// `Error` that describes the failure and, where a retry can help, when to
+// retry.
 //
 //   Result<int> port = ParsePort("70000");
 //   if (!port) LOG_WARNING("bad_port") << port.error().message;
@@ -18,19 +19,19 @@
 
 namespace keelbridge {
 
-// What kind of failure an `Error` reports; programs decide by it, people read
-// the message.
+// The kind of failure that an `Error` reports. Code decides by the error code;
+// the message is for people.
 enum class ErrorCode {
   kInvalid,      // The input is wrong; the same call will fail again.
   kNotFound,     // The thing named does not exist.
-  kConflict,     // Somebody else was first.
+  kConflict,     // Another caller was first.
   kStale,        // The call was based on a state that has since changed.
-  kOverloaded,   // A limit is reached; `retry_after` says when to come back.
-  kUnavailable,  // A party that is needed does not answer.
+  kOverloaded,   // A limit is reached; `retry_after` says when to retry.
+  kUnavailable,  // A required service does not answer.
   kUnknown,      // The call may or may not have taken effect.
 };
 
-// The name of `code` as it appears in answers and logs, for example "stale".
+// Returns the name of `code` used in replies and logs, for example "stale".
 inline const char* ErrorCodeName(ErrorCode code) {
   switch (code) {
     case ErrorCode::kInvalid:
@@ -54,7 +55,7 @@
 struct Error {
   ErrorCode code = ErrorCode::kUnknown;
   std::string message;
-  // How long to wait before the next try; zero when waiting does not help.
+  // How long to wait before a retry; zero if waiting does not help.
   absl::Duration retry_after = absl::ZeroDuration();
 };
 
@@ -62,13 +63,13 @@
 using Result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<
     T, Error, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
-// Builds the failure of a `Result`.
+// Creates an `Error`, which converts to a failed `Result`.
 inline Error MakeError(ErrorCode code, std::string message,
                        absl::Duration retry_after = absl::ZeroDuration()) {
   return Error{code, std::move(message), retry_after};
 }
 
-// The value of a `Result<void>` that succeeded.
+// Returns the value of a successful `Result<void>`.
 inline auto Success() { return BOOST_OUTCOME_V2_NAMESPACE::success(); }
 
 }  // namespace keelbridge
