--- a/keelbridge/cli/command_context.cc
+++ b/keelbridge/cli/command_context.cc
@@ -13,8 +13,8 @@
 namespace keelbridge::cli {
 namespace {
 
-// Between two rounds of the schedulers: one that just took over needs about
-// that long.
+// Delay before all schedulers are tried again. A new leader needs about this
+// long to take over.
 constexpr absl::Duration kRetryDelay = absl::Milliseconds(200);
 
 }  // namespace
--- a/keelbridge/cli/command_context.h
+++ b/keelbridge/cli/command_context.h
@@ -1,8 +1,8 @@
-// What every command works with: options, where to print, how to ask daemons,
-// and how a fault becomes an exit code.
+// Shared by all commands: options, output streams, calls to daemons, and the
+// mapping of errors to exit codes.
 //
 //   Result<Json::Value> answer = CallScheduler(context, "top", params);
-//   if (!answer) return Fail(context, answer.error());
+//   if (!answer) return ReportError(context, answer.error());
 //   PrintJson(context, answer.value());
 
 #ifndef KEELBRIDGE_CLI_COMMAND_CONTEXT_H_
@@ -19,27 +19,30 @@
 
 namespace keelbridge::cli {
 
+// The options of a command and its output streams.
 struct Context {
   const Options& options;
   std::ostream& out;
   std::ostream& err;
 };
 
-// The exit code that tells of `error`.
+// Returns the exit code for `error`.
 int ExitCodeFor(const Error& error);
-// Prints `error`, with when to come back if it says so; returns its exit code.
+// Prints `error` to `context.err`, with its retry delay if it has one, and
+// returns its exit code.
 int ReportError(const Context& context, const Error& error);
-// Prints how the command is used; returns `kExitBadInput`.
+// Prints `what` and a reference to the usage text, and returns `kExitBadInput`.
 int ReportUsageError(const Context& context, const std::string& what);
+// Prints `value` as one line of JSON.
 void PrintJson(const Context& context, const Json::Value& value);
 
-// Calls a method of the daemon at `address`, as a span of its own.
+// Calls a method of the daemon at `address`, in a new trace span.
 Result<Json::Value> CallDaemon(const std::string& address,
                                const std::string& method,
                                const Json::Value& params,
                                absl::Duration timeout);
-// Asks the schedulers in turn until one can answer, for as long as the options
-// say. Anything but "cannot now" is an answer.
+// Calls the schedulers in turn, for up to `options.timeout`, until one returns
+// a result or an error other than `kUnavailable`.
 Result<Json::Value> CallScheduler(const Context& context,
                                   const std::string& method,
                                   const Json::Value& params);
--- a/keelbridge/cli/command_list.h
+++ b/keelbridge/cli/command_list.h
@@ -1,5 +1,5 @@
-// The commands of the `keelbridge` program, one function each. Each takes the
-// words after its name and returns the exit code.
+// The commands of the `keelbridge` program, one function each. A function takes
+// the arguments that follow the command's name and returns the exit code.
 //
 //   int exit_code = Publish(context, {"configuration.json"});
 
--- a/keelbridge/cli/commands.cc
+++ b/keelbridge/cli/commands.cc
@@ -40,7 +40,8 @@
       {"request", Request},
   };
   const Context context{options, out, err};
-  if (arguments.empty()) return ReportUsageError(context, "no command given");
+  if (arguments.empty())
+    return ReportUsageError(context, "no command was given");
   if (arguments[0] == "version") {
     out << "keelbridge " << KEELBRIDGE_VERSION << "\n";
     return kExitOk;
@@ -52,7 +53,7 @@
   const auto command = commands->find(arguments[0]);
   if (command == commands->end())
     return ReportUsageError(
-        context, absl::StrCat("there is no command \"", arguments[0], "\""));
+        context, absl::StrCat("unknown command \"", arguments[0], "\""));
   return command->second(context, std::vector<std::string>(
                                       arguments.begin() + 1, arguments.end()));
 }
--- a/keelbridge/cli/configuration_commands.cc
+++ b/keelbridge/cli/configuration_commands.cc
@@ -20,7 +20,8 @@
 namespace keelbridge::cli {
 namespace {
 
-// Reads the whole stream; false when the log does not answer.
+// Reads the configuration stream to its end. Returns false if the log does not
+// respond.
 bool ReadConfiguration(LogClient& log, absl::Duration timeout,
                        ConfigurationState& state) {
   while (true) {
@@ -33,8 +34,8 @@
   }
 }
 
-// The slowest of the configuration's entry hosts to have `version` in force, or
-// nothing when time ran out.
+// Waits until `version` is in force on all entry hosts of `configuration`.
+// Returns how long that took, or nullopt on timeout.
 std::optional<absl::Duration> WaitUntilInForce(
     const Context& context, const Configuration& configuration,
     int64_t version) {
@@ -113,7 +114,7 @@
   if (!ReadConfiguration(log, context.options.timeout, state)) {
     return ReportError(
         context, MakeError(ErrorCode::kUnavailable,
-                           "the log does not answer; nothing was published",
+                           "the log does not respond; nothing was published",
                            absl::Seconds(5)));
   }
   std::string conflict;
@@ -125,7 +126,8 @@
       {RandomId() >> 1, 1},
       {ConfigurationEntry{state.current().version, -1, text.value()}}};
   const std::string record = EnvelopeToText(envelope);
-  // The same envelope again after a lost answer: readers take the first.
+  // After a lost response the same envelope is appended again; readers ignore
+  // all but the first copy.
   Result<int64_t> offset =
       log.Append(kConfigurationStream, record, context.options.timeout);
   for (int i = 0; !offset && i < 3; ++i)
@@ -133,18 +135,17 @@
   if (!offset) {
     return ReportError(
         context,
-        MakeError(
-            ErrorCode::kUnknown,
-            "the log's answers were lost; it may be published; publish again, "
-            "which is refused if the first took effect",
-            absl::Seconds(5)));
+        MakeError(ErrorCode::kUnknown,
+                  "the log's responses were lost, so the configuration may be "
+                  "published; publish it again, which is rejected if the first "
+                  "attempt took effect",
+                  absl::Seconds(5)));
   }
   if (!ReadConfiguration(log, context.options.timeout, state)) {
-    return ReportError(
-        context,
-        MakeError(
-            ErrorCode::kUnknown,
-            "appended, but the log does not answer a read; ask with status"));
+    return ReportError(context,
+                       MakeError(ErrorCode::kUnknown,
+                                 "appended, but the log does not respond to "
+                                 "reads; check with status"));
   }
   if (state.current().text != text.value()) {
     return ReportError(
@@ -152,7 +153,7 @@
         MakeError(ErrorCode::kStale,
                   absl::StrCat("another operator published first: version ",
                                state.current().version,
-                               " is in force; look at it, "
+                               " is in force; review it, "
                                "then publish again")));
   }
   const int64_t version = state.current().version;
--- a/keelbridge/cli/job_timeline.cc
+++ b/keelbridge/cli/job_timeline.cc
@@ -31,7 +31,7 @@
   return *events;
 }
 
-// Events that concern jobs with runs on the worker that they name.
+// Events that concern only jobs with runs on the worker named in the line.
 const std::set<std::string>& WorkerEvents() {
   static const auto* events = new std::set<std::string>{
       "worker_capacity", "worker_silent",    "worker_back",
@@ -40,11 +40,12 @@
   return *events;
 }
 
+// Returns the text of a field, or an empty string.
 std::string Field(const Json::Value& fields, const char* name) {
   return fields[name].isString() ? fields[name].asString() : "";
 }
 
-// The fields beyond those that every line has.
+// Formats the fields other than those that every line has.
 std::string FormatOtherFields(const Json::Value& fields) {
   static const auto* common =
       new std::set<std::string>{"time", "severity", "process", "event", "job"};
@@ -57,6 +58,7 @@
   return out;
 }
 
+// Returns a description of the line's event, or its name if it has none.
 std::string DescribeEvent(const Json::Value& fields) {
   const std::string event = Field(fields, "event");
   static const auto* descriptions = new std::map<std::string, std::string>{
@@ -64,21 +66,22 @@
       {"job_refused", "refused"},
       {"call_given_up", "a call was given up"},
       {"call_answered", "a call was answered"},
-      {"advice_asked", "advice asked for"},
-      {"advice_answered", "advice answered"},
-      {"step_blocked", "could not start"},
-      {"start_kept", "start put on record"},
-      {"start_sent", "start ordered"},
+      {"advice_asked", "advice requested"},
+      {"advice_answered", "advice received"},
+      {"step_blocked", "a step could not start"},
+      {"start_kept", "start recorded durably"},
+      {"start_sent", "start order sent"},
       {"start_withdrawn", "start withdrawn"},
-      {"start_not_done", "start not done"},
+      {"start_not_done", "start not carried out"},
       {"run_adopted", "found running by a new leader"},
       {"run_ended", "run ended"},
-      {"run_missing", "run is gone from its worker"},
+      {"run_missing", "run is no longer on its worker"},
       {"run_lost", "run lost with its worker"},
-      {"crash_held_against_task", "a crash is held against the task"},
-      {"start_on_probation", "the start is a trial: nothing else starts there"},
-      {"run_unwanted", "a run nobody wants is stopped"},
-      {"stop_sent", "stop ordered"},
+      {"crash_held_against_task", "a crash is attributed to the task"},
+      {"start_on_probation",
+       "the start is on probation: nothing else starts on that worker"},
+      {"run_unwanted", "an unwanted run is stopped"},
+      {"stop_sent", "stop order sent"},
       {"job_ended", "the job ended"},
       {"job_forgotten", "the ended job is no longer kept"},
       {"job_unknown", "the leader does not know the job"},
@@ -87,18 +90,21 @@
       {"term_begins", "a leader begins its term"},
       {"term_active", "the new leader serves"},
       {"term_ended", "a leader's term ended"},
-      {"stood_still", "the leader stood still"},
-      {"recovered_work_waits", "recovered work waits for a silent worker"},
-      {"recovered_work_free", "recovered work waits for no worker any more"},
+      {"stood_still", "the leader's process stalled"},
+      {"recovered_work_waits",
+       "recovered work waits for an unresponsive worker"},
+      {"recovered_work_free", "recovered work no longer waits for a worker"},
       {"runs_lost", "all runs of a worker were given up"},
-      {"worker_silent", "a worker is silent"},
-      {"worker_back", "the worker answers again"},
-      {"worker_capacity", "a worker tells another capacity"},
-      {"worker_suspected", "a worker gets no work for a while"}};
+      {"worker_silent", "a worker is unresponsive"},
+      {"worker_back", "the worker responds again"},
+      {"worker_capacity", "a worker reports a different capacity"},
+      {"worker_suspected",
+       "a suspect worker is temporarily assigned no tasks"}};
   const auto found = descriptions->find(event);
   return found == descriptions->end() ? event : found->second;
 }
 
+// Returns the integer in `text`, or 0 if it is malformed.
 int64_t ParseNumberOrZero(const std::string& text) {
   int64_t value = 0;
   return absl::SimpleAtoi(text, &value) ? value : 0;
@@ -204,8 +210,8 @@
                     FormatOtherFields(line.fields), ")\n");
   const std::vector<std::string> causes = Causes();
   absl::StrAppend(&out, causes.empty()
-                            ? "Nothing went wrong that the logs tell of.\n"
-                            : "Causes that the logs name:\n");
+                            ? "The logs report no failure or delay.\n"
+                            : "Causes reported in the logs:\n");
   for (const std::string& cause : causes)
     absl::StrAppend(&out, "  - ", cause, "\n");
   return out;
--- a/keelbridge/cli/job_timeline.h
+++ b/keelbridge/cli/job_timeline.h
@@ -1,14 +1,14 @@
-// One job's way, told from the log lines of many nodes.
+// The timeline of one job, reconstructed from the log lines of many nodes.
 //
-// Reads lines in any order, from any number of files; whatever stands before
-// the JSON object of a line is passed over, so collectors may add a prefix.
-// Lines that name the job are told in the order of their times, together with
-// what the site went through meanwhile: changes of leader, lost stores, silent
-// workers.
+// Lines may be added in any order and from any number of files. Text before the
+// JSON object of a line is ignored, so log collectors may add a prefix. The
+// lines that name the job are merged in the order of their times with the
+// events of the site in that period: changes of leader, lost stores, and
+// unresponsive workers.
 //
-//   JobTimeline story(job);
-//   story.AddLine(line);              // For each line of each log.
-//   out << story.Text();
+//   JobTimeline timeline(job);
+//   timeline.AddLine(line);  // For each line of each log.
+//   out << timeline.Text();
 
 #ifndef KEELBRIDGE_CLI_JOB_TIMELINE_H_
 #define KEELBRIDGE_CLI_JOB_TIMELINE_H_
@@ -23,16 +23,19 @@
 
 namespace keelbridge::cli {
 
+// Collects the log lines that concern one job.
 class JobTimeline {
  public:
   explicit JobTimeline(JobId job);
 
+  // Adds one log line. Lines that are malformed or do not concern the job or
+  // the site are ignored.
   void AddLine(const std::string& line);
-  // Whether any line named the job.
+  // Returns whether any line names the job.
   bool found() const { return !job_lines_.empty(); }
-  // The way and, last, the causes that the lines name.
+  // Returns the timeline, followed by the causes of failures and delays.
   std::string Text() const;
-  // Only the causes, most telling first.
+  // Returns only the causes, without duplicates, in the order of their events.
   std::vector<std::string> Causes() const;
 
  private:
@@ -41,12 +44,14 @@
     std::string process;
     Json::Value fields;
   };
+  // Returns the lines of the job, and the lines of the site in the same period
+  // that concern the job, ordered by time.
   std::vector<Line> RelevantLines() const;
 
   const std::string job_;
-  std::vector<Line> job_lines_;   // That name the job.
-  std::vector<Line> site_lines_;  // That tell of the site.
-  std::set<std::string> workers_;
+  std::vector<Line> job_lines_;    // Lines that name the job.
+  std::vector<Line> site_lines_;   // Lines about the site and its workers.
+  std::set<std::string> workers_;  // Workers that the job's lines name.
 };
 
 }  // namespace keelbridge::cli
--- a/keelbridge/cli/job_timeline_test.cc
+++ b/keelbridge/cli/job_timeline_test.cc
@@ -9,9 +9,10 @@
 
 constexpr JobId kJob = 0x5c0e7a21d94b36f8;
 
-TEST_CASE("job story: lines of many nodes are told in order, with causes") {
+TEST_CASE("job story: lines of many nodes are merged by time, with causes") {
   JobTimeline timeline(kJob);
-  // Out of order, one with a collector's prefix, one about another job.
+  // The lines are out of order; one has a collector's prefix and one names
+  // another job.
   timeline.AddLine(
       R"(node-b | {"time":"2026-01-01T00:00:05.000Z","process":"node/b","event":"job_ended","job":"5c0e7a21d94b36f8","end":"failed","why":"task 0 failed 3 times"})");
   timeline.AddLine(
@@ -33,7 +34,7 @@
   CHECK(absl::StrContains(text, "a run on i-1 ended failed"));
 }
 
-TEST_CASE("job story: only workers of the job's runs are told of") {
+TEST_CASE("job story: only events of the job's workers are included") {
   JobTimeline timeline(kJob);
   timeline.AddLine(
       R"({"time":"1","process":"a","event":"start_sent","task":"5c0e7a21d94b36f8.0.0.0","worker":"i-1","waited_ms":"900"})");
@@ -55,7 +56,7 @@
   CHECK_FALSE(timeline.found());
 }
 
-TEST_CASE("job story: what was recovered waited for a silent worker") {
+TEST_CASE("job story: recovered work waited for an unresponsive worker") {
   JobTimeline timeline(kJob);
   timeline.AddLine(
       R"({"time":"2026-01-01T00:00:01.000Z","process":"node/a","event":"job_taken","job":"5c0e7a21d94b36f8"})");
@@ -69,7 +70,7 @@
       "leader"));
 }
 
-TEST_CASE("job story: a wait after recovered work is free has other causes") {
+TEST_CASE("job story: a wait after recovery ended has other causes") {
   JobTimeline timeline(kJob);
   timeline.AddLine(
       R"({"time":"2026-01-01T00:00:01.000Z","process":"node/a","event":"job_taken","job":"5c0e7a21d94b36f8"})");
--- a/keelbridge/cli/plan_commands.cc
+++ b/keelbridge/cli/plan_commands.cc
@@ -26,7 +26,7 @@
   for (const std::string& line : plan.risks)
     context.out << "  at risk: " << line << "\n";
   for (const std::string& line : plan.rejected_alternatives)
-    context.out << "  weighed: " << line << "\n";
+    context.out << "  rejected alternative: " << line << "\n";
   for (const std::string& line : plan.quotas)
     context.out << "  share:   " << line << "\n";
   context.out << "Nothing has changed yet.\n";
@@ -70,7 +70,7 @@
     return kExitOk;
   }
   if (!context.options.json) {
-    context.out << "refused as stale: " << answer.value()["stale"].asString()
+    context.out << "rejected as stale: " << answer.value()["stale"].asString()
                 << "\n";
     if (answer.value().isMember("fresh")) {
       context.out << "A fresh plan for the same intents:\n";
@@ -104,7 +104,7 @@
   if (!document.faults().empty())
     return ReportError(context, document.FaultError());
   if (!document.root().isMember("base"))
-    return ReportUsageError(context, files[0] + " holds no plan");
+    return ReportUsageError(context, files[0] + " does not contain a plan");
   return ConfirmPlan(context, document.root());
 }
 
--- a/keelbridge/cli/request_command.cc
+++ b/keelbridge/cli/request_command.cc
@@ -1,4 +1,4 @@
-// The command `request`: sends a request as a caller would.
+// The command `request`, which sends a request to a gateway as a client would.
 
 #include <string>
 #include <vector>
@@ -17,7 +17,7 @@
       {"POST", "/keelbridge/ticket", {}, "", "application/json"}, timeout);
   if (!outcome.response || outcome.response->status != 201) {
     return MakeError(ErrorCode::kUnavailable,
-                     "the gateway gave no ticket; nothing was sent");
+                     "the gateway issued no ticket; nothing was sent");
   }
   return JsonDocument::Parse(outcome.response->body, "ticket")
       .root()["ticket"]
@@ -72,7 +72,7 @@
       context.out << "\n";
     const std::string retry =
         FindHeader(outcome.response->headers, "Retry-After");
-    if (!retry.empty()) context.out << "come back in " << retry << " s\n";
+    if (!retry.empty()) context.out << "retry after " << retry << " s\n";
   }
   if (verdict == VerdictName(Verdict::kRan)) return kExitOk;
   return verdict == VerdictName(Verdict::kMayHaveRun) ? kExitMayHaveRun
--- a/keelbridge/cli/view_commands.cc
+++ b/keelbridge/cli/view_commands.cc
@@ -1,4 +1,4 @@
-// The commands that only look: `explain`, `watch`, `status` and `top`.
+// The read-only commands `explain`, `watch`, `status` and `top`.
 
 #include <fstream>
 #include <iostream>
@@ -16,10 +16,11 @@
 
 constexpr int kMilliPerCore = 1000;
 constexpr int kMibPerGib = 1024;
-// Between two looks of `watch --follow`.
+// Polling interval of `watch --follow`.
 constexpr absl::Duration kWatchInterval = absl::Milliseconds(500);
 
-// One job's way, from log files or standard input.
+// Prints the timeline of a job from log files or, without files, from standard
+// input.
 int ExplainJob(const Context& context, JobId job,
                const std::vector<std::string>& files) {
   JobTimeline timeline(job);
@@ -37,15 +38,15 @@
   }
   if (files.empty()) add_all(std::cin);
   if (!timeline.found()) {
-    context.err << "no line names job " << JobIdText(job)
-                << "; give the logs of all nodes\n";
+    context.err << "no log line names job " << JobIdText(job)
+                << "; pass the logs of all nodes\n";
     return kExitBadInput;
   }
   context.out << timeline.Text();
   return kExitOk;
 }
 
-// What one daemon says of itself, for people.
+// Prints the status of one daemon as text.
 void PrintStatus(const Context& context, const Json::Value& s) {
   context.out << absl::StrFormat(
       "%-14s %-8s %-9s configuration %d, log %s\n", s["name"].asString(),
@@ -54,8 +55,8 @@
       s["log_answers"].asBool() ? "answers" : "is away");
   if (!s.isMember("epoch")) return;
   context.out << absl::StrFormat(
-      "  epoch %d, %d tasks running, %d waiting, %d starts, %d of them "
-      "again\n",
+      "  epoch %d, %d tasks running, %d waiting, %d starts including "
+      "%d restarts\n",
       s["epoch"].asInt64(), s["tasks_running"].asInt64(),
       s["tasks_waiting"].asInt64(), s["starts"].asInt64(),
       s["restarts"].asInt64());
--- a/keelbridge/transport/address.h
+++ b/keelbridge/transport/address.h
@@ -1,5 +1,5 @@
-// Where a process listens: an IP number, a port, and for stand-ins that share a
-// port a path prefix.
+// The address a process listens on: an IP address, a port, and an optional path
+// prefix that lets several fake servers share a port.
 //
 //   Result<Address> address = ParseAddress("127.0.0.1:8080/worker-3");
 //   // ip "127.0.0.1", port 8080, prefix "/worker-3"
@@ -13,6 +13,7 @@
 
 namespace keelbridge {
 
+// A parsed listen address.
 struct Address {
   std::string ip;
   int port = 0;
@@ -21,8 +22,9 @@
   std::string ToString() const;
 };
 
-// Reads "ip:port" or "ip:port/prefix". Names are refused: processes talk by IP
-// numbers. Port 0 is allowed and means that the kernel picks one.
+// Parses "ip:port" or "ip:port/prefix". Host names are rejected because
+// processes address each other by IP address. Port 0 is allowed and means that
+// the kernel picks a free port.
 Result<Address> ParseAddress(const std::string& text);
 
 }  // namespace keelbridge
--- a/keelbridge/transport/event_http_client.cc
+++ b/keelbridge/transport/event_http_client.cc
@@ -34,17 +34,20 @@
   return outcome;
 }
 
-// At most so many lines about silent connections in a period: all connections
-// of a process may go silent at one moment.
+// Limits the log lines about unresponsive connections to `kMaxLogLines` per
+// `kLogLinePeriod`, because all connections of a process may stop responding at
+// the same moment.
 constexpr int kMaxLogLines = 5;
 constexpr absl::Duration kLogLinePeriod = absl::Seconds(10);
 
-// Reads of some 4 KB that one turn of the loop makes of an answer. With one
-// a turn, an answer of 1 MB took 541 turns, of 70 to 100 ms in a loaded loop,
-// and was given up after 1.5 s: a leader learnt 10 s late which workers leave.
+// Maximum number of reads, of about 4 KB each, that one loop iteration makes
+// for a response. With one read per iteration, a response of 1 MB took 541
+// iterations of 70 to 100 ms each in a loaded loop and timed out after 1.5 s,
+// so that a leader learned 10 s late which workers were leaving.
 constexpr int kMaxReadsPerIteration = 256;
 
-// Lines of a period, and those that were left out since the last one.
+// Counts the log lines written in the current period and the lines suppressed
+// since the last one that was written.
 struct LogLineCounter {
   absl::Mutex mutex;
   absl::Time period_start = absl::InfinitePast();
@@ -52,7 +55,8 @@
   int64_t suppressed = 0;
 };
 
-// The lines that were left out since the last one; none: this one is, too.
+// Returns the number of lines suppressed since the last one that was written,
+// or nullopt if the current line must be suppressed too.
 std::optional<int64_t> AcquireLogLine(absl::Time now) {
   static LogLineCounter& lines = *new LogLineCounter();
   const absl::MutexLock lock(&lines.mutex);
@@ -70,7 +74,8 @@
 
 void LogUnresponsive(const Address& address, absl::Duration waited,
                      std::optional<absl::Duration> idle, size_t dropped) {
-  // An answer that is late on a new connection is its caller's to tell.
+  // A timeout on a new connection that dropped no other connection is left to
+  // the caller to report.
   if (!idle && dropped == 0) return;
   const auto suppressed = AcquireLogLine(SystemNow().mono);
   if (!suppressed) return;
@@ -85,12 +90,12 @@
             {"lines_left_out", absl::StrCat(*suppressed)}});
 }
 
-// One request on its way. Its callback is called exactly once.
+// A request that is queued or in flight. Its callback is called exactly once.
 struct PendingRequest {
   HttpRequest request;
   EventHttpClient::Callback callback;
   absl::Time deadline;
-  std::unique_ptr<EventTimer> timer;  // While it waits for a connection.
+  std::unique_ptr<EventTimer> timer;  // Set while waiting for a connection.
 };
 
 }  // namespace
@@ -104,9 +109,10 @@
   void Send(HttpRequest request, absl::Duration timeout, Callback callback);
   void Release(const std::shared_ptr<EventHttpClientConnection>& connection,
                bool reusable);
-  // A connection gave no byte since `since`, after it had been idle for `idle`
-  // (none: it was new). What has not carried an answer since then may have gone
-  // silent with it, and is not used again.
+  // Called when a connection has made no progress since `since`. `idle` is how
+  // long it was idle before the request, or nullopt if it was new. Connections
+  // that have not carried a response since `since` may be dead as well and are
+  // not reused.
   void OnUnresponsive(absl::Time since, std::optional<absl::Duration> idle);
   bool IsPresumedDead(absl::Time last_answer) const {
     return last_answer < presumed_dead_before_;
@@ -128,7 +134,7 @@
   absl::Time presumed_dead_before_ = absl::InfinitePast();
 };
 
-// One kept connection.
+// One keep-alive connection of the pool.
 class EventHttpClientConnection
     : public std::enable_shared_from_this<EventHttpClientConnection> {
  public:
@@ -138,7 +144,8 @@
     buffer_.reserve(pool_->options_.read_buffer_bytes);
   }
 
-  // Whether it can carry another request: open, quiet, and not idle for long.
+  // Returns whether the connection can carry another request: it is open, has
+  // no unread data, is not presumed dead, and has not been idle for too long.
   bool IsUsable() {
     if (!stream_.socket().is_open()) return false;
     if (pool_->IsPresumedDead(last_answer_)) return false;
@@ -153,7 +160,7 @@
   void Start(std::shared_ptr<PendingRequest> pending) {
     pending_ = std::move(pending);
     pending_->timer.reset();
-    // Doubt may have come up since it was chosen.
+    // The connection may have become presumed dead since it was selected.
     if (stream_.socket().is_open() && pool_->IsPresumedDead(last_answer_))
       CloseStream();
     idle_.reset();
@@ -199,7 +206,7 @@
   }
 
   void OnConnected() {
-    if (!pending_) return;  // It was ended while this was on its way.
+    if (!pending_) return;  // The request was aborted during the connect.
     answered_ = false;
     boost::system::error_code ignored;
     stream_.socket().set_option(Tcp::no_delay(true), ignored);
@@ -240,14 +247,15 @@
   void Read() {
     parser_.emplace();
     parser_->body_limit(pool_->options_.max_body_bytes);
-    parser_->eager(true);  // Header and body as they come.
+    parser_->eager(true);  // Parse header and body as they arrive.
     ReadSome();
   }
 
-  // A time for each piece, so that a silence shows: what is left of the whole,
-  // or the silence that the request bears.
+  // Reads the next part of the response. Each read has its own timeout, the
+  // smaller of the remaining time and the request's progress timeout, so that a
+  // stalled response is detected.
   void ReadSome() {
-    if (!pending_) return;  // It was ended while this was on its way.
+    if (!pending_) return;  // The request was aborted during the read.
     if (SystemNow().mono >= pending_->deadline)
       return Fail("read: ", beast::error::timeout);
     stream_.expires_after(absl::ToChronoNanoseconds(
@@ -281,7 +289,8 @@
       outcome.response->headers.emplace_back(std::string(field.name_string()),
                                              std::string(field.value()));
     outcome.response->body = std::move(message.body());
-    // What came behind the answer belongs to no request.
+    // Bytes after the response belong to no request, so the connection cannot
+    // be reused.
     const bool may_be_another_process =
         pending_->request.first_body && outcome.response->status != 200;
     reusable_ =
@@ -314,11 +323,13 @@
   std::shared_ptr<PendingRequest> pending_;
   absl::Time last_used_;
   absl::Time last_answer_ = absl::InfinitePast();
-  // When the last byte came, or the request's write began.
+  // When the last bytes arrived, or when the write of the request began.
   absl::Time last_progress_;
-  std::optional<absl::Duration> idle_;  // Before the request; none: it is new.
+  // How long the connection was idle before the current request; nullopt if it
+  // is new.
+  std::optional<absl::Duration> idle_;
   bool reusable_ = true;
-  bool answered_ = false;  // Since it was connected.
+  bool answered_ = false;  // Whether a response arrived since the connect.
 };
 
 void EventHttpClient::Impl::Send(HttpRequest request, absl::Duration timeout,
--- a/keelbridge/transport/event_http_client.h
+++ b/keelbridge/transport/event_http_client.h
@@ -1,11 +1,13 @@
-// An HTTP/1.1 client to one address on an event loop, with kept connections.
+// An HTTP/1.1 client for one address, with pooled keep-alive connections on an
+// event loop.
 //
-// One request at a time on each connection. A request that finds all
-// connections busy waits, within its own time. A connection on which anything
-// went wrong is closed, so a late answer cannot reach another request. The
-// outcome says whether a byte of the request may have left. Connections may go
-// silent for good, without an end: after a request that got no answer in time
-// no connection is used again that has not carried an answer since it left.
+// Each connection carries one request at a time. A request that finds all
+// connections busy waits for one, up to its own timeout. A connection on which
+// an error occurred is closed, so a late response cannot be delivered to
+// another request. The outcome reports whether any byte of the request may have
+// been sent. A connection may stop responding without being closed; after a
+// request timed out, the client therefore reuses only connections that have
+// carried a response since that request was sent.
 //
 //   auto client = std::make_shared<EventHttpClient>(loop, address, options);
 //   client->Send(request, absl::Seconds(1), [](HttpOutcome outcome) {
@@ -27,21 +29,23 @@
 
 class EventHttpClientConnection;
 
-// Not thread-safe: all calls from the loop's thread. Destroying it ends what is
-// under way; the callbacks of these requests are then called with a failure.
+// Not thread-safe: all calls must come from the loop's thread. Destroying the
+// client aborts the requests in flight and calls their callbacks with a
+// failure.
 class EventHttpClient {
  public:
   struct Options {
     size_t max_connections = 4;
     size_t max_waiting = 1000;
     size_t max_body_bytes = 16 << 20;
-    // What is read at once; a larger answer takes several turns of the loop.
+    // Size of one read. A larger response takes several reads.
     size_t read_buffer_bytes = 4 << 10;
     absl::Duration connect_timeout = absl::Milliseconds(500);
-    // A connection idle for longer is not used again.
+    // A connection that has been idle for longer is not reused.
     absl::Duration idle_expiry = absl::Seconds(10);
-    // Closing a connection drops what the kernel has not delivered yet, so that
-    // a request that was given up does not arrive once a cut link heals.
+    // Whether closing a connection discards data that the kernel has not
+    // delivered yet, so that a request that timed out does not arrive after a
+    // network partition heals.
     bool drop_unsent = false;
   };
   using Callback = std::function<void(HttpOutcome)>;
@@ -52,8 +56,8 @@
   EventHttpClient(const EventHttpClient&) = delete;
   EventHttpClient& operator=(const EventHttpClient&) = delete;
 
-  // Sends `request` at most once and calls back within `timeout`, never from
-  // within this call.
+  // Sends `request` at most once and calls `callback` within `timeout`. Never
+  // calls it before this function returns.
   void Send(HttpRequest request, absl::Duration timeout, Callback callback);
 
   const Address& address() const;
--- a/keelbridge/transport/event_http_client_test.cc
+++ b/keelbridge/transport/event_http_client_test.cc
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr absl::Duration kTimeout = absl::Milliseconds(400);
-// Calls of these tests are answered within a few milliseconds.
+// Successful calls of these tests complete within a few milliseconds.
 constexpr absl::Duration kPromptTimeout = absl::Milliseconds(200);
 
 HttpRequest Get(const std::string& path) {
@@ -30,10 +30,11 @@
   return request;
 }
 
-// A server that answers at once, but for /held, which waits to be told; a proxy
-// before it; a client with kept connections.
+// A client that connects to a server through a fault-injecting proxy. The
+// server replies immediately, except to /held, whose replies are kept until
+// `ReplyToAll`.
 struct ProxyFixture {
-  // Sends `request`; the outcome comes later.
+  // Sends `request`. The outcome is stored in the result when it arrives.
   std::shared_ptr<std::optional<HttpOutcome>> Send(
       const HttpRequest& request, absl::Duration timeout = kTimeout) {
     auto result = std::make_shared<std::optional<HttpOutcome>>();
@@ -42,7 +43,7 @@
     });
     return result;
   }
-  // Runs until there is an outcome, or `most` is over.
+  // Runs the loop until there is an outcome or `max_wait` has passed.
   bool Await(const std::shared_ptr<std::optional<HttpOutcome>>& result,
              absl::Duration max_wait) {
     const absl::Time deadline = SystemNow().mono + max_wait;
@@ -53,7 +54,7 @@
     loop.restart();
     loop.run_for(absl::ToChronoNanoseconds(time));
   }
-  // Leaves `count` connections idle, all opened.
+  // Opens `count` connections and leaves them idle.
   void OpenIdleConnections(int count) {
     std::vector<std::shared_ptr<std::optional<HttpOutcome>>> calls;
     calls.reserve(static_cast<size_t>(count));
@@ -95,7 +96,9 @@
   EventHttpClient client{loop, proxy.address(), ClientOptions()};
 };
 
-TEST_CASE("event http client: one time-out clears the pool of silent ones") {
+TEST_CASE(
+    "event http client: one timeout drops all idle connections that may be "
+    "dead") {
   ProxyFixture fixture;
   fixture.OpenIdleConnections(8);
   fixture.proxy.SilenceOpenConnections();
@@ -110,7 +113,7 @@
   }
 }
 
-TEST_CASE("event http client: one slow answer ends no call of others") {
+TEST_CASE("event http client: a slow response does not fail other calls") {
   ProxyFixture fixture;
   fixture.OpenIdleConnections(4);
   const auto slow = fixture.Send(Get("/held"));
@@ -126,7 +129,7 @@
   CHECK((*patient)->response);
 }
 
-TEST_CASE("event http client: a connection that answered since is kept") {
+TEST_CASE("event http client: a connection that responded meanwhile is kept") {
   ProxyFixture fixture;
   fixture.OpenIdleConnections(2);
   const auto slow = fixture.Send(Get("/held"));
@@ -134,12 +137,14 @@
   const auto quick = fixture.Send(Get("/"));
   REQUIRE(fixture.Await(quick, kPromptTimeout));
   REQUIRE(fixture.Await(slow, kTimeout));
-  fixture.pending_replies.clear();  // It holds the connection.
+  // A pending reply keeps its connection open.
+  fixture.pending_replies.clear();
   fixture.Run(kPromptTimeout);
   CHECK(fixture.server.Connections() == 1);
 }
 
-// A server that sends an answer piece by piece, by hand.
+// A server that sends one response in pieces, each after a pause, and a client
+// that requests it. The first piece is the header.
 class PiecewiseServer {
  public:
   using Tcp = boost::asio::ip::tcp;
@@ -182,7 +187,7 @@
   absl::Duration elapsed;
 
  private:
-  // Sends piece `number` after its pause.
+  // Sends piece `number` after its pause, then the remaining pieces.
   void SendPiece(size_t number) {
     if (number == pauses_.size()) return;
     timer_.expires_after(absl::ToChronoNanoseconds(pauses_[number]));
@@ -214,7 +219,7 @@
 constexpr absl::Duration kProgressTimeout = absl::Milliseconds(150);
 constexpr absl::Duration kLongTimeout = absl::Seconds(3);
 
-TEST_CASE("event http client: an answer without a byte is given up early") {
+TEST_CASE("event http client: a request without a response byte fails early") {
   PiecewiseServer server({absl::Seconds(8), absl::Milliseconds(1)}, "body");
   const HttpOutcome outcome = server.Fetch(kLongTimeout, kProgressTimeout);
   CHECK_FALSE(outcome.response);
@@ -223,7 +228,7 @@
   CHECK(server.elapsed < 3 * kProgressTimeout);
 }
 
-TEST_CASE("event http client: an answer that stops midway is given up early") {
+TEST_CASE("event http client: a response that stalls midway fails early") {
   const absl::Duration short_pause = absl::Milliseconds(20);
   PiecewiseServer server(
       {short_pause, short_pause, short_pause, absl::Seconds(8), short_pause},
@@ -234,7 +239,7 @@
   CHECK(server.elapsed < 4 * kProgressTimeout);
 }
 
-TEST_CASE("event http client: an answer that goes on may take its whole time") {
+TEST_CASE("event http client: a response that makes progress may take longer") {
   const std::vector<absl::Duration> pauses(20, kProgressTimeout / 3);
   PiecewiseServer server(pauses, std::string(2000, 'x'));
   const HttpOutcome outcome = server.Fetch(kLongTimeout, kProgressTimeout);
@@ -243,7 +248,7 @@
   CHECK(server.elapsed > 5 * kProgressTimeout);
 }
 
-TEST_CASE("event http client: a slow answer ends with its time") {
+TEST_CASE("event http client: a slow response fails at the overall timeout") {
   const std::vector<absl::Duration> pauses(200, kProgressTimeout / 10);
   PiecewiseServer server(pauses, std::string(20, 'x'));
   const HttpOutcome outcome =
@@ -252,7 +257,8 @@
   CHECK(server.elapsed < 4 * kProgressTimeout);
 }
 
-TEST_CASE("event http client: without a silence an answer may take its time") {
+TEST_CASE(
+    "event http client: without a progress timeout a response may pause") {
   PiecewiseServer server(
       {3 * kProgressTimeout, kProgressTimeout, kProgressTimeout}, "body");
   const HttpOutcome outcome =
@@ -261,8 +267,9 @@
   CHECK(outcome.response->body == "bodybody");
 }
 
-// A worker that is gone is forgotten with a look at it on its way.
-TEST_CASE("event http client: one that is destroyed in a call ends it once") {
+// The client of a worker is destroyed when the worker is forgotten, possibly
+// during an observation. The call in flight must then end exactly once.
+TEST_CASE("event http client: destruction during a call calls back once") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -289,8 +296,9 @@
   CHECK(callback_count == 2);
 }
 
-// A turn of a busy loop is long: an answer must not take one for each piece.
-TEST_CASE("event http client: a large answer takes few turns of the loop") {
+// An iteration of a busy loop is long, so a large response must not take one
+// iteration per read.
+TEST_CASE("event http client: a large response takes few loop iterations") {
   constexpr size_t kBytes = 1 << 20;
   boost::asio::io_context server_loop;
   EventHttpServer::Options options;
@@ -314,7 +322,8 @@
   client.Send(request, absl::Seconds(5), [&](const HttpOutcome& outcome) {
     if (outcome.response) bytes = outcome.response->body.size();
   });
-  // The server is far ahead whenever the client's loop takes a turn.
+  // The server has sent much more data than one read takes before each
+  // iteration of the client's loop.
   int iterations = 0;
   while (bytes == 0 && iterations < 1000) {
     server_loop.run_for(std::chrono::milliseconds(2));
@@ -324,7 +333,8 @@
     ++iterations;
   }
   CHECK(bytes == kBytes);
-  MESSAGE("turns for 1 MB: 541 before, ", iterations, " after");
+  MESSAGE("loop iterations for 1 MB: ", iterations,
+          " (541 with one read per iteration)");
   CHECK(iterations <= 16);
 }
 
--- a/keelbridge/transport/event_http_server.cc
+++ b/keelbridge/transport/event_http_server.cc
@@ -24,18 +24,18 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 
-// How long accepting pauses after it failed, for example for want of
-// descriptors.
+// Delay before the next accept after an accept failed, for example because the
+// process ran out of file descriptors.
 constexpr std::chrono::milliseconds kAcceptPause(50);
-// One turn of a loaded loop takes 70 to 100 ms. With one connection accepted a
-// turn, callers whose connections broke waited for over a second, gave up, and
-// came with new ones: a leader that was busy stayed out of reach.
+// One iteration of a loaded loop takes 70 to 100 ms. With one accept per
+// iteration, clients that reconnected waited for over a second, timed out, and
+// connected again, so that a busy leader stayed unreachable.
 constexpr int kMaxAcceptsPerIteration = 64;
-// What is read at once: a message of 20 KB then takes two turns of the loop
-// instead of the seven in which a small buffer grows.
+// Initial capacity of the read buffer. A message of 20 KB then takes two loop
+// iterations instead of the seven that a small, growing buffer takes.
 constexpr size_t kReadBufferBytes = 16 << 10;
-// Reads of a body in one turn at most, so that one caller does not hold up the
-// others: 1 MB.
+// Maximum number of reads of a body in one loop iteration (1 MB), so that one
+// client does not delay the others.
 constexpr int kMaxReadsPerIteration = 64;
 
 void SetSocketOptions(Tcp::socket& socket, absl::Duration peer_timeout) {
@@ -105,14 +105,16 @@
   bool draining_ = false;
   size_t in_flight_ = 0;
   size_t connections_ = 0;
-  // Those that wait for a request, the one that waits longest first.
+  // Connections that wait for a request, the longest idle first.
   std::list<EventHttpConnection*> idle_;
 
  private:
   void Accept();
-  // Takes what waits to be accepted beside the one that woke the loop.
+  // Accepts further pending connections, beyond the one that woke the loop.
   void AcceptPending();
   void Serve(Tcp::socket socket);
+  // Closes the longest idle connection that may be evicted. Returns whether
+  // there was one.
   bool EvictIdleConnection();
 
   Tcp::acceptor acceptor_;
@@ -120,7 +122,8 @@
   bool closed_ = false;
 };
 
-// One connection: reads a request, waits for its reply, writes it, again.
+// One connection: repeatedly reads a request, waits for the reply of the
+// handler and writes it.
 class EventHttpConnection
     : public std::enable_shared_from_this<EventHttpConnection> {
  public:
@@ -155,7 +158,8 @@
         });
   }
 
-  // Idle for `evict_idle_after`, and no byte of a request has arrived.
+  // Returns whether the connection has been idle for `evict_idle_after` and no
+  // byte of a request has arrived.
   bool IsEvictable(absl::Time now) {
     boost::system::error_code ignored;
     return now - idle_since_ >= server_->options_.evict_idle_after &&
@@ -177,8 +181,9 @@
 
   void OnHeader(beast::error_code error) {
     if (error) return OnBadRequest(error);
-    // A request of 60 KB takes one turn instead of eight, the smallest one
-    // instead of three.
+    // Reading the available bytes now lets a request of 60 KB take one loop
+    // iteration instead of eight, and the smallest request one instead of
+    // three.
     parser_->eager(true);
     error = internal::ReadAvailable(stream_.socket(), buffer_, *parser_,
                                     kMaxReadsPerIteration);
@@ -241,7 +246,7 @@
         });
   }
 
-  // Whether the caller is gone: it closed the connection, or that was reset.
+  // Returns whether the client has closed or reset the connection.
   bool IsAbandoned() {
     char byte = 0;
     const ssize_t n = ::recv(stream_.socket().native_handle(), &byte, 1,
@@ -313,16 +318,16 @@
   }
 }
 
-// Over the limit the connection is closed at once: its caller tries another
-// machine.
+// A connection beyond the limit is closed immediately, so that its client tries
+// another machine.
 void EventHttpServer::Impl::Serve(Tcp::socket socket) {
   if (connections_ < options_.max_connections || EvictIdleConnection())
     std::make_shared<EventHttpConnection>(shared_from_this(), std::move(socket))
         ->Read();
 }
 
-// What idles may have gone silent for good, without an end: it makes room for
-// a connection that works.
+// An idle connection may be dead without having been closed, so a new
+// connection takes precedence over it.
 bool EventHttpServer::Impl::EvictIdleConnection() {
   const absl::Time now = SystemNow().mono;
   for (EventHttpConnection* connection : idle_) {
--- a/keelbridge/transport/event_http_server.h
+++ b/keelbridge/transport/event_http_server.h
@@ -1,9 +1,10 @@
 // An HTTP/1.1 server on one event loop, for machines with a fraction of a core.
 //
-// A connection costs a buffer, not a thread. A handler may answer later: it
-// keeps the reply function and calls it once, from the loop's thread. Header,
-// body, connection count, and the time a caller may take are bounded; what is
-// over a bound gets 4xx and its connection is closed.
+// A connection costs a buffer, not a thread. A handler may reply
+// asynchronously: it keeps the reply function and calls it once, from the
+// loop's thread. The sizes of header and body, the number of connections, and
+// the time a client may take are limited. A request whose header or body is too
+// large gets a 4xx response, and its connection is closed.
 //
 //   EventHttpServer server(loop, options, [](const ServerRequest& request,
 //                                            EventHttpServer::Reply reply) {
@@ -26,25 +27,26 @@
 
 namespace keelbridge {
 
-// Not thread-safe: all calls from the loop's thread.
+// Not thread-safe: all calls must come from the loop's thread.
 class EventHttpServer {
  public:
   struct Options {
-    Address listen;  // Port 0: the kernel picks one.
+    Address listen;  // Port 0 lets the kernel pick one.
     size_t max_connections = 1500;
     size_t max_header_bytes = 16 << 10;
     size_t max_body_bytes = 256 << 10;
-    absl::Duration read_timeout = absl::Seconds(3);   // Of one whole request.
+    absl::Duration read_timeout = absl::Seconds(3);   // For one request.
     absl::Duration idle_timeout = absl::Seconds(15);  // Between requests.
     absl::Duration write_timeout = absl::Seconds(3);
-    // A server that is full closes the connection that idles longest for a new
-    // one, if it has idled for this long. Infinite: the new one is turned away.
+    // When the server is full, a new connection replaces the longest idle one
+    // if that has been idle for at least this long; otherwise the new
+    // connection is closed.
     absl::Duration evict_idle_after = absl::InfiniteDuration();
-    // A request whose caller has closed the connection meanwhile is not passed
-    // to the handler. Only for callers that never close one direction alone.
+    // Whether to skip the handler for a request whose client has already closed
+    // the connection. Only for clients that never half-close a connection.
     bool skip_abandoned = false;
   };
-  // Must be called exactly once for each request; later calls do nothing.
+  // Must be called exactly once per request; further calls have no effect.
   using Reply = std::function<void(ServerResponse)>;
   using Handler = std::function<void(const ServerRequest&, Reply)>;
 
@@ -54,18 +56,20 @@
   EventHttpServer(const EventHttpServer&) = delete;
   EventHttpServer& operator=(const EventHttpServer&) = delete;
 
-  // Binds and starts to accept. The port, or why the address cannot be used.
+  // Binds the address and starts accepting connections. Returns the port, or an
+  // error if the address cannot be used.
   Result<int> Start();
 
-  // From now on every answer closes its connection, idle connections included
-  // once they ask.
+  // Makes every further response close its connection, including responses on
+  // connections that are idle now.
   void Drain();
 
-  // Closes the listening socket; open connections go on.
+  // Closes the listening socket. Open connections are still served.
   void StopAccepting();
 
-  // Requests that were read and not answered yet.
+  // Number of requests whose responses have not been written yet.
   size_t InFlight() const;
+  // Number of open connections.
   size_t Connections() const;
 
  private:
--- a/keelbridge/transport/event_http_server_test.cc
+++ b/keelbridge/transport/event_http_server_test.cc
@@ -16,7 +16,7 @@
 namespace keelbridge {
 namespace {
 
-TEST_CASE("event http server: an answer may end its connection") {
+TEST_CASE("event http server: a response may close its connection") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -55,11 +55,12 @@
   CHECK(server.Connections() == 0);
 }
 
-// A busy loop takes 70 to 100 ms for a turn, in which it does one thing for
-// each connection. A request that is there whole was read in up to four of
-// them, first its header, then 16 KB of its body at a time; a leader that is
-// behind then answers late by as many turns, whatever it decides.
-TEST_CASE("event http server: a request that is there is read in one turn") {
+// An iteration of a busy loop takes 70 to 100 ms and runs one operation per
+// connection. If a request that has arrived completely is read in up to four
+// iterations, first its header and then 16 KB of its body at a time, a busy
+// leader responds late by as many iterations.
+TEST_CASE(
+    "event http server: a request that has arrived is read in one iteration") {
   boost::asio::io_context loop;
   EventHttpServer::Options options;
   options.listen = {"127.0.0.1", 0, ""};
@@ -78,27 +79,28 @@
     boost::asio::ip::tcp::socket socket(caller_loop);
     socket.connect({boost::asio::ip::make_address("127.0.0.1"),
                     static_cast<uint16_t>(port.value())});
-    loop.run_for(std::chrono::milliseconds(50));  // Accepts, and waits.
+    loop.run_for(std::chrono::milliseconds(50));  // Accepts the connection.
     loop.restart();
     const std::string text = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " +
                              std::to_string(bytes) + "\r\n\r\n" +
                              std::string(bytes, 'x');
     boost::asio::write(socket, boost::asio::buffer(text));
     const size_t before = requests;
-    size_t iterations = 0;  // Those in which something was done.
+    size_t iterations = 0;  // Iterations that ran a handler.
     for (int i = 0; i < 100 && requests == before; ++i) {
       iterations += loop.poll_one();
       loop.restart();
     }
     CAPTURE(bytes);
-    MESSAGE("turns for ", bytes, " bytes: ", iterations);
+    MESSAGE("loop iterations for ", bytes, " bytes: ", iterations);
     CHECK(requests == before + 1);
     CHECK(body_bytes == bytes);
     CHECK(iterations <= 1);
   }
 }
 
-// A server that is full of connections of several callers. /held waits.
+// A server with a limit of three connections, and clients with one connection
+// each. Replies to /held are kept until the test sends them.
 struct FullServer {
   using Result = std::shared_ptr<std::optional<HttpOutcome>>;
 
@@ -120,7 +122,7 @@
     options.evict_idle_after = evict_idle_after;
     return options;
   }
-  // From a caller of its own, whose connection stays open.
+  // Sends a request from a new client, whose connection stays open.
   Result Send(const std::string& path) {
     callers.push_back(std::make_unique<EventHttpClient>(
         loop, address, EventHttpClient::Options()));
@@ -145,7 +147,8 @@
   std::vector<std::unique_ptr<EventHttpClient>> callers;
 };
 
-TEST_CASE("event http server: a full one closes what idles longest") {
+TEST_CASE(
+    "event http server: a full server closes the longest idle connection") {
   FullServer fixture(/*evict_idle_after=*/absl::Milliseconds(20));
   const auto oldest = fixture.Send("/held");
   CHECK(FullServer::IsAnswered(fixture.Send("/")));
@@ -156,7 +159,7 @@
   CHECK(fixture.server.Connections() == 3);
   const auto fifth = fixture.Send("/held");
   CHECK(fixture.pending_replies.size() == 3);
-  // All have a request under way: the next one is turned away.
+  // All connections have a request in flight, so the next one is rejected.
   CHECK_FALSE(FullServer::IsAnswered(fixture.Send("/")));
   for (const auto& reply : fixture.pending_replies) reply({});
   fixture.loop.restart();
@@ -166,20 +169,22 @@
   CHECK(FullServer::IsAnswered(fifth));
 }
 
-TEST_CASE("event http server: a full one turns new ones away otherwise") {
+TEST_CASE(
+    "event http server: a full server rejects new connections otherwise") {
   FullServer fixture(absl::InfiniteDuration());
   for (int i = 0; i < 3; ++i) CHECK(FullServer::IsAnswered(fixture.Send("/")));
   CHECK_FALSE(FullServer::IsAnswered(fixture.Send("/")));
   CHECK(fixture.server.Connections() == 3);
-  // Nor does one that was just used make room.
+  // A connection that was used recently is not evicted either.
   FullServer other(absl::Seconds(2));
   for (int i = 0; i < 3; ++i) CHECK(FullServer::IsAnswered(other.Send("/")));
   CHECK_FALSE(FullServer::IsAnswered(other.Send("/")));
 }
 
-// A turn of a busy loop is long: callers that come at once must not wait a turn
-// each.
-TEST_CASE("event http server: what waits to be accepted takes one turn") {
+// An iteration of a busy loop is long, so clients that connect at the same time
+// must not wait one iteration each.
+TEST_CASE(
+    "event http server: pending connections are accepted in one iteration") {
   constexpr size_t kCallers = 60;
   boost::asio::io_context loop;
   EventHttpServer::Options options;
@@ -197,7 +202,8 @@
                             static_cast<unsigned short>(port.value())});
   }
   loop.poll_one();
-  MESSAGE("accepted in one turn: 1 before, ", server.Connections(), " after");
+  MESSAGE("accepted in one loop iteration: ", server.Connections(),
+          " (1 with one accept per iteration)");
   CHECK(server.Connections() == kCallers);
 }
 
--- a/keelbridge/transport/event_rpc.cc
+++ b/keelbridge/transport/event_rpc.cc
@@ -5,20 +5,22 @@
 namespace keelbridge {
 namespace {
 
-// Enough for a hundred peers that use all they may.
+// Enough for a hundred peers that each use their maximum.
 constexpr size_t kMaxPeerConnections = 1000;
 constexpr size_t kMaxPeerBodyBytes = 8 << 20;
 constexpr size_t kWorkConnectionsToPeer = 8;
 constexpr size_t kControlConnectionsToPeer = 2;
-// Messages are answered at once: a second one is under way only when the first
-// is late.
+// Order messages are answered immediately, so a second one is in flight only
+// while the response to the first is late.
 constexpr size_t kOrderConnectionsToPeer = 4;
-// A caller drops what idles for longer. The server waits a little more, so
-// that no call meets its end; what went silent for good counts no longer.
+// A client does not reuse connections that have been idle for longer. The
+// server keeps them slightly longer, so that no call is sent on a connection
+// that is being closed, and then closes them, so that dead connections stop
+// counting towards its limit.
 constexpr absl::Duration kPeerClientIdleExpiry = absl::Seconds(30);
 constexpr absl::Duration kPeerServerIdleTimeout = absl::Seconds(35);
-// Heartbeats come every 0.4 s: what idles for longer than two is a caller's
-// further connection, or dead.
+// Heartbeats arrive every 0.4 s, so a connection that is idle for more than two
+// heartbeat periods is an additional connection of a peer, or dead.
 constexpr absl::Duration kEvictIdleAfter = absl::Seconds(1);
 constexpr int kMethodNotFound = -32601;
 constexpr int kInvalidRequest = -32600;
@@ -76,7 +78,7 @@
   if (method == methods_.end())
     return reply(MakeRpcResponse(
         call.id, {Json::Value(), kMethodNotFound, "no such method"}));
-  // A caller that got no answer would wait until its time is over.
+  // Without an error response the caller would wait until its timeout.
   try {
     method->second(call.params,
                    [id = call.id, reply](const JsonRpcReply& answer) {
--- a/keelbridge/transport/event_rpc.h
+++ b/keelbridge/transport/event_rpc.h
@@ -1,8 +1,9 @@
 // JSON-RPC 2.0 between nodes on an event loop.
 //
-// Handlers may answer later, for example once a record is kept, so the
-// dispatcher of libjsonrpccpp, which wants the answer on return, does not fit;
-// the frames are the same, over HTTP of `event_http_server.h`.
+// Handlers may reply asynchronously, for example once a record is durable. The
+// dispatcher of libjsonrpccpp expects the result on return and cannot be used;
+// the messages have the same format and travel over the HTTP server of
+// `event_http_server.h`.
 //
 //   EventRpcServer server(loop, address);
 //   server.Add("ping", [](const Json::Value&, EventRpcServer::Reply reply) {
@@ -31,7 +32,8 @@
 
 namespace keelbridge {
 
-// All on the loop's thread.
+// Dispatches JSON-RPC calls to registered methods. Not thread-safe: all calls
+// must come from the loop's thread.
 class EventRpcServer {
  public:
   using Reply = std::function<void(JsonRpcReply)>;
@@ -49,14 +51,16 @@
   EventHttpServer server_;
 };
 
-// Calls of one lane never wait for calls of the other.
+// Class of a call. Each lane has its own connections to a peer, so calls of one
+// lane never wait for calls of another.
 enum class RpcLane {
-  kWork,     // Clients' calls, advice, the store through a peer.
-  kOrders,   // Orders to workers that a peer carries, and their answers.
-  kControl,  // Who leads and who is there: few, short, and never late.
+  kWork,     // Client calls, advice, and store access through a peer.
+  kOrders,   // Orders to workers relayed by a peer, and their responses.
+  kControl,  // Leadership and liveness: few, short, latency-critical.
 };
 
-// All on the loop's thread. Connections to peers are kept.
+// Calls methods of peers over pooled keep-alive connections. Not thread-safe:
+// all calls must come from the loop's thread.
 class EventRpcClient {
  public:
   explicit EventRpcClient(boost::asio::io_context& loop) : loop_(loop) {}
--- a/keelbridge/transport/event_rpc_test.cc
+++ b/keelbridge/transport/event_rpc_test.cc
@@ -13,7 +13,7 @@
 namespace keelbridge {
 namespace {
 
-TEST_CASE("event rpc: a control call does not wait for work that is stuck") {
+TEST_CASE("event rpc: a control call does not wait for stuck work calls") {
   boost::asio::io_context loop;
   EventRpcServer server(loop, {"127.0.0.1", 0, ""});
   std::vector<EventRpcServer::Reply> pending_replies;
@@ -27,7 +27,8 @@
   const auto port = server.Start();
   REQUIRE(port);
   const Address listen{"127.0.0.1", port.value(), ""};
-  // Many peers, each with more work under way than it may have connections.
+  // Many peers, each with more work calls in flight than it may have
+  // connections.
   std::vector<std::unique_ptr<EventRpcClient>> peers;
   int answered = 0;
   constexpr int kPeers = 43;
@@ -51,7 +52,7 @@
   CHECK(answered == kPeers);
 }
 
-// Calls `address` and waits until the call is given up.
+// Calls `address` and waits until the call has timed out.
 RpcOutcome CallUntilTimeout(const Address& address, const Json::Value& params) {
   boost::asio::io_context loop;
   EventRpcClient client(loop);
@@ -63,7 +64,7 @@
   return *result;
 }
 
-TEST_CASE("event rpc: a peer that stood still runs no call that was given up") {
+TEST_CASE("event rpc: a stalled peer does not run calls that timed out") {
   boost::asio::io_context loop;
   EventRpcServer server(loop, {"127.0.0.1", 0, ""});
   int run_count = 0;
@@ -74,7 +75,7 @@
              });
   const auto port = server.Start();
   REQUIRE(port);
-  // Nobody runs the server's loop meanwhile.
+  // The server's loop does not run during the call.
   const RpcOutcome outcome =
       CallUntilTimeout({"127.0.0.1", port.value(), ""}, Json::Value());
   CHECK(!outcome.answered);
@@ -83,11 +84,12 @@
   CHECK(run_count == 0);
 }
 
-TEST_CASE("event rpc: what was given up is not sent later") {
+TEST_CASE("event rpc: a call that timed out is not sent later") {
   using Tcp = boost::asio::ip::tcp;
   boost::asio::io_context loop;
   Tcp::acceptor acceptor(loop, Tcp::v4());
-  // Little room, so that most of the call stays with the caller's kernel.
+  // A small receive buffer, so that most of the call stays in the send buffer
+  // of the client.
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(16 << 10));
   acceptor.bind({boost::asio::ip::address_v4::loopback(), 0});
   acceptor.listen();
@@ -107,8 +109,8 @@
   CHECK(total < kCallBytes);
 }
 
-// Without an answer the caller would wait until its time is over.
-TEST_CASE("event rpc: a call whose fields have the wrong type is told so") {
+// Without an error response the caller would wait until its timeout.
+TEST_CASE("event rpc: a call with parameters of the wrong type gets an error") {
   boost::asio::io_context loop;
   EventRpcServer server(loop, {"127.0.0.1", 0, ""});
   server.Add("add",
@@ -133,8 +135,8 @@
   }
 }
 
-// An exception would end the call without its caller being told.
-TEST_CASE("event rpc: an answer that cannot be read ends the call") {
+// An uncaught exception would end the call without calling its callback.
+TEST_CASE("event rpc: a malformed response fails the call") {
   for (const std::string body :
        {"", "[]", "{}", R"({"error":"text"})", R"({"error":{"message":[]}})"}) {
     CAPTURE(body);
--- a/keelbridge/transport/event_timer.h
+++ b/keelbridge/transport/event_timer.h
@@ -1,8 +1,8 @@
-// Timers of an event loop, and a step that runs later on it.
+// Timers of an event loop, and delayed callbacks on it.
 //
-// What falls due while the machine is suspended is done at the loop's next
-// timer after that, whichever it is: the kernel's own timers stand still
-// meanwhile, and a node always has one that is due within 50 ms.
+// The kernel's timers do not advance while the machine is suspended. A timer
+// that becomes due during a suspension runs when the loop's next timer of any
+// kind expires afterwards; a node always has one that is due within 50 ms.
 //
 //   EventTimer timer(loop);
 //   RunAfter(loop, absl::Milliseconds(50), [this] { Retry(); });
@@ -23,8 +23,8 @@
 
 using EventTimer = boost::asio::basic_waitable_timer<BootClock>;
 
-// Calls `step` once from the loop's thread; not at all when the loop ends
-// first.
+// Calls `callback` once from the loop's thread after `delay`, or never if the
+// loop ends first.
 inline void RunAfter(boost::asio::io_context& loop, absl::Duration delay,
                      std::function<void()> callback) {
   auto timer =
--- a/keelbridge/transport/event_timer_test.cc
+++ b/keelbridge/transport/event_timer_test.cc
@@ -7,8 +7,10 @@
 namespace keelbridge {
 namespace {
 
-// A node always has a timer that is due soon; the others are looked at with it.
-TEST_CASE("event timer: what fell due in a suspension is done right after it") {
+// A timer that becomes due during a suspension of the machine runs when the
+// next timer of the loop expires; the test keeps a 50 ms timer running for
+// that, as a node does.
+TEST_CASE("event timer: a timer due during a suspension runs right after it") {
   boost::asio::io_context loop;
   bool done = false;
   RunAfter(loop, absl::Seconds(20), [&done] { done = true; });
--- a/keelbridge/transport/http_client.cc
+++ b/keelbridge/transport/http_client.cc
@@ -13,7 +13,7 @@
 namespace keelbridge {
 namespace {
 
-// Below this a socket call could not finish at all.
+// Lower bound of socket timeouts; no socket call can complete within less.
 constexpr absl::Duration kMinTimeout = absl::Milliseconds(1);
 
 struct Connection {
@@ -37,8 +37,8 @@
   client.set_write_timeout(io.tv_sec, io.tv_usec);
 }
 
-// An answer must say where it ends; one that ends when the connection does may
-// have been cut off.
+// Returns whether the response declares where its body ends. A body that ends
+// with the connection may have been truncated.
 bool HasKnownLength(const httplib::Response& response) {
   return response.has_header("Content-Length") ||
          response.has_header("Transfer-Encoding") || response.status == 204 ||
--- a/keelbridge/transport/http_client.h
+++ b/keelbridge/transport/http_client.h
@@ -1,13 +1,16 @@
-// Calls over HTTP on pooled keep-alive connections, one request at a time on
-// each.
+// A blocking HTTP client with pooled keep-alive connections, each of which
+// carries one request at a time.
 //
-// A failure says whether any byte of the request may have left, which is what a
-// verdict is made from. A connection on which anything went wrong is closed and
-// never used again, so a late answer cannot reach another request.
+// A failure reports whether any byte of the request may have been sent, from
+// which callers derive the verdict. A connection on which an error occurred is
+// closed and never reused, so a late response cannot be delivered to another
+// request.
 //
-//   HttpClient client(address, {.max_connections = 8});
-//   HttpOutcome outcome = client.Send({.method = "GET", .path = "/healthz"},
-//   absl::Seconds(1)); if (outcome.response) Use(outcome.response->body);
+//   HttpClient client(address, HttpClient::Options());
+//   HttpRequest request;
+//   request.path = "/healthz";
+//   HttpOutcome outcome = client.Send(request, absl::Seconds(1));
+//   if (outcome.response) Use(outcome.response->body);
 
 #ifndef KEELBRIDGE_TRANSPORT_HTTP_CLIENT_H_
 #define KEELBRIDGE_TRANSPORT_HTTP_CLIENT_H_
@@ -25,23 +28,25 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-// The value of the first header `name`, compared without case; empty when there
-// is none.
+// Returns the value of the first header whose name equals `name`, ignoring
+// case, or an empty string if there is none.
 std::string FindHeader(const HttpHeaders& headers, const std::string& name);
 
+// A request of `HttpClient` or `EventHttpClient`.
 struct HttpRequest {
   std::string method = "GET";
   std::string path;
   HttpHeaders headers;
   std::string body;
-  // `EventHttpClient` sends this in place of `body` on a connection that has
-  // carried no answer yet, and closes a connection whose answer is not 200: on
-  // one that is used again, the process that gave the answers is known.
+  // `EventHttpClient` sends this instead of `body` on a connection that has not
+  // carried a response yet, and closes a connection whose response is not 200.
+  // On a reused connection the identity of the responding process is therefore
+  // known.
   std::optional<std::string> first_body;
   std::string content_type = "application/json";
-  // `EventHttpClient` gives a request up once its answer has made no progress
-  // for this long, however much of its time is left: no byte since the request
-  // was written, or since the last one came.
+  // `EventHttpClient` fails a request, even before its overall timeout, if no
+  // byte of the response arrives for this long after the request was written or
+  // after the last byte arrived.
   absl::Duration progress_timeout = absl::InfiniteDuration();
 };
 
@@ -51,31 +56,31 @@
   std::string body;
 };
 
-// How far a request without an answer came.
+// How far a request without a response got.
 enum class SendFailure {
-  kNone,         // There is an answer.
-  kNothingSent,  // No byte left this process: the other side cannot have seen
-                 // the request.
-  kMayHaveSent,  // The other side may have seen all of it.
+  kNone,         // There is a response.
+  kNothingSent,  // No byte was sent: the peer cannot have seen the request.
+  kMayHaveSent,  // The peer may have received the whole request.
 };
 
+// The result of a request: a response, or the reason why there is none.
 struct HttpOutcome {
   std::optional<HttpResponse> response;
   SendFailure failure = SendFailure::kNone;
-  std::string message;   // Why there is no answer.
-  bool refused = false;  // The port is closed: nobody listens there.
+  std::string message;   // Why there is no response.
+  bool refused = false;  // Connection refused: no process listens on the port.
 };
 
-// Thread-safe: each call takes a connection of its own from the pool.
+// Thread-safe: each call uses its own connection from the pool.
 class HttpClient {
  public:
   struct Options {
-    size_t max_idle = 16;  // Connections kept open between requests.
-    size_t max_body_bytes = 16 << 20;  // A longer answer is a failure.
-    absl::Duration connect_timeout =
-        absl::Seconds(1);  // At most; the call's own time may be less.
-    absl::Duration idle_expiry =
-        absl::Milliseconds(800);  // Shorter than the server's keep-alive time.
+    size_t max_idle = 16;              // Idle connections kept in the pool.
+    size_t max_body_bytes = 16 << 20;  // A longer body is a failure.
+    // The timeout of the request applies as well if it is shorter.
+    absl::Duration connect_timeout = absl::Seconds(1);
+    // Must be shorter than the server's keep-alive time.
+    absl::Duration idle_expiry = absl::Milliseconds(800);
   };
 
   HttpClient(Address address, Options options);
@@ -83,8 +88,8 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Sends `request` once, never twice, and waits up to `timeout` for the whole
-  // answer.
+  // Sends `request` at most once and waits up to `timeout` for the complete
+  // response.
   HttpOutcome Send(const HttpRequest& request, absl::Duration timeout);
 
  private:
--- a/keelbridge/transport/http_server.cc
+++ b/keelbridge/transport/http_server.cc
@@ -15,15 +15,15 @@
 namespace keelbridge {
 namespace {
 
-// Threads that only tell callers to come back later.
+// Number of threads that only answer 503 when all serving threads are busy.
 constexpr size_t kRefusingThreads = 2;
 constexpr int kSocketReuse = 1;
 
-// True on the threads that answer connections beyond the limit.
+// True on the threads that reject connections beyond the limit.
 thread_local bool refusing = false;
 
-// Starts threads as connections come, up to a limit; hands the rest to the
-// refusing threads.
+// Starts serving threads on demand, up to a limit, and passes connections
+// beyond the limit to the refusing threads.
 class ConnectionThreads : public httplib::TaskQueue {
  public:
   explicit ConnectionThreads(size_t max_serving_threads)
@@ -85,7 +85,7 @@
   size_t idle_ ABSL_GUARDED_BY(mutex_) = 0;
   size_t busy_ ABSL_GUARDED_BY(mutex_) = 0;
   bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
-  // Only the accepting thread changes these.
+  // Modified only by the accepting thread.
   std::vector<std::thread> serving_threads_;
   std::vector<std::thread> refusing_threads_;
 };
@@ -162,8 +162,8 @@
   void Configure() {
     const timeval read = absl::ToTimeval(options_.read_timeout);
     server_.set_tcp_nodelay(true);
-    // The library's default lets two processes share a port, which hides a port
-    // that is taken.
+    // The library's default options let two processes share a port, which would
+    // hide that the port is already in use.
     server_.set_socket_options([](socket_t socket) {
       setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &kSocketReuse,
                  sizeof(kSocketReuse));
--- a/keelbridge/transport/http_server.h
+++ b/keelbridge/transport/http_server.h
@@ -1,12 +1,13 @@
-// Serves HTTP with bounded threads, bodies and waits.
+// An HTTP server with limits on threads, body sizes and waiting times.
 //
-// One thread serves one connection. When all are busy, a further connection is
-// answered at once with 503 and `Retry-After` by a thread kept for that.
-// `Drain` makes every answer carry `Connection: close`, so that callers move
-// away before `Stop`, which finishes the requests in flight.
+// Each thread serves one connection. When all threads are busy, a separate
+// thread immediately answers a further connection with 503 and `Retry-After`.
+// `Drain` adds `Connection: close` to every response, so that clients move to
+// another server before `Stop`, which completes the requests in flight.
 //
-//   HttpServer server({.ip = "127.0.0.1", .port = 0}, [](const ServerRequest&
-//   request) {
+//   HttpServer::Options options;
+//   options.port = 8080;
+//   HttpServer server(options, [](const ServerRequest& request) {
 //     return ServerResponse{200, {}, "hello", "text/plain"};
 //   });
 //   Result<int> port = server.Start();
@@ -25,27 +26,29 @@
 
 namespace keelbridge {
 
+// A request as a handler receives it.
 struct ServerRequest {
   std::string method;
-  std::string path;  // Without the query.
+  std::string path;  // Without the query string.
   std::multimap<std::string, std::string> query;
   HttpHeaders headers;
   std::string body;
 
-  // The first value of `key` in the query, or `otherwise`.
+  // Returns the first value of `key` in the query string, or `fallback`.
   std::string Query(const std::string& key,
                     const std::string& fallback = "") const;
 };
 
+// A handler's response.
 struct ServerResponse {
   int status = 200;
   HttpHeaders headers;
   std::string body;
   std::string content_type = "application/json";
-  // Announce a longer body than is sent, then close. For stand-ins that cut
-  // answers off.
+  // Number of bytes by which the announced length exceeds the body that is sent
+  // before the connection closes. For fake servers that truncate responses.
   size_t truncated_bytes = 0;
-  // The connection ends with this answer.
+  // Whether to close the connection after this response.
   bool close_connection = false;
 };
 
@@ -53,7 +56,7 @@
  public:
   struct Options {
     std::string ip = "127.0.0.1";
-    int port = 0;  // 0: the kernel picks one.
+    int port = 0;  // 0 lets the kernel pick one.
     size_t max_threads = 64;
     size_t max_body_bytes = 4 << 20;  // A longer body is answered with 413.
     absl::Duration read_timeout = absl::Seconds(5);
@@ -66,15 +69,15 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Binds and serves on threads of its own. Returns the port, or says why the
-  // address cannot be used.
+  // Binds the address and serves on threads owned by the server. Returns the
+  // port, or an error if the address cannot be used.
   Result<int> Start();
 
-  // From now on every answer asks its caller to close the connection.
+  // Makes every further response ask the client to close the connection.
   void Drain();
 
-  // Stops accepting, finishes what is in flight, and returns when all threads
-  // have ended.
+  // Stops accepting connections, completes the requests in flight, and returns
+  // when all threads have ended.
   void Stop();
 
  private:
--- a/keelbridge/transport/json_rpc.cc
+++ b/keelbridge/transport/json_rpc.cc
@@ -12,7 +12,8 @@
 namespace keelbridge {
 namespace {
 
-// Longer and deeper texts are refused before the library's parser sees them.
+// Messages that are longer or nested more deeply are rejected before the
+// library parses them.
 constexpr size_t kMaxRequestBytes = 4 << 20;
 constexpr int kMaxNesting = 64;
 
--- a/keelbridge/transport/read_available.h
+++ b/keelbridge/transport/read_available.h
@@ -1,11 +1,11 @@
-// Reading a message on within one turn of the loop.
+// Reads the available part of an HTTP message within one loop iteration.
 //
-// A turn of a busy loop takes 70 to 100 ms, and a read that waits for the loop
-// is worth one turn: a message that is there whole would come in pieces, each a
-// turn later.
+// One iteration of a busy loop takes 70 to 100 ms, and each asynchronous read
+// takes one iteration. A message that has already arrived completely would
+// otherwise be read piecewise over several iterations.
 //
 //   beast::error_code error = internal::ReadAvailable(socket, buffer, parser,
-//   64); if (!error && !parser.is_done()) ...  // The rest is not there yet.
+//   64); if (!error && !parser.is_done()) ...  // The rest has not arrived.
 
 #ifndef KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
 #define KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
@@ -18,9 +18,10 @@
 
 namespace keelbridge::internal {
 
-// Parses what `buffer` holds and what `socket` has, in `max_reads` reads at
-// most, until the message is whole or nothing is left. No error: go on waiting
-// unless the parser is done.
+// Parses the contents of `buffer` and the data available on `socket`, with at
+// most `max_reads` reads, until the message is complete or no data is left.
+// After success the message is incomplete unless the parser is done; the caller
+// then waits for more data.
 template <typename Parser>
 boost::beast::error_code ReadAvailable(boost::asio::ip::tcp::socket& socket,
                                        boost::beast::flat_buffer& buffer,
--- a/keelbridge/transport/rpc_client.cc
+++ b/keelbridge/transport/rpc_client.cc
@@ -7,16 +7,16 @@
 namespace keelbridge {
 namespace {
 
-// JSON-RPC leaves -32000 to -32099 to servers; each error code gets one of
-// them.
+// JSON-RPC reserves -32000 to -32099 for servers; each `ErrorCode` is mapped to
+// one of these.
 constexpr int kFirstErrorCode = -32050;
 constexpr int kLastErrorCode =
     kFirstErrorCode + static_cast<int>(ErrorCode::kUnknown);
 
 HttpClient::Options ConnectionOptions() {
   HttpClient::Options options;
-  // Calls are rare, and the other side's library wakes a hundred times a second
-  // for each connection that stays open.
+  // No idle connections: calls are rare, and the peer's HTTP library wakes up a
+  // hundred times per second for each open connection.
   options.max_idle = 0;
   return options;
 }
--- a/keelbridge/transport/rpc_client.h
+++ b/keelbridge/transport/rpc_client.h
@@ -1,9 +1,9 @@
-// Calls another process of the system: JSON-RPC over HTTP, with a deadline and
-// a trace.
+// A client for another process of the system: JSON-RPC over HTTP, with a
+// timeout and a trace context.
 //
 //   RpcClient peer(address);
-//   Result<Json::Value> status = peer.Call("status", Json::objectValue,
-//   absl::Seconds(1), TraceContext());
+//   Result<Json::Value> status = peer.Call(
+//       "status", Json::objectValue, absl::Seconds(1), TraceContext());
 
 #ifndef KEELBRIDGE_TRANSPORT_RPC_CLIENT_H_
 #define KEELBRIDGE_TRANSPORT_RPC_CLIENT_H_
@@ -19,19 +19,20 @@
 
 namespace keelbridge {
 
-// The path that carries JSON-RPC on a daemon's port.
+// The HTTP path of JSON-RPC on a daemon's port.
 constexpr char kRpcPath[] = "/rpc";
 
-// How an error crosses a call and comes back as the same kind.
+// Encodes `error` for a response, so that `RpcClient::Call` returns an error
+// with the same code.
 JsonRpcReply ToRpcReply(const Error& error);
 
-// Thread-safe.
+// Calls methods of one daemon. Thread-safe.
 class RpcClient {
  public:
   explicit RpcClient(Address address);
 
-  // The method's result, or its error. `kUnknown` when the call may have
-  // reached the other side.
+  // Returns the method's result or error, or `kUnknown` if there was no
+  // response although the call may have reached the peer.
   Result<Json::Value> Call(const std::string& method, const Json::Value& params,
                            absl::Duration timeout, const TraceContext& trace);
 
--- a/keelbridge/transport/rpc_frames.h
+++ b/keelbridge/transport/rpc_frames.h
@@ -1,4 +1,5 @@
-// The frames of JSON-RPC 2.0 that nodes send each other; see `event_rpc.h`.
+// Serializes and parses the JSON-RPC 2.0 messages between nodes; see
+// `event_rpc.h`.
 //
 //   const RpcCall call = ParseRpcCall(request.body);
 //   if (!call.readable) return reply(SerializeRpcResponse(call.id, error));
@@ -16,29 +17,33 @@
 
 namespace keelbridge {
 
+// A parsed call message.
 struct RpcCall {
-  bool valid = false;  // It names a method.
-  Json::Value id;      // Null where there is none.
+  bool valid = false;  // Well-formed and with a method.
+  Json::Value id;      // Null if there is none.
   std::string method;
   Json::Value params;
 };
 
-// What came of a call.
+// The outcome of a call.
 struct RpcOutcome {
-  bool answered = false;  // The method ran and gave `result`.
+  bool answered = false;  // The method ran and returned `result`.
   bool sent = false;      // The method may have run.
-  bool refused = false;   // The peer's port is closed.
+  bool refused = false;   // The peer refused the connection.
   Json::Value result;
   std::string error;
 };
 
-// `params` may be null.
+// Returns a call message. `params` may be null.
 std::string SerializeRpcCall(int64_t id, const std::string& method,
                              Json::Value params);
+// Parses a call message.
 RpcCall ParseRpcCall(const std::string& body);
+// Returns the response message to the call `id`.
 std::string SerializeRpcResponse(const Json::Value& id,
                                  const JsonRpcReply& reply);
-// Of a call that was sent. An answer that cannot be read is an error.
+// Parses the response to a call that was sent. A malformed response yields an
+// error.
 RpcOutcome ParseRpcResponse(const std::string& body);
 
 }  // namespace keelbridge
--- a/keelbridge/transport/trace.cc
+++ b/keelbridge/transport/trace.cc
@@ -20,7 +20,7 @@
 constexpr size_t kHeaderLength = 55;
 constexpr int kSpanKindServer = 2;
 
-// Where this process writes its spans.
+// The destination of the spans of this process.
 struct SpanSink {
   absl::Mutex mutex;
   std::string service ABSL_GUARDED_BY(mutex);
--- a/keelbridge/transport/trace.h
+++ b/keelbridge/transport/trace.h
@@ -1,9 +1,9 @@
-// Spans: one for each hop of a request or task start, linked across processes
-// by W3C `traceparent`.
+// Distributed tracing: one span for each hop of a request or task start, linked
+// across processes by the W3C `traceparent` header.
 //
-// OpenTelemetry's C++ library is not packaged for Debian 12. Its nearest kin
-// here: the W3C header in and out, and spans written as OTLP/JSON, one a line,
-// which any collector's file receiver reads.
+// OpenTelemetry's C++ library is not packaged for Debian 12. This module
+// implements the W3C header and writes spans as OTLP/JSON, one per line, which
+// the file receiver of an OpenTelemetry collector reads.
 //
 //   Span span("gateway.forward", TraceContext::Parse(header));
 //   request.headers.emplace_back("traceparent", span.context().ToHeader());
@@ -21,35 +21,41 @@
 
 namespace keelbridge {
 
-// Names one span of one trace. All zero: none.
+// Identifies one span of one trace. All zeros mean that there is none.
 struct TraceContext {
   uint64_t trace_high = 0;
   uint64_t trace_low = 0;
   uint64_t span = 0;
 
   bool valid() const { return (trace_high | trace_low) != 0 && span != 0; }
-  // "00-<32 hex>-<16 hex>-01".
+  // Returns the `traceparent` value, "00-<32 hex>-<16 hex>-01".
   std::string ToHeader() const;
-  // Anything malformed gives an invalid context, which starts a new trace.
+  // Parses a `traceparent` value. A malformed one yields an invalid context,
+  // which starts a new trace.
   static TraceContext Parse(const std::string& header);
 };
 
-// Where spans of this process go: a file path, "-" for standard output, or
-// empty for nowhere.
+// Sets where the spans of this process are written: a file path, "-" for
+// standard output, or empty to discard them. `service` is the service name in
+// the spans.
 void InitTracing(const std::string& service, const std::string& path);
 
-// A random number that no other process is likely to draw. Thread-safe.
+// Returns a random nonzero identifier that is unlikely to be drawn by any other
+// process. Thread-safe.
 uint64_t RandomId();
 
+// A span that is written when it is destroyed.
 class Span {
  public:
-  // A child of `parent`, or the root of a new trace when `parent` is invalid.
+  // Starts a child of `parent`, or the root span of a new trace if `parent` is
+  // invalid.
   Span(std::string name, const TraceContext& parent);
   ~Span();
   Span(const Span&) = delete;
   Span& operator=(const Span&) = delete;
 
   const TraceContext& context() const { return context_; }
+  // Adds an attribute.
   void Set(const std::string& key, std::string value) {
     attributes_.emplace_back(key, std::move(value));
   }
