--- a/testing/support/child_process.cc
+++ b/testing/support/child_process.cc
@@ -66,7 +66,8 @@
   std::ifstream file(absl::StrCat("/proc/", pid_, "/stat"));
   std::string text((std::istreambuf_iterator<char>(file)),
                    std::istreambuf_iterator<char>());
-  // The fields after the name in parentheses; the 12th and 13th are times.
+  // After the name in parentheses, the 12th and 13th fields are the user and
+  // system processor times in clock ticks.
   std::istringstream rest(text.substr(text.rfind(')') + 2));
   std::string skipped;
   for (int i = 0; i < 11; ++i) rest >> skipped;
--- a/testing/support/child_process.h
+++ b/testing/support/child_process.h
@@ -1,4 +1,5 @@
-// A program of ours run as a process by a test, ended by id when the test ends.
+// Runs a program of this project as a child process of a test and kills it, by
+// its process ID, when the object is destroyed.
 //
 //   ChildProcess gateway("keelbridge-gateway", {"--settings=" + path});
 //   gateway.Signal(SIGKILL);
@@ -15,19 +16,22 @@
 
 class ChildProcess {
  public:
-  // `program` is a name in the build directory. Output goes to `output`.
+  // Starts `program`, a file name in the build directory. Appends its standard
+  // output and standard error to the file `output`.
   ChildProcess(const std::string& program,
                const std::vector<std::string>& arguments,
                const std::string& output);
-  ~ChildProcess();  // Kills it when it still runs.
+  ~ChildProcess();  // Kills the process if it is still running.
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   void Signal(int signal);
-  // Waits for its end: the exit code, or minus the signal that ended it.
+  // Waits until the process ends. Returns its exit code, or the negated number
+  // of the signal that ended it.
   int Wait();
-  // Resident memory in KiB, and processor time used so far in milliseconds.
+  // Returns the resident memory in KiB.
   long ResidentKib() const;
+  // Returns the processor time used so far, in milliseconds.
   long CpuMillis() const;
 
  private:
--- a/testing/support/configuration_check.cc
+++ b/testing/support/configuration_check.cc
@@ -11,14 +11,15 @@
   return absl::ToInt64Milliseconds(time);
 }
 
-// The node was in trouble for a part of the call at least.
+// Returns whether the node was disturbed during at least a part of the call.
 bool WasDisturbed(const ConfigurationCheck::Observation& observation) {
   return observation.before.undisturbed_since == absl::InfiniteFuture() ||
          observation.before.undisturbed_since !=
              observation.after.undisturbed_since;
 }
 
-// From when on the node must serve by what was written at `written`.
+// Returns when the node must start to serve by a version that was written at
+// `written`.
 absl::Time DueTime(absl::Time written,
                    const ConfigurationCheck::Observation& observation) {
   return std::max(
@@ -67,8 +68,8 @@
       newest_served_[static_cast<size_t>(observation.node)];
   if (newest_served.incarnation != observation.before.incarnation)
     newest_served = {observation.before.incarnation, 0};
-  // Refusing because it may be behind is not serving by an older version; see
-  // `CheckRefusal`.
+  // A node that refuses a call because its configuration may be outdated does
+  // not serve by an older version; `CheckRefusal` checks refusals.
   if (observation.version == 0) return "";
   if (observation.version < newest_served.version) {
     return absl::StrCat("CONFIG: node ", observation.node,
@@ -93,8 +94,8 @@
   for (auto it = written_.upper_bound(observation.version);
        it != written_.end(); ++it) {
     if (observation.sent_at <= DueTime(it->second, observation)) continue;
-    return absl::StrCat("CONFIG: node ", observation.node,
-                        " serves by version ", observation.version, ", ",
+    return absl::StrCat("CONFIG: node ", observation.node, " serves version ",
+                        observation.version, ", ",
                         Milliseconds(observation.sent_at - it->second),
                         " ms after version ", it->first,
                         " was written, undisturbed for ",
@@ -113,7 +114,8 @@
     return "";
   return absl::StrCat(
       "CONFIG: node ", observation.node,
-      " refuses a call since its configuration may be old, undisturbed for ",
+      " refuses a call because its configuration may be outdated, undisturbed "
+      "for ",
       Milliseconds(observation.sent_at - observation.before.undisturbed_since),
       " ms");
 }
--- a/testing/support/configuration_check.h
+++ b/testing/support/configuration_check.h
@@ -1,10 +1,11 @@
-// Judges whether nodes serve by the configurations that were written, from what
-// callers saw of them. Thread-safe.
+// Checks that nodes apply new configuration versions in time, based on the
+// replies that clients received. Thread-safe.
 //
-// A node must serve by a version once both are over: `kApplyTime` since it was
-// written, and `kRecoveryTime` since trouble of the node, or of the store,
-// ended. The two are not added to each other. From the same moment on a node
-// does not refuse calls because its configuration may be old.
+// A node must serve by a version once two times have passed: `kApplyTime` since
+// the version was written, and `kRecoveryTime` since the last disturbance of
+// the node or the store ended. The two times run concurrently; they are not
+// added up. From that moment on, the node also must not refuse calls on the
+// ground that its configuration may be outdated.
 //
 //   ConfigurationCheck check(4);
 //   check.Written(2);
@@ -26,36 +27,41 @@
 
 class ConfigurationCheck {
  public:
-  // A node is in touch when nothing has disturbed it for so long (the users'
-  // bound).
+  // The time that a node has, after a disturbance ended, to apply the newest
+  // version. This bound is a requirement of the users.
   static constexpr absl::Duration kRecoveryTime = absl::Seconds(3);
-  // A node in touch serves by a version so long after it was written (the
-  // users' bound).
+  // The time after a version was written within which an undisturbed node must
+  // apply it. This bound is a requirement of the users.
   static constexpr absl::Duration kApplyTime = absl::Seconds(2);
 
+  // What one call to a node showed.
   struct Observation {
     int node = 0;
-    int64_t version = 0;  // By which it served; 0: it refused the call.
-    absl::Time sent_at;   // Before the call was sent.
-    NodeDisturbances::State before;  // The node's state then,
-    NodeDisturbances::State after;   // and when the answer was there.
+    int64_t version = 0;  // The version served; 0 if the call was refused.
+    absl::Time sent_at;   // The time just before the call was sent.
+    NodeDisturbances::State before;  // The node's state before the call.
+    NodeDisturbances::State after;   // The node's state after the reply.
   };
 
   explicit ConfigurationCheck(int nodes)
       : newest_served_(static_cast<size_t>(nodes)) {}
 
-  // A version was written to the store, at `now`.
+  // Records that `version` was written to the store at `now`.
   void RecordWrite(int64_t version, absl::Time now);
   int64_t newest() const;
-  // What is wrong with what was seen, in words; empty: nothing.
+  // Checks one observation. Returns a description of the violation, or an empty
+  // string if there is none.
   std::string CheckObservation(const Observation& observation);
-  // This life of the node was seen to serve by the newest version.
+  // Returns whether the given incarnation of the node has been observed to
+  // serve by the newest version.
   bool ServesNewest(int node, int incarnation) const;
-  // From a change, or from when a node was in touch again, to the first sight
-  // of the node that serves by it: the longest so far.
+  // Returns the longest time so far until a node was first observed to serve by
+  // a version, counted from when the version was written or the node's
+  // disturbance ended, whichever was later.
   absl::Duration max_delay() const;
 
  private:
+  // The newest version that an incarnation of a node has served by.
   struct NewestServed {
     int incarnation = -1;
     int64_t version = 0;
--- a/testing/support/configuration_check_test.cc
+++ b/testing/support/configuration_check_test.cc
@@ -11,7 +11,8 @@
   return absl::UnixEpoch() + absl::Seconds(1000) + absl::Seconds(seconds);
 }
 
-// A sight of an undisturbed first life that is in touch since `since`.
+// Returns an observation of a node's first incarnation, which has been
+// undisturbed since `undisturbed_since`.
 ConfigurationCheck::Observation Observation(int64_t version, double sent_at,
                                             double undisturbed_since = 0) {
   ConfigurationCheck::Observation observation;
@@ -22,7 +23,7 @@
   return observation;
 }
 
-TEST_CASE("configuration check: a change is due 2 s after it was written") {
+TEST_CASE("configuration check: a version is due 2 s after it was written") {
   ConfigurationCheck check(1);
   check.RecordWrite(1, At(0));
   check.RecordWrite(2, At(10));
@@ -32,7 +33,9 @@
   CHECK(check.CheckObservation(Observation(2, 12.2)).empty());
 }
 
-TEST_CASE("configuration check: a newer change does not excuse an older one") {
+TEST_CASE(
+    "configuration check: a newer version does not extend the deadline of an "
+    "older one") {
   ConfigurationCheck check(1);
   check.RecordWrite(2, At(10));
   check.RecordWrite(3, At(11.5));
@@ -43,28 +46,31 @@
                           "after version 3"));
 }
 
-TEST_CASE("configuration check: a node in touch does not refuse") {
+TEST_CASE("configuration check: an undisturbed node must not refuse calls") {
   ConfigurationCheck check(1);
-  CHECK(check.CheckObservation(Observation(0, 9))
-            .empty());  // There is nothing to serve by.
+  // No version has been written yet.
+  CHECK(check.CheckObservation(Observation(0, 9)).empty());
   check.RecordWrite(1, At(10));
   CHECK(check.CheckObservation(Observation(0, 11.9)).empty());
   CHECK(absl::StrContains(check.CheckObservation(Observation(0, 12.1)),
                           "refuses"));
-  // Once is enough, also for one that served before, and long after a change.
+  // A single refusal is a violation, even if the node served calls before and
+  // the version was written long ago.
   CHECK(check.CheckObservation(Observation(1, 13)).empty());
   const std::string fault = check.CheckObservation(Observation(0, 24.2));
   CHECK(absl::StrContains(fault, "refuses"));
   CHECK(absl::StrContains(fault, "undisturbed for 24200 ms"));
-  // It serves by no version then: it is not called late with one.
+  // A refusing node serves no version, so it is not reported as late.
   CHECK_FALSE(absl::StrContains(fault, "version 1"));
-  // A newer version is no excuse.
+  // A newly written version does not permit a refusal.
   check.RecordWrite(2, At(24));
   CHECK(absl::StrContains(check.CheckObservation(Observation(0, 24.3)),
                           "refuses"));
 }
 
-TEST_CASE("configuration check: a node may refuse until it is in touch") {
+TEST_CASE(
+    "configuration check: a node may refuse calls until 3 s after a "
+    "disturbance") {
   ConfigurationCheck check(1);
   check.RecordWrite(1, At(0));
   CHECK(check.CheckObservation(Observation(0, 22.9, 20)).empty());
@@ -76,8 +82,8 @@
 }
 
 TEST_CASE(
-    "configuration check: an old change is due 3 s after trouble ended, and 2 "
-    "s are not added") {
+    "configuration check: an old version is due 3 s after a disturbance ended, "
+    "without a further 2 s") {
   ConfigurationCheck check(1);
   check.RecordWrite(2, At(10));
   CHECK(check.CheckObservation(Observation(1, 22.9, 20)).empty());
@@ -86,8 +92,8 @@
 }
 
 TEST_CASE(
-    "configuration check: a change soon after trouble is due at the later "
-    "moment") {
+    "configuration check: a version written soon after a disturbance is due at "
+    "the later deadline") {
   ConfigurationCheck check(1);
   check.RecordWrite(2, At(20.5));
   CHECK(check.CheckObservation(Observation(1, 22.9, 20)).empty());
@@ -97,7 +103,7 @@
   CHECK_FALSE(check.CheckObservation(Observation(2, 24.1, 20)).empty());
 }
 
-TEST_CASE("configuration check: a node disturbed meanwhile is not late") {
+TEST_CASE("configuration check: a node disturbed during the call is not late") {
   ConfigurationCheck check(1);
   check.RecordWrite(2, At(10));
   ConfigurationCheck::Observation observation = Observation(1, 30);
@@ -107,7 +113,9 @@
   CHECK(check.CheckObservation(observation).empty());
 }
 
-TEST_CASE("configuration check: no life goes back, disturbed or not") {
+TEST_CASE(
+    "configuration check: an incarnation never returns to an older version, "
+    "even when disturbed") {
   ConfigurationCheck check(1);
   check.RecordWrite(1, At(0));
   check.RecordWrite(2, At(10));
@@ -116,25 +124,28 @@
   back.before.undisturbed_since = absl::InfiniteFuture();
   back.after = back.before;
   CHECK(absl::StrContains(check.CheckObservation(back), "went back"));
-  // Another life may begin with an older one.
+  // A new incarnation may start with an older version.
   back.before.incarnation = 1;
   back.after.incarnation = 1;
   CHECK(check.CheckObservation(back).empty());
 }
 
-TEST_CASE("configuration check: refusing is not going back") {
+TEST_CASE(
+    "configuration check: a refusal is not a return to an older version") {
   ConfigurationCheck check(1);
   check.RecordWrite(1, At(0));
   CHECK(check.CheckObservation(Observation(1, 1)).empty());
   check.RecordWrite(2, At(6));
   CHECK(check.CheckObservation(Observation(2, 6.1)).empty());
   CHECK(check.CheckObservation(Observation(0, 6.2, 6)).empty());
-  // It still counts what this life served by before.
+  // The version that this incarnation served before the refusal still counts.
   CHECK(absl::StrContains(check.CheckObservation(Observation(1, 6.3, 6)),
                           "went back"));
 }
 
-TEST_CASE("configuration check: the slowest sight of a change") {
+TEST_CASE(
+    "configuration check: reports the longest delay until a version was "
+    "served") {
   ConfigurationCheck check(1);
   check.RecordWrite(2, At(10));
   CHECK(check.CheckObservation(Observation(2, 12)).empty());
--- a/testing/support/crashing_site.h
+++ b/testing/support/crashing_site.h
@@ -1,5 +1,5 @@
-// A SchedulerDriver whose workers die of some tasks, while others do their
-// work.
+// Extends SchedulerDriver with workers whose processes are crashed by some
+// tasks, while other tasks complete normally.
 //
 //   CrashingSite site(/*epoch=*/1, /*workers=*/4);
 //   site.crashes = [](const TaskId& task) { return task.job == 7; };
@@ -24,8 +24,8 @@
 
 class CrashingSite {
  public:
-  // `kept`: what an earlier leader left. All power was lost since, so that its
-  // workers have other lives now.
+  // `stored_records` are those of an earlier leader. Simulates a power loss of
+  // the whole site since then: each worker in them has a new incarnation.
   explicit CrashingSite(
       int64_t epoch, int workers = 4, int32_t cpu_milli = 16000,
       const std::map<std::string, Record>& stored_records = {})
@@ -45,7 +45,7 @@
     driver.scheduler().Submit(id, "restore", spec, driver.now());
   }
 
-  // Goes on until `until` after the beginning.
+  // Runs until `until` after `kBegin`.
   void Run(absl::Duration until) {
     while (driver.now().mono < kBegin + until) {
       driver.RunUntil(driver.now().mono - kBegin + absl::Milliseconds(20));
@@ -54,7 +54,7 @@
     }
   }
 
-  // The worker's process dies; the next life comes after `down_for`.
+  // Ends the worker's process; its next incarnation starts after `down_for`.
   void Crash(const std::string& worker) {
     if (driver.down.count(worker) > 0 ||
         driver.other_incarnations.count(worker) > 0)
@@ -74,7 +74,8 @@
     });
   }
 
-  // The worker says that it leaves and ends 2 s later; then as after a crash.
+  // The worker reports that it is draining. Its process ends 2 s later and is
+  // then replaced as after a crash.
   void Leave(const std::string& worker) {
     WorkerRecord record = RecordOf(worker);
     record.draining = true;
@@ -86,7 +87,7 @@
     scheduled_steps_.emplace(driver.now().mono + delay, std::move(step));
   }
 
-  // The worker that is at the machine now.
+  // Returns the ID of the worker that currently runs on the machine.
   std::string WorkerAt(const std::string& machine) const {
     return worker_by_machine_.at(machine);
   }
@@ -101,20 +102,23 @@
   }
 
   SchedulerDriver driver;
-  // Tasks that crash the worker that starts them, `crash_after` later.
+  // Returns whether a task crashes the worker that starts it, `crash_after`
+  // after the start.
   std::function<bool(const TaskId&)> crashes = [](const TaskId&) {
     return false;
   };
   absl::Duration crash_after = absl::Milliseconds(100);
   absl::Duration down_for = absl::Seconds(3);
-  // How long other tasks work; without an end: until their worker ends.
+  // How long the other tasks run; if infinite, until their worker ends.
   absl::Duration work = absl::Seconds(1);
-  // Called at each start.
+  // Called for each task that was started.
   std::function<void(const StartOrder&, const std::string& worker)> on_start =
       [](const StartOrder&, const std::string&) {};
-  std::set<JobId> gangs;  // A member that is lost breaks the others' runs.
+  // Jobs whose tasks form a gang: the loss of a member breaks the other
+  // members' runs.
+  std::set<JobId> gangs;
   int crash_count = 0;
-  size_t max_down = 0;  // Workers, at one time.
+  size_t max_down = 0;  // The maximum number of workers down at one time.
 
  private:
   WorkerRecord RecordOf(const std::string& worker) const {
@@ -125,7 +129,8 @@
   }
 
   void StartIncarnation(const std::string& machine) {
-    // Lives of one machine differ, also from those under another leader.
+    // IDs differ between all incarnations on a machine, also between those
+    // under different leaders.
     const std::string id =
         absl::StrCat(machine, "-", epoch_, "-", ++incarnation_counts_[machine]);
     machine_by_worker_[id] = machine;
@@ -147,7 +152,7 @@
     }
   }
 
-  // What is left of the gang's run ends.
+  // Ends the remaining members' runs of the gang.
   void BreakGang(const RunningTask& member) {
     std::vector<std::pair<std::string, RunningTask>> left;
     for (const auto& [worker, list] : driver.reports) {
@@ -178,12 +183,12 @@
 
   const int64_t epoch_;
   const int32_t cpu_milli_;
-  size_t handled_starts_ = 0;  // Of the driver's starts.
-  std::map<std::string, int> incarnation_counts_;
+  // The number of entries of `driver.starts` handled so far.
+  size_t handled_starts_ = 0;
+  std::map<std::string, int> incarnation_counts_;  // By machine.
   std::map<std::string, int64_t> ends_;
-  std::map<std::string, std::string> machine_by_worker_;  // By worker.
-  std::map<std::string, std::string>
-      worker_by_machine_;  // By machine: its worker.
+  std::map<std::string, std::string> machine_by_worker_;
+  std::map<std::string, std::string> worker_by_machine_;  // Current workers.
   std::multimap<absl::Time, std::function<void()>> scheduled_steps_;
 };
 
--- a/testing/support/node_disturbances.h
+++ b/testing/support/node_disturbances.h
@@ -1,9 +1,9 @@
-// Since when each node of a soak has been undisturbed: its process runs, its
-// proxies pass, the store answers. Thread-safe.
+// Tracks since when each node of a soak test has been undisturbed, that is, its
+// process runs, its proxies forward traffic and the store answers. Thread-safe.
 //
-//   NodeDisturbances touch(4);
-//   touch.Disturb(2);
-//   touch.Restore(2);  // In touch from now on.
+//   NodeDisturbances disturbances(4);
+//   disturbances.Disturb(2);
+//   disturbances.Restore(2);  // Undisturbed from now on.
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_NODE_DISTURBANCES_H_
 #define KEELBRIDGE_TESTING_SUPPORT_NODE_DISTURBANCES_H_
@@ -19,18 +19,20 @@
 class NodeDisturbances {
  public:
   struct State {
-    absl::Time undisturbed_since;  // InfiniteFuture: it is disturbed now.
-    int incarnation = 0;           // Counts the processes that were started.
+    // InfiniteFuture while the node is disturbed.
+    absl::Time undisturbed_since;
+    int incarnation = 0;  // Incremented whenever the process is replaced.
   };
 
   explicit NodeDisturbances(int nodes);
 
-  // Disturbances of a node may overlap: each needs its own `Restore`.
+  // Disturbances of a node may overlap; each needs its own call of `Restore`.
   void Disturb(int node);
   void Restore(int node);
   void DisturbAll();
   void RestoreAll();
-  // The process has ended; the one that replaces it is another life.
+  // Records that the node's process has ended; the process that replaces it is
+  // a new incarnation.
   void StartNextIncarnation(int node);
   State Get(int node) const;
 
--- a/testing/support/run_checker.cc
+++ b/testing/support/run_checker.cc
@@ -9,7 +9,8 @@
 
 std::vector<std::string> CheckRuns(std::vector<RunEvent> facts,
                                    const RunRules& rules) {
-  // At equal times ends come first: an instant is not an overlap.
+  // At equal times, ends come before starts: a run that starts at the instant
+  // at which another one ends does not overlap with it.
   std::stable_sort(facts.begin(), facts.end(),
                    [](const RunEvent& a, const RunEvent& b) {
                      return a.at != b.at ? a.at < b.at : !a.begins && b.begins;
@@ -33,8 +34,7 @@
     const auto total = rules.totals.find(fact.worker);
     if (total != rules.totals.end() &&
         !used[fact.worker].FitsIn(total->second)) {
-      faults.push_back(
-          absl::StrCat(at, fact.worker, " is given more than it has"));
+      faults.push_back(absl::StrCat(at, fact.worker, " exceeds its capacity"));
     }
     if (!hosts.empty() && rules.may_overlap.count(intent) == 0) {
       faults.push_back(absl::StrCat(at, fact.task, " starts on ", fact.worker,
@@ -43,13 +43,13 @@
     hosts.insert(absl::StrCat(fact.worker, "#", fact.attempt));
     if (++starts[fact.task] > 1 && rules.non_repeatable.count(intent) > 0) {
       faults.push_back(absl::StrCat(
-          at, fact.task, " must not be repeated and starts again on ",
+          at, fact.task, " must not be repeated but starts again on ",
           fact.worker));
     }
     const auto last = rules.no_starts_after.find(fact.worker);
     if (last != rules.no_starts_after.end() && fact.at > last->second) {
       faults.push_back(absl::StrCat(at, fact.task, " starts on ", fact.worker,
-                                    ", which was to get no more work"));
+                                    ", which must not get new tasks"));
     }
   }
   return faults;
--- a/testing/support/run_checker.h
+++ b/testing/support/run_checker.h
@@ -1,6 +1,7 @@
-// Judges what really ran, from the workers' journals and nothing else.
+// Checks the runs that actually took place, based only on the workers'
+// journals.
 //
-//   std::vector<std::string> faults = CheckRuns(facts, totals, rules);
+//   std::vector<std::string> faults = CheckRuns(facts, rules);
 //   CHECK(faults.empty());
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_RUN_CHECKER_H_
@@ -16,18 +17,18 @@
 namespace keelbridge::testing {
 
 struct RunRules {
-  std::map<std::string, Resources> totals;  // Of each worker.
-  std::set<std::string>
-      may_overlap;  // Intents whose tasks may run on two hosts at once.
-  std::set<std::string>
-      non_repeatable;  // Intents whose tasks must not start twice.
-  // No task may begin on a worker later than this.
+  std::map<std::string, Resources> totals;  // Capacity by worker.
+  // Intents whose tasks may run on two hosts at once.
+  std::set<std::string> may_overlap;
+  // Intents whose tasks must not start twice.
+  std::set<std::string> non_repeatable;
+  // By worker: the time after which no task may start on it.
   std::map<std::string, absl::Time> no_starts_after;
 };
 
-// Every violation, in words: more given than a worker has, a task on two hosts
-// at once, a task that must not be repeated started twice, a start on a worker
-// that had to get none.
+// Returns a description of each violation: a worker whose capacity is exceeded,
+// a task on two hosts at once, a second start of a task that must not be
+// repeated, or a start on a worker that must not get new tasks.
 std::vector<std::string> CheckRuns(std::vector<RunEvent> facts,
                                    const RunRules& rules);
 
--- a/testing/support/run_checker_test.cc
+++ b/testing/support/run_checker_test.cc
@@ -24,22 +24,22 @@
 }
 
 TEST_CASE(
-    "run checker: a clean journal has no faults; an end and a start at the "
-    "same instant do not overlap") {
+    "run checker: accepts a valid journal; an end and a start at the same "
+    "instant do not overlap") {
   CHECK(CheckRuns({Fact(1, "w1", "a/0", 1, true), Fact(5, "w2", "a/0", 2, true),
                    Fact(5, "w1", "a/0", 1, false)},
                   Rules())
             .empty());
 }
 
-TEST_CASE("run checker: refuses a task on two hosts at once") {
+TEST_CASE("run checker: reports a task that runs on two hosts at once") {
   CHECK(CheckRuns({Fact(1, "w1", "a/0", 1, true), Fact(4, "w2", "a/0", 2, true),
                    Fact(5, "w1", "a/0", 1, false)},
                   Rules())
             .size() == 1);
 }
 
-TEST_CASE("run checker: refuses more than a worker has") {
+TEST_CASE("run checker: reports a worker whose capacity is exceeded") {
   CHECK(CheckRuns({Fact(1, "w1", "a/0", 1, true), Fact(2, "w1", "a/1", 2, true),
                    Fact(3, "w1", "a/2", 3, true)},
                   Rules())
@@ -47,8 +47,8 @@
 }
 
 TEST_CASE(
-    "run checker: refuses a second start of what must not be repeated, and a "
-    "start on a leaving worker") {
+    "run checker: reports a second start of a task that must not be repeated, "
+    "and a start on a draining worker") {
   RunRules rules = Rules();
   rules.non_repeatable.insert("a");
   rules.no_starts_after["w2"] = absl::FromUnixMillis(7);
--- a/testing/support/scheduler_driver.h
+++ b/testing/support/scheduler_driver.h
@@ -1,9 +1,9 @@
-// Drives a JobScheduler in tests of single decisions: time goes on and workers
-// answer as the test says.
+// Drives a JobScheduler in tests of single decisions. The test controls the
+// clock and the workers' replies.
 //
 //   SchedulerDriver site(/*epoch=*/1);
 //   site.AddWorker("a");
-//   site.lists["a"];  // It answers looks, and runs nothing.
+//   site.reports["a"];  // Answers observations; nothing runs on it.
 //   site.RunUntil(absl::Milliseconds(100));
 //   CHECK(site.starts.empty());
 
@@ -29,7 +29,7 @@
 constexpr JobId kJob = 7;
 inline const absl::Time kBegin = absl::UnixEpoch() + absl::Hours(1);
 
-// A site of workers "a", "b", ... that answer when the test says so.
+// Simulates a site of workers "a", "b", ... that answer as the test directs.
 class SchedulerDriver {
  public:
   explicit SchedulerDriver(int64_t epoch, int max_attempts = 2,
@@ -39,7 +39,7 @@
     scheduler_.OnEarlierLeadersStopped(kBegin);
   }
 
-  // A configuration with one queue, "restore".
+  // Sets a configuration with one queue, "restore".
   void SetQueue(int max_attempts) {
     auto configuration = std::make_shared<SiteConfiguration>();
     configuration->version = 1;
@@ -54,7 +54,8 @@
   JobScheduler& scheduler() { return scheduler_; }
   Now now() const { return {now_, now_ + wall_clock_offset}; }
 
-  // A job of an earlier leader, and the workers that it may have given work.
+  // Loads a job of an earlier leader, and the workers to which that leader may
+  // have assigned tasks.
   void Recover(const StepSpec& step,
                const std::vector<KnownWorker>& known_workers = {}) {
     JobSpec spec;
@@ -67,7 +68,7 @@
     scheduler_.Load(std::move(jobs), known_workers, now());
   }
 
-  // Takes over what `earlier` kept.
+  // Loads the records that `earlier` has stored, as a new leader does.
   void TakeOver(const SchedulerDriver& earlier) {
     JobRecords jobs;
     std::vector<KnownWorker> workers;
@@ -80,7 +81,8 @@
     scheduler_.Load(jobs.Build(), workers, now());
   }
 
-  // Tasks need a ticket; the workers in `good` get one.
+  // Sets a configuration in which tasks of the queue "restore" need a ticket,
+  // while those of the queue "plain" do not. Workers in `good` get one.
   void UseAdvice(const AdviceTerms& terms = {true, 500, 8, 1500}) {
     advice_terms_ = terms;
     auto configuration = std::make_shared<SiteConfiguration>();
@@ -123,7 +125,7 @@
     scheduler_.OnWorkerRecord(RecordOf(id, cpu_milli), now());
   }
 
-  // The run ends on the worker.
+  // Ends the run on the worker, so that its next report contains the end.
   void End(const std::string& worker, const EndedTask& end) {
     std::vector<RunningTask>& running = reports[worker].running;
     running.erase(std::remove_if(running.begin(), running.end(),
@@ -135,8 +137,8 @@
     reports[worker].ended.push_back(end);
   }
 
-  // Ticks until `until` after the beginning; every observation of a worker in
-  // `answering` is answered with what `lists` holds for it.
+  // Ticks until `until` after `kBegin`. Each observation of a worker that has
+  // an entry in `reports` is answered with that entry.
   void RunUntil(absl::Duration until) {
     while (now_ < kBegin + until) {
       now_ += absl::Milliseconds(20);
@@ -153,38 +155,48 @@
     }
   }
 
-  std::map<std::string, ObserveReply> reports;   // Workers in it answer.
-  std::map<std::string, Record> stored_records;  // The newest of each key.
-  std::vector<LogAction> log_lines;              // For the log.
-  std::set<std::string> good;
-  std::set<std::string>
-      other_incarnations;              // Answer that another life is there.
-  std::set<std::string> down;          // Nothing listens there.
-  std::set<std::string> drops_starts;  // Starts get no answer and do not run.
-  // By a life that is over: the life of the same worker that is there now. It
-  // carries out orders that are sent to the earlier one.
+  // By worker: the reply to observations. Workers without an entry do not
+  // answer.
+  std::map<std::string, ObserveReply> reports;
+  // By key: the newest stored record.
+  std::map<std::string, Record> stored_records;
+  std::vector<LogAction> log_lines;  // Log lines of the scheduler.
+  std::set<std::string> good;        // Workers that the advice accepts.
+  // Workers that answer that another incarnation runs at their address.
+  std::set<std::string> other_incarnations;
+  std::set<std::string> down;  // Workers at whose address nothing listens.
+  // Workers that neither answer nor carry out start orders.
+  std::set<std::string> drops_starts;
+  // By an ended incarnation: the current incarnation of the same worker, which
+  // carries out orders that are sent to the ended one.
   std::map<std::string, std::string> next_incarnations;
-  // Instead of `good`: by the step, its first task, and the worker.
+  // If set, decides instead of `good` whether the worker may run the step that
+  // the first task of the step identifies.
   std::function<bool(const TaskId&, const std::string&)> is_good;
   bool hold_advice = false;
-  // Advice takes as long as its terms say, one call at a time at each adviser.
+  // Each advice call takes as long as its terms say, and each adviser handles
+  // one call at a time.
   bool timed_advice = false;
-  bool hold_batches = false;     // The store takes nothing.
-  absl::Duration tick_duration;  // As the scheduler is told.
+  bool hold_batches = false;     // The store accepts no appends.
+  absl::Duration tick_duration;  // Tick duration reported to the scheduler.
   absl::Duration wall_clock_offset;
-  std::vector<std::vector<std::string>>
-      advice_calls;  // Workers named, call by call.
-  std::vector<std::vector<int32_t>> expected_uses;  // Of each of them.
-  std::vector<StartOrder> starts;                   // That were carried out.
-  std::vector<std::string> start_workers;
+  // The workers that each advice call named.
+  std::vector<std::vector<std::string>> advice_calls;
+  // For each worker in `advice_calls`: the processor capacity that the step
+  // expects to get there, in thousandths of a processor.
+  std::vector<std::vector<int32_t>> expected_uses;
+  std::vector<StartOrder> starts;          // Start orders carried out.
+  std::vector<std::string> start_workers;  // For each order in `starts`.
   std::vector<StartOrder> lost_starts;
   std::vector<StopOrder> stops;
   std::vector<std::string> stop_workers;
   std::vector<ObserveAction> observations;
-  std::vector<std::string> forgotten_workers;  // Workers, in the order of that.
+  // The workers of all `ForgetWorkerAction`s, in order.
+  std::vector<std::string> forgotten_workers;
 
  private:
-  // What an order to the worker comes to that would else be `otherwise`.
+  // Returns the result of an order to the worker; `fallback` if the worker is
+  // neither down nor replaced by another incarnation.
   OrderResult ResultAt(const std::string& worker, OrderResult fallback) const {
     if (other_incarnations.count(worker) > 0)
       return OrderResult::kOtherIncarnation;
@@ -300,7 +312,8 @@
   std::vector<AskAdviceAction> held_advice_;
   std::multimap<absl::Time, AskAdviceAction> scheduled_advice_;
   std::map<std::string, absl::Time> adviser_free_at_;
-  std::map<std::string, int64_t> fences_;  // By life: the highest it has seen.
+  // By incarnation: the highest fencing token that it has received.
+  std::map<std::string, int64_t> fences_;
   absl::Time now_ = kBegin;
   JobScheduler scheduler_;
 };
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -9,7 +9,7 @@
 namespace keelbridge::testing {
 namespace {
 
-// Before a run from a checkpoint goes on.
+// The time that a run needs to restore its state from a checkpoint.
 constexpr absl::Duration kRestoreDuration = absl::Milliseconds(600);
 constexpr absl::Duration kStep = absl::Milliseconds(5);
 constexpr absl::Duration kOrderTimeout = absl::Milliseconds(500);
@@ -17,17 +17,19 @@
 constexpr absl::Duration kGangTimeout = absl::Seconds(3);
 constexpr absl::Duration kRecordRemovalDelay = absl::Seconds(3);
 constexpr absl::Duration kAskEarlierPeriod = absl::Milliseconds(300);
-// A leader that stood still for longer starts nothing until the store takes an
-// append of it.
+// A leader that was suspended for longer than this starts nothing until the
+// store accepts an append from it.
 constexpr absl::Duration kMaxSuspension = absl::Milliseconds(1500);
-// Of a task that crashes its worker: how long after its start, and when the
-// next life comes.
+// A crashing task crashes its worker this long after its start, and the
+// worker's next incarnation starts `kCrashDownTime` after the crash.
 constexpr absl::Duration kCrashAfter = absl::Milliseconds(10);
 constexpr absl::Duration kCrashDownTime = absl::Seconds(3);
-// After so many crashes so many starts are taken for an endless repeat.
+// After `kExcusedCrashes` crashes, `kEndlessRepeatStarts` further starts of a
+// task count as endless repetition.
 constexpr int kExcusedCrashes = 3;
 constexpr int kEndlessRepeatStarts = 3;
-// A capacity that has shrunk counts after this, and is told of within a beat.
+// A reduced capacity counts after this time. It is reported within one
+// heartbeat interval.
 constexpr absl::Duration kCapacityGrace = absl::Milliseconds(3500);
 constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(500);
 constexpr absl::Duration kMaxLongRunningWork = absl::Seconds(8);
@@ -97,7 +99,7 @@
       options, [this](const StartOrder& order) { return MakeRunPlan(order); },
       [this](const SiteRun& run, bool begins) { RecordRun(run, begins); },
       now_);
-  // The platform lists a life once it has written its record.
+  // The platform lists an incarnation once its record is written.
   const std::string id = slot.incarnation->record().id;
   After(keep_id ? kHeartbeatInterval * Draw() : absl::ZeroDuration(),
         [this, index, id] {
@@ -171,17 +173,18 @@
       if (here) used += other.need;
       const bool same = key.first == run.task;
       if (same && (!here || key.second != run.run))
-        Fault(absl::StrCat("TWICE: ", name, " while run ", key.second,
+        Fault(absl::StrCat("TWICE: ", name, " started while run ", key.second,
                            " runs on ", other.worker));
     }
   }
   const WorkerSlot* slot = FindSlot(run.worker);
   if (!run.late && slot != nullptr && !used.FitsIn(slot->capacity_limit))
-    Fault(
-        absl::StrCat("LIMIT: ", name, " takes the worker to ", used.cpu_milli));
+    Fault(absl::StrCat(
+        "LIMIT: ", name,
+        " exceeds the worker's capacity; CPU milli in use: ", used.cpu_milli));
   if (done_.count(run.task) > 0) {
-    // A done end that nobody could hear of before its lease lapsed may run
-    // again.
+    // A task may run again if no leader could learn of its end before the run's
+    // lease expired.
     bool excused = false;
     for (const WorkerSlot& slot : workers_) {
       for (const EndedTask& end : slot.incarnation->unacknowledged_ends()) {
@@ -189,7 +192,8 @@
           excused = true;
       }
     }
-    if (!excused) Fault(absl::StrCat("TWICE: ", name, " after it was done"));
+    if (!excused)
+      Fault(absl::StrCat("TWICE: ", name, " started after it was done"));
   }
   const std::set<int32_t>& failed = failed_[FailureKey(run.task)];
   const bool long_running =
@@ -206,7 +210,8 @@
     for (int32_t i = 0; i < count; ++i) {
       if (ever_done_.count({run.task.job, run.task.round, restore_time, i}) ==
           0)
-        Fault(absl::StrCat("ORDER: ", name, " before step ", restore_time));
+        Fault(absl::StrCat("ORDER: ", name, " started before the end of step ",
+                           restore_time));
     }
   }
 }
@@ -345,8 +350,8 @@
   bool all = true;
   for (const auto& other : leaders_) {
     if (other->epoch >= leader->epoch) continue;
-    // One that was frozen hears that it was replaced; one that was not is left
-    // to find out by itself.
+    // A frozen leader learns at its resumption that it was replaced; any other
+    // leader finds out by itself.
     const bool wakes = other->frozen_until > absl::InfinitePast() &&
                        other->frozen_until < now_;
     if (wakes) other->dead = true;
@@ -369,7 +374,7 @@
 void SiteSimulation::Tick(const std::shared_ptr<Leader>& leader) {
   if (leader->dead) return;
   if (leader->frozen_until > now_) {
-    // What it decided before it froze leaves it late.
+    // Orders that were decided before the leader froze are sent late.
     return After(leader->frozen_until - now_, [this, leader] {
       ExecuteActions(leader);
       leader->scheduler->SetSuspended(leader->frozen_until - leader->frozen_at >
@@ -391,7 +396,7 @@
       std::make_shared<JobScheduler::Batch>(leader->scheduler->TakeBatch());
   const auto attempt = std::make_shared<std::function<void()>>();
   *attempt = [this, leader, batch, attempt] {
-    if (leader->dead && Draw() < 0.5) return;  // It never left.
+    if (leader->dead && Draw() < 0.5) return;  // The append was never sent.
     if (now_ < store_down_until_) {
       After(kAppendRetry, [attempt] { (*attempt)(); });
       return;
@@ -496,8 +501,9 @@
       if (observe->order.lease_until_ms > 0) leader->last_order = sent;
       ObserveReply lost_observation;
       lost_observation.order = lost;
-      // As the adapter has it: a look that finds another life drops none of its
-      // ends, and tells which life that is.
+      // Like the platform adapter, an observation that reaches another
+      // incarnation acknowledges none of its ends and reports the ID of that
+      // incarnation.
       const auto observation_elsewhere =
           [this, gone, order = observe->order](SiteWorker* next) {
             ObserveReply reply;
@@ -604,18 +610,18 @@
 }
 
 void SiteSimulation::CrashWorker(int index, absl::Duration down) {
-  EndIncarnation(index, down, /*again=*/false);
+  EndIncarnation(index, down, /*keep_id=*/false);
 }
 
 void SiteSimulation::RestartWorker(int index, absl::Duration down) {
-  EndIncarnation(index, down, /*again=*/true);
+  EndIncarnation(index, down, /*keep_id=*/true);
 }
 
 void SiteSimulation::EndIncarnation(int index, absl::Duration down,
                                     bool keep_id) {
   SiteWorker& incarnation = *workers_[static_cast<size_t>(index)].incarnation;
   if (!incarnation.alive()) return;
-  // What only it knew is forgotten.
+  // Ends that no leader has acknowledged are lost with the worker.
   incarnation.Advance(now_);
   for (const EndedTask& end : incarnation.unacknowledged_ends()) {
     if (end.end == RunEnd::kDone) done_.erase(end.task);
--- a/testing/support/site_simulation.h
+++ b/testing/support/site_simulation.h
@@ -1,5 +1,6 @@
-// A whole site on a virtual clock: schedulers, a store, workers and advice,
-// with faults drawn from a seed, judged from what the workers really ran.
+// Simulates a site on a virtual clock: schedulers, a store, workers and advice.
+// Faults are drawn from a seed. The simulation checks its invariants against
+// the runs that actually took place on the workers.
 //
 //   SiteSimulation site({.seed = 7, .lost_answers = 0.05});
 //   site.Submit(spec);
@@ -29,23 +30,25 @@
     int workers = 8;
     Resources capacity{16000, 65536, 0};
     double lost_answers = 0;  // Share of orders carried out but not answered.
-    double late_orders = 0;   // Share carried out 2 to 12 s later, unanswered.
+    // Share of orders carried out 2 to 12 s late and not answered.
+    double late_orders = 0;
     double failing_runs = 0.02;
-    // Of runs that last, which otherwise end with their worker or a stop: the
-    // share that fails, within 8 s.
+    // Share of long-running tasks' runs that fail, within 8 s. The others run
+    // until their worker ends or they are stopped.
     double failing_long_running_runs = 0.5;
-    // Share of the workers that the platform's list misses for 3 s when a
-    // leader begins.
+    // Share of workers that are missing from the platform's list for 3 s after
+    // a leader starts.
     double unlisted_workers = 0;
-    // Workers that tasks crash start again under the id that they had.
+    // Workers that were crashed by a task restart under the same worker ID.
     bool keep_id_after_crash = false;
-    bool advice = false;  // Half of the workers may run a step.
+    // Tasks need advice, which accepts half of the workers for each step.
+    bool advice = false;
     int max_attempts = 3;
     absl::Duration store_delay = absl::Milliseconds(5);
-    // Queues instead of the one that jobs otherwise go to.
+    // If not empty, replaces the default queue.
     std::vector<Queue> queues;
-    int nodes = 1;  // That can ask for advice.
-    // Work takes its estimate, give or take up to this share of it.
+    int nodes = 1;  // The number of advisers.
+    // The duration of a run differs from its estimate by up to this share.
     double estimate_error = 0.5;
     SchedulerPolicy policy;
   };
@@ -55,50 +58,60 @@
   explicit SiteSimulation(const Options& options);
 
   JobId Submit(JobSpec spec, const std::string& queue = kQueue);
-  // A job whose tasks crash each worker that starts them, soon after the start.
+  // Submits a job whose tasks crash each worker that starts them, soon after
+  // the start.
   JobId SubmitCrashing(JobSpec spec);
   void Cancel(JobId id);
-  // The leader's process is gone; another takes over after `pause`. Batches on
-  // their way land or do not, as the seed draws.
+  // Ends the leader's process, unless `keep_old_leader`; another leader takes
+  // over after `pause`. The seed decides whether batches in flight still reach
+  // the store.
   void ReplaceLeader(absl::Duration pause, bool keep_old_leader);
-  // Its process stands still, as a rule between what it decided and its orders;
-  // another takes over after `pause`. It goes on where it was after `frozen`,
-  // and hears then that it was replaced, or a little later.
+  // Suspends the leader's process, as a rule between a decision and the orders
+  // that follow from it; another leader takes over after `pause`. The process
+  // resumes where it was after `frozen`, and learns then or shortly afterwards
+  // that it was replaced.
   void FreezeLeader(absl::Duration pause, absl::Duration frozen);
+  // Crashes the worker. Its next incarnation starts after `down`, under a new
+  // worker ID.
   void CrashWorker(int index, absl::Duration down);
-  // The same, and the next life comes under the id that it had, at the same
-  // address: what is sent to the life before reaches it.
+  // Crashes the worker. Its next incarnation starts after `down`, under the
+  // same worker ID and address, so that orders sent to the previous incarnation
+  // reach it.
   void RestartWorker(int index, absl::Duration down);
-  // The worker says that it leaves, is gone after `drain` and answers nothing;
-  // its record lingers for 3 s. The next life comes after `down`.
+  // The worker reports that it is draining. It ends after `drain` and no longer
+  // answers; its record remains for 3 s. Its next incarnation starts after
+  // `down`.
   void DrainWorker(int index, absl::Duration drain, absl::Duration down);
-  // The worker has only this share of its capacity for a time, and says so with
-  // its next heartbeat.
+  // Reduces the worker to `share` of its capacity for `time`. The worker
+  // reports this with its next heartbeat.
   void ShrinkWorker(int index, double share, absl::Duration time);
-  // Nobody reaches the worker meanwhile; it runs on.
+  // Makes the worker unreachable for `time`; it continues to run.
   void CutWorker(int index, absl::Duration time);
   void StoreDown(absl::Duration time);
   void After(absl::Duration delay, std::function<void()> step);
   void Run(absl::Duration time);
 
-  // Jobs whose acceptance is durable and answered.
+  // Jobs whose acceptance is durable and has been confirmed to the client.
   const std::set<JobId>& accepted() const { return accepted_; }
   std::optional<JobState> StatusOf(JobId id) const;
-  // Broken promises, in words.
+  // Descriptions of violated invariants.
   const std::vector<std::string>& faults() const { return faults_; }
   const std::vector<SiteRun>& runs() const { return runs_; }
   size_t CountRunning(JobId id) const;
-  // From the job's submission to its end; none: it has not ended.
+  // Returns the time from the job's submission to its end, or nullopt if it has
+  // not ended.
   std::optional<absl::Duration> JobDuration(JobId id) const;
-  // Tasks of which as many runs failed as a job bears.
+  // Returns the tasks that have used up their attempts.
   std::vector<TaskId> ExhaustedTasks() const;
   bool LeaderActive() const { return current_ != nullptr; }
-  // The longest time for which a task that lasts did not run though a leader
-  // was at work and the worker that it was last sent to was in reach and
-  // stayed, and the longest at all.
+  // Returns the longest time for which a long-running task was down although
+  // there was a leader and the worker that it was last sent to was up,
+  // reachable and not draining.
   absl::Duration max_down_time_with_worker() const {
     return max_down_time_with_worker_;
   }
+  // Returns the longest time for which a long-running task was down while there
+  // was a leader.
   absl::Duration max_down_time() const { return max_down_time_; }
   JobScheduler* scheduler() {
     return current_ == nullptr ? nullptr : current_->scheduler.get();
@@ -120,16 +133,17 @@
   struct WorkerSlot {
     std::unique_ptr<SiteWorker> incarnation;
     std::string name;
-    int name_count = 0;  // That it has had.
+    int name_count = 0;  // The number of names used so far.
     int64_t start_time_ms = 0;
     absl::Time cut_until = absl::InfinitePast();
-    // The most that may run there: a capacity that has shrunk counts only once
-    // leaders had time to hear of it.
+    // The capacity that runs on the worker must not exceed. A reduced capacity
+    // counts only once leaders have had time to learn of it.
     Resources capacity_limit;
   };
-  // Of a task that lasts.
+  // How long a long-running task has been down.
   struct DownTime {
-    std::string worker;  // That it was last sent to.
+    std::string worker;  // The worker that it was last sent to.
+    // That worker has been up and reachable all the while.
     bool worker_stayed_up = true;
     absl::Duration time;
     absl::Duration with_worker;
@@ -150,10 +164,12 @@
   void Tick(const std::shared_ptr<Leader>& leader);
   void ExecuteActions(const std::shared_ptr<Leader>& leader);
   void Append(const std::shared_ptr<Leader>& leader);
-  // Under a new id, unless it starts again.
+  // Starts an incarnation under a new worker ID, or under the previous one if
+  // `keep_id` is set.
   void StartIncarnation(int index, bool keep_id = false);
   void EndIncarnation(int index, absl::Duration down, bool keep_id);
-  // The life that calls to `worker_id` reach: it, or a later one of that name.
+  // Returns the incarnation that calls to `worker_id` reach: that one or a
+  // later one under the same worker name.
   SiteWorker* FindReachableWorker(const std::string& worker_id, bool* cut);
   SiteWorker* FindWorker(const std::string& worker_id, bool* cut);
   void RecordRun(const SiteRun& run, bool begins);
@@ -165,11 +181,11 @@
   void AdvanceWorkers();
   void RecordEndedJobs();
   void RecordDownTime();
-  // Again and again until all leaders before `leader` are dead. One that was
-  // frozen hears of `leader` when it wakes, and ends; one that never froze is
-  // told nothing.
+  // Asks the leaders before `leader` periodically until all of them are dead. A
+  // frozen leader ends when it resumes and learns of `leader`; a leader that
+  // never froze is not notified.
   void PollEarlierLeaders(const std::shared_ptr<Leader>& leader);
-  // Has `step` done by the leader once it is not frozen, unless it is dead.
+  // Runs `step` as soon as the leader is not frozen, unless the leader is dead.
   void RunOnLeader(const std::shared_ptr<Leader>& leader,
                    const std::function<void()>& step);
   SiteRunPlan MakeRunPlan(const StartOrder& order);
@@ -189,23 +205,25 @@
   int64_t store_epoch_ = 0;
   absl::Time store_down_until_ = absl::InfinitePast();
   std::shared_ptr<Leader> current_;
-  std::vector<std::shared_ptr<Leader>> leaders_;      // All, by epoch.
-  std::map<int64_t, absl::Time> leader_start_times_;  // By epoch: since when.
+  std::vector<std::shared_ptr<Leader>> leaders_;      // All, ordered by epoch.
+  std::map<int64_t, absl::Time> leader_start_times_;  // Start time by epoch.
   std::vector<WorkerSlot> workers_;
-  // Lives that ended, and whose worker starts again: calls to it get no answer
-  // until it does.
+  // Ended incarnations whose worker restarts under the same worker ID. Calls to
+  // the worker get no answer until it has restarted.
   std::set<std::string> restarting_;
   std::map<JobId, JobFacts> jobs_;
   std::set<JobId> accepted_;
   std::shared_ptr<SiteConfiguration> configuration_;
   std::vector<SiteRun> runs_;
-  std::map<TaskId, std::set<int32_t>> failed_;  // Of a gang: at its index 0.
+  // Failed runs by task; those of a gang are counted at its index 0.
+  std::map<TaskId, std::set<int32_t>> failed_;
   struct Crashes {
-    int workers = 0;       // That crashed under it.
-    int starts_after = 0;  // After the last of them that counts.
+    int workers = 0;       // Workers that the task crashed.
+    int starts_after = 0;  // Starts after `kExcusedCrashes` of these crashes.
   };
-  std::map<TaskId, Crashes> crashes_;  // Of tasks that crash their workers.
-  std::set<TaskId> done_;  // But for ends that died with their worker.
+  std::map<TaskId, Crashes> crashes_;  // By task of a crashing job.
+  // Tasks that are done, except for those whose end was lost with their worker.
+  std::set<TaskId> done_;
   std::set<TaskId> ever_done_;
   std::map<std::pair<TaskId, int32_t>, absl::Time> gang_done_at_;
   std::map<TaskId, DownTime> long_running_tasks_;
--- a/testing/support/site_soak.cc
+++ b/testing/support/site_soak.cc
@@ -19,10 +19,13 @@
 namespace keelbridge::testing {
 namespace {
 
-// One waits for a node that does not answer while the others go on.
+// Several clients, so that some continue while others wait for a node that does
+// not answer.
 constexpr uint64_t kClients = 6;
-constexpr absl::Duration kSubmitInterval = absl::Milliseconds(720);  // Each.
-// After the last trouble, so that a change that is never heard of is seen.
+// The submission interval of each client.
+constexpr absl::Duration kSubmitInterval = absl::Milliseconds(720);
+// How long after the deadline for the newest configuration nodes are still
+// watched, so that a node that never learns of it is detected.
 constexpr absl::Duration kMonitorMargin = absl::Seconds(1);
 
 constexpr absl::Duration kPollInterval = absl::Milliseconds(50);
@@ -73,7 +76,8 @@
     return out;
   }
 
-  // Submits and cancels jobs through nodes in turn; each caller has own ids.
+  // Submits and cancels jobs through random nodes. Each client uses job IDs of
+  // its own.
   void RunClient(uint64_t client) {
     std::mt19937_64 random(options_.seed + 1 + client * 1000003);
     absl::SleepFor(kSubmitInterval * client / kClients);
@@ -112,7 +116,7 @@
     if (status == 410 || status == 404)
       record_.Fault(absl::StrCat("LOST: job ", JobIdText(job), " is answered ",
                                  status, " by node ", node,
-                                 " when it is cancelled"));
+                                 " to a cancellation"));
   }
 
   static bool HasExpectedState(const SoakJob& known, const std::string& state) {
@@ -120,8 +124,8 @@
     return state == "completed" || (known.cancel_sent && state == "cancelled");
   }
 
-  // Everything that was accepted must be completed, but for what crashes its
-  // workers, and nothing else may run.
+  // Checks that each accepted job ends in time and as expected: crashing jobs
+  // fail, cancelled jobs are cancelled or completed, and all others complete.
   void Settle() {
     const absl::Time until = absl::Now() + options_.settle;
     for (const auto& [job, known] : jobs_.All()) {
@@ -173,6 +177,7 @@
           known.refused && !known.accepted && !known.unknown;
       report_.refused += only_refused ? 1 : 0;
       report_.unknown += known.unknown ? 1 : 0;
+      // No job may run that was refused and never accepted.
       if (only_refused && ran.count(job) > 0)
         report_.faults.push_back(
             absl::StrCat("REFUSED: job ", JobIdText(job), " ran"));
--- a/testing/support/site_test_cluster.cc
+++ b/testing/support/site_test_cluster.cc
@@ -26,31 +26,32 @@
 
 constexpr absl::Duration kAwaitTimeout = absl::Seconds(20);
 constexpr absl::Duration kPollInterval = absl::Milliseconds(50);
-// Nodes end a connection that is idle for 15 s.
+// Less than the 15 s after which nodes close an idle connection.
 constexpr absl::Duration kClientIdle = absl::Seconds(10);
-// Nodes listen on x.x.x.10 and on. Where nodes reach the first one before they
-// have heard of any is x.x.x.9, by a proxy, so that a node that cannot be
-// reached is not reached this way either.
+// Nodes listen on x.x.x.10 and the following addresses. The seed address
+// x.x.x.9 leads to the first node through a proxy, so that a node that is cut
+// off by its peer proxy cannot be reached through the seed address either.
 constexpr int kSeedHost = 9;
 constexpr int kFirstHost = 10;
-// Of each node.
+// The ports of each node.
 constexpr int kPeerPort = 7580;
 constexpr int kClientPort = 7581;
 constexpr int kReadyPort = 7582;
 constexpr int kMetricsPort = 7583;
-constexpr int kPrintedLogLines =
-    3;  // Of each node's log, when a cell is not ready.
+// Lines of each node's log that are printed if the cluster is not ready.
+constexpr int kPrintedLogLines = 3;
 
-// Hosts of a cell's own. A port that is free when it is chosen may be taken
-// before a node listens on it, by another cell or by any connection that is
-// opened meanwhile; here nobody else opens any.
+// Returns the prefix of loopback addresses that only this test cluster uses. On
+// a shared address, a port that is free when it is chosen may be taken before
+// the node listens on it, by another test cluster or as the local port of a new
+// connection.
 std::string UniqueSubnet() {
   static std::atomic<uint32_t> clusters{0};
   constexpr uint32_t kClustersPerProcess = 8;
   const uint32_t cluster =
       static_cast<uint32_t>(::getpid()) * kClustersPerProcess +
       clusters++ % kClustersPerProcess;
-  // 127.0 to 127.15 are left to all others.
+  // 127.0 to 127.15 are left to other programs.
   return absl::StrCat("127.", 16 + cluster / 256 % 240, ".", cluster % 256,
                       ".");
 }
@@ -124,7 +125,7 @@
 SiteTestCluster::~SiteTestCluster() {
   nodes_.clear();
   for (const int pipe : log_pipes_) ::close(pipe);
-  // The loop first: what waits in it refers to the platform.
+  // Stop the loop first: its pending handlers refer to the platform.
   loop_.stop();
   thread_.join();
   store_proxies_.clear();
@@ -150,7 +151,7 @@
                             : platform_->store_address();
   settings["store"] = store.ToString();
   settings["advice"] = platform_->advice_address().ToString();
-  // The first node needs no other way to itself.
+  // The first node does not need the proxy to reach itself.
   const std::string seed =
       options_.proxies && index > 0 ? Host(kSeedHost) : HostOf(0);
   settings["seeds"].append(seed + ":1");
--- a/testing/support/site_test_cluster.h
+++ b/testing/support/site_test_cluster.h
@@ -1,10 +1,10 @@
-// A small site of real processes on loopback: nodes of this build, the platform
-// stand-in in a thread of the test, and a client.
+// A test cluster of real processes on loopback addresses: nodes of this build,
+// the fake platform in a thread of the test, and a client.
 //
-//   SiteTestCluster cell({.nodes = 3});
-//   REQUIRE(cell.AwaitReady(3));
-//   CHECK(cell.SubmitAnywhere(1, SiteTestCluster::OneStepJob(2, 300)));
-//   CHECK(cell.AwaitState(1, "completed"));
+//   SiteTestCluster cluster({.nodes = 3});
+//   REQUIRE(cluster.AwaitReady(3));
+//   CHECK(cluster.SubmitAnywhere(1, SiteTestCluster::OneStepJob(2, 300)));
+//   CHECK(cluster.AwaitState(1, "completed"));
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SITE_TEST_CLUSTER_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SITE_TEST_CLUSTER_H_
@@ -28,9 +28,11 @@
  public:
   struct Options {
     int nodes = 3;
-    bool proxies = false;  // Before the store of each node, each worker, and
-                           // each node as its peers reach it.
-    bool blocked_logs = false;  // Nobody reads what the nodes write.
+    // Puts a proxy between each node and the store, in front of each worker,
+    // and in front of each node for calls from its peers.
+    bool proxies = false;
+    // The nodes write their logs to pipes that nobody reads.
+    bool blocked_logs = false;
     SitePlatform::Options platform;
   };
 
@@ -45,54 +47,62 @@
   bool Alive(int index) const {
     return nodes_[Index(index)].process != nullptr;
   }
-  // The node that leads, by its metrics; -1: none says so.
+  // Returns the node that leads according to its own metrics, or -1 if no node
+  // reports that it leads.
   int Leader();
   int64_t DroppedLogLines(int index);
-  // The version that a node says is in force; -1: it does not answer.
+  // Returns the configuration version that the node reports as in force, or -1
+  // if the node does not answer.
   int64_t ConfigurationVersion(int index);
 
   bool Ready(int index);
   bool AwaitReady(int count);
 
-  // A client's call at one node.
+  // Sends a client call about a job to one node.
   HttpOutcome Call(int index, const std::string& method, uint64_t job,
                    const std::string& body = "");
-  // Tries nodes in turn until one accepts; false when time runs out.
+  // Tries the nodes in turn until one accepts the job. Returns false on
+  // timeout.
   bool SubmitAnywhere(uint64_t job, const std::string& body);
-  // The state as any node tells it; empty when none does.
+  // Returns the job's state as reported by the first node that knows it, or an
+  // empty string if no node does.
   std::string State(uint64_t job);
   bool AwaitState(uint64_t job, const std::string& state,
                   absl::Duration max_wait = absl::Seconds(20));
-  // A further client of a node, whose connections stay open while it is idle.
+  // Returns a further client of a node. Its connections stay open while they
+  // are idle, for up to 10 s.
   std::unique_ptr<HttpClient> NewClient(int index) const;
   HttpOutcome SendRequest(int index, const HttpRequest& request,
                           absl::Duration timeout = absl::Seconds(3));
 
-  // With `proxies`: harms what passes.
+  // Set how the proxies treat traffic. They require `Options::proxies`.
   void SetStoreProxy(int node, FaultProxy::Mode mode);
   void SetWorkerProxy(int worker, FaultProxy::Mode mode);
   void SetPeerProxy(int node, FaultProxy::Mode mode);
   void HealStoreProxyWithoutReset(int node);
   void HealPeerProxyWithoutReset(int node);
-  // The connections that are open now go silent for good, new ones pass: those
-  // of `node` to the store and of its peers to it; all, also those to workers.
+  // Drops, for good, all data on the connections that are open now between
+  // `node` and the store and from its peers to `node`. They are not closed, and
+  // new connections work.
   void SilenceOpenConnectionsOf(int node);
+  // Does the same to all open connections, including those to workers.
   void SilenceAllOpenConnections();
-  // Of all that the store answers a node; see `FaultProxy`.
+  // Limits the rate of the store's replies to a node; see `FaultProxy`.
   void SetStoreLink(int node, double bytes_per_second);
   int ZoneOf(int node) const { return node % kZones; }
   static constexpr int kZones = 3;
 
-  // Runs `step` on the platform's thread and waits for it.
+  // Runs `step` on the platform's thread and waits until it is done.
   void WithPlatform(const std::function<void(SitePlatform&)>& step);
   std::vector<std::string> Faults();
   size_t RunCount();
   const std::string& directory() const { return directory_; }
 
-  // Bodies of jobs.
+  // Return request bodies that submit a job with one step, with a gang step
+  // followed by a step of one task, and with tasks that crash each worker that
+  // starts them.
   static std::string OneStepJob(int tasks, int work_ms, int cpu = 2000);
   static std::string GangThenOneTaskJob(int members);
-  // Tasks that crash each worker that starts them.
   static std::string CrashingTasksJob(int tasks);
 
  private:
@@ -103,23 +113,24 @@
     std::string peer_address;
     std::string metrics_address;
     std::string settings_path;
-    // Callers keep their connections to a node as long as it does.
+    // Client whose connections stay open until the node closes them.
     std::unique_ptr<HttpClient> persistent_client;
   };
-  // The address of a host of this cell, and of the one that a node runs on.
+  // Return the IP address of a host of this cluster, and of a node's host.
   std::string Host(int number) const;
   std::string HostOf(int node) const;
-  // What each node last logged, on standard error.
+  // Prints the last log lines of each node to standard error.
   void PrintNodeStates();
   size_t Index(int index) const { return static_cast<size_t>(index); }
-  // A gauge of a node's metrics, by its whole name; -1: none.
+  // Returns the value of the metric with exactly this name on a node, or -1 if
+  // it is not available.
   int64_t Gauge(int index, const std::string& name);
   void WriteSettings(int index);
   void AddPeerProxy(const std::string& ip);
   void AddSeedProxy();
 
   const Options options_;
-  const std::string subnet_;  // The first three numbers of its hosts.
+  const std::string subnet_;  // The first three octets of the IP addresses.
   std::string directory_;
   boost::asio::io_context loop_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
@@ -130,7 +141,7 @@
   std::vector<std::unique_ptr<FaultProxy>> peer_proxies_;   // By node.
   std::unique_ptr<FaultProxy> seed_proxy_;
   std::vector<Node> nodes_;
-  std::vector<int> log_pipes_;  // Held open, never read.
+  std::vector<int> log_pipes_;  // Log pipes, kept open and never read.
 };
 
 }  // namespace keelbridge::testing
--- a/testing/support/soak_fault_injector.cc
+++ b/testing/support/soak_fault_injector.cc
@@ -15,7 +15,8 @@
 constexpr absl::Duration kFaultDuration = absl::Seconds(3);
 constexpr absl::Duration kMinDuration = absl::Seconds(1);
 constexpr absl::Duration kMaxDuration = absl::Seconds(5);
-// Into a trouble that hides a change, the change is written.
+// A new configuration that a fault hides is written this long after the fault
+// began.
 constexpr absl::Duration kChangeDelay = absl::Milliseconds(400);
 constexpr absl::Duration kMissedChangeTime = absl::Seconds(1);
 constexpr double kRemainingCapacityShare = 0.33;
@@ -24,14 +25,14 @@
 constexpr double kLostAppendReplyShare = 0.4;
 constexpr double kLostOrderReplyShare = 0.3;
 constexpr double kLateOrderShare = 0.05;
-// Of the time of other troubles, a worker is down for.
+// A restarting worker is down for this share of the duration of other faults.
 constexpr double kRestartDownShare = 0.3;
 constexpr int kRestartsInSeries = 3;
 constexpr absl::Duration kRestartInterval = absl::Milliseconds(150);
 
 struct KindRange {
   FaultKind first;
-  FaultKind end;  // Not one of them.
+  FaultKind end;  // Not included.
 };
 
 KindRange RangeOf(SoakFaultSet kinds) {
@@ -53,7 +54,8 @@
     case SoakFaultSet::kAll:
       break;
   }
-  // What late orders break is known and listed: those have a kind of their own.
+  // Late orders cause known failures, so they are drawn only by a set of their
+  // own.
   return {FaultKind::kKillNode, FaultKind::kFifthKindsEnd};
 }
 
@@ -143,7 +145,7 @@
     case FaultKind::kStoreFault:
       return StoreFault(fault_threads);
     case FaultKind::kLostOrders:
-      record_.RecordEvent("orders to workers get no answer");
+      record_.RecordEvent("replies to orders to workers are lost");
       SetLostOrders(kLostOrderReplyShare);
       return RunAfter(fault_threads, kFaultDuration,
                       [this] { SetLostOrders(0); });
@@ -246,14 +248,15 @@
 }
 
 void SoakFaultInjector::RestartWorker(int worker, absl::Duration down) {
-  record_.RecordEvent(absl::StrCat("worker ", worker, " starts again after ",
+  record_.RecordEvent(absl::StrCat("worker ", worker, " restarts after ",
                                    absl::ToInt64Milliseconds(down), " ms"));
   cluster_.WithPlatform([worker, down](SitePlatform& platform) {
     platform.RestartWorker(worker, down);
   });
 }
 
-// The first one again, soon after it is back.
+// Restarts workers one after the other, and then the first one a second time,
+// soon after it is back.
 void SoakFaultInjector::RestartInSeries(int first, absl::Duration down) {
   for (int i = 0; i < std::min(kRestartsInSeries, options_.workers); ++i) {
     RestartWorker((first + i) % options_.workers, down);
@@ -265,7 +268,7 @@
 
 void SoakFaultInjector::SetLateOrders(double share) {
   record_.RecordEvent(
-      absl::StrCat("a share of ", share, " of orders comes late"));
+      absl::StrCat("a share of ", share, " of orders arrives late"));
   cluster_.WithPlatform(
       [share](SitePlatform& platform) { platform.SetLateOrders(share); });
 }
@@ -284,7 +287,7 @@
 }
 
 void SoakFaultInjector::ShrinkWorker(int worker, absl::Duration time) {
-  record_.RecordEvent(absl::StrCat("worker ", worker, " shrinks for ",
+  record_.RecordEvent(absl::StrCat("worker ", worker, " loses capacity for ",
                                    absl::ToInt64Milliseconds(time), " ms"));
   cluster_.WithPlatform([worker, time](SitePlatform& platform) {
     platform.ShrinkWorker(worker, kRemainingCapacityShare, time);
@@ -325,7 +328,8 @@
   return others;
 }
 
-// Troubles of one node wait for each other: a series is played in turn.
+// Restarts and pauses of one node are serialized, so that a series of them
+// takes place one after the other.
 void SoakFaultInjector::Restart(int node, int signal, const char* what,
                                 FaultThreads* fault_threads) {
   record_.RecordEvent(absl::StrCat(what, " node ", node));
@@ -372,7 +376,7 @@
                                         FaultThreads* fault_threads) {
   for (const int node : nodes) {
     record_.RecordEvent(
-        absl::StrCat(what, " on the way of peers to node ", node));
+        absl::StrCat(what, " on the path from peers to node ", node));
     node_disturbances_.Disturb(node);
     cluster_.SetPeerProxy(node, mode);
   }
@@ -396,9 +400,10 @@
 
 void SoakFaultInjector::SilenceStorePath(int node, absl::Duration time,
                                          FaultThreads* fault_threads) {
-  record_.RecordEvent(absl::StrCat("silence between node ", node,
-                                   " and the store, healed quietly after ",
-                                   absl::ToInt64Milliseconds(time), " ms"));
+  record_.RecordEvent(
+      absl::StrCat("silence between node ", node,
+                   " and the store, ended without a reset after ",
+                   absl::ToInt64Milliseconds(time), " ms"));
   node_disturbances_.Disturb(node);
   cluster_.SetStoreProxy(node, Mode::kDropAll);
   RunAfter(fault_threads, time, [this, node] {
@@ -409,8 +414,8 @@
 
 void SoakFaultInjector::SilencePeerPath(int node, absl::Duration time,
                                         FaultThreads* fault_threads) {
-  record_.RecordEvent(absl::StrCat("silence on the way of peers to node ", node,
-                                   ", healed quietly after ",
+  record_.RecordEvent(absl::StrCat("silence on the path from peers to node ",
+                                   node, ", ended without a reset after ",
                                    absl::ToInt64Milliseconds(time), " ms"));
   node_disturbances_.Disturb(node);
   cluster_.SetPeerProxy(node, Mode::kDropAll);
@@ -427,9 +432,9 @@
   faults.unresponsive = draw == 1;
   faults.lost_answers = draw == 2 ? kLostAppendReplyShare : 0;
   record_.RecordEvent(draw == 0   ? "the store is down"
-                      : draw == 1 ? "the store is silent"
-                                  : "answers of the store are lost");
-  // Reads are answered while answers of appends are lost.
+                      : draw == 1 ? "the store does not answer"
+                                  : "replies of the store to appends are lost");
+  // While the replies to appends are lost, reads are still answered.
   const bool disturbs = faults.down || faults.unresponsive;
   if (disturbs) node_disturbances_.DisturbAll();
   SetStoreFaults(faults);
@@ -449,7 +454,8 @@
       [share](SitePlatform& platform) { platform.SetLostOrders(share); });
 }
 
-// No node is disturbed by this: the store answers every other call.
+// This does not count as a disturbance of the nodes, since the store answers
+// all other calls.
 void SoakFaultInjector::UnansweredPolls(absl::Duration time,
                                         FaultThreads* fault_threads) {
   record_.RecordEvent(absl::StrCat("polls get no answer for ",
@@ -462,7 +468,8 @@
 }
 
 void SoakFaultInjector::PollsMissChange(FaultThreads* fault_threads) {
-  record_.RecordEvent("polls hear nothing of a change, and are cut");
+  record_.RecordEvent(
+      "polls do not receive a change and are then disconnected");
   SiteStore::Faults faults;
   faults.drop_poll_responses = true;
   SetStoreFaults(faults);
@@ -476,7 +483,7 @@
 
 void SoakFaultInjector::LateAppends(absl::Duration time,
                                     FaultThreads* fault_threads) {
-  record_.RecordEvent(absl::StrCat("appends are done late for ",
+  record_.RecordEvent(absl::StrCat("appends take effect late for ",
                                    absl::ToInt64Milliseconds(time), " ms"));
   SiteStore::Faults faults;
   faults.late_appends = kLateAppendShare;
@@ -484,8 +491,8 @@
   RunAfter(fault_threads, time, [this] { SetStoreFaults({}); });
 }
 
-// `node` does not reach the store while the operator writes a change, nor does
-// a part of the others.
+// Neither `node` nor a random part of the other nodes can reach the store while
+// the operator writes a change.
 void SoakFaultInjector::ChangeDuringSilence(int node, bool drop_history,
                                             absl::Duration time,
                                             FaultThreads* fault_threads) {
@@ -496,17 +503,17 @@
   RunAfter(fault_threads, kChangeDelay, [this, drop_history] {
     NewConfiguration();
     if (!drop_history) return;
-    record_.RecordEvent("the store forgets its history");
+    record_.RecordEvent("the store drops its history");
     cluster_.WithPlatform(
         [](SitePlatform& platform) { platform.store().DropAllHistory(); });
   });
 }
 
-// Like a reset: in touch again from this moment on.
+// Ends at once, like a reset: the node counts as undisturbed from then on.
 void SoakFaultInjector::SilenceNodeConnections(int node) {
   record_.RecordEvent(
-      absl::StrCat("what is open to the store and of peers goes ",
-                   "silent for good: node ", node));
+      absl::StrCat("open connections to the store and from peers ",
+                   "drop all data for good: node ", node));
   node_disturbances_.Disturb(node);
   cluster_.SilenceOpenConnectionsOf(node);
   node_disturbances_.Restore(node);
@@ -514,7 +521,7 @@
 
 void SoakFaultInjector::SilenceAllConnections() {
   record_.RecordEvent(
-      "what is open goes silent for good: all ways of all nodes");
+      "all open connections of all nodes drop all data for good");
   node_disturbances_.DisturbAll();
   cluster_.SilenceAllOpenConnections();
   node_disturbances_.RestoreAll();
--- a/testing/support/soak_fault_injector.h
+++ b/testing/support/soak_fault_injector.h
@@ -1,8 +1,9 @@
-// The troubles of a soak: drawn from its seed, in series and over each other,
-// and what they do to the site.
+// Injects the faults of a soak test. They are drawn from its seed, come in
+// series, and overlap.
 //
-//   SoakFaultInjector troubles(cell, touch, configurations, record, options);
-//   troubles.Play();  // Takes about `options.length`.
+//   SoakFaultInjector injector(cluster, node_disturbances, configurations,
+//                              jobs, record, options);
+//   injector.InjectFaults();  // Takes about `options.length`.
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_FAULT_INJECTOR_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SOAK_FAULT_INJECTOR_H_
@@ -22,95 +23,100 @@
 
 namespace keelbridge::testing {
 
-// Each lasts about 3 s, but for those that are over at once and those of which
-// something else is said.
+// The kinds of faults. Unless stated otherwise, a fault lasts about 3 s or ends
+// at once. Each `SoakFaultSet` is a range of these values. The order and the
+// ranges are fixed, so that a seed that failed draws the same faults again.
 enum class FaultKind {
   kKillNode,
   kStopNode,
   kPauseNode,
-  kStoreSilent,  // Between one node and the store, as the next three.
+  kStoreSilent,  // This and the next three: between one node and the store.
   kStoreReset,
   kStoreOneWay,
   kStoreSlow,
-  kPeersSilent,  // One node cannot be reached by the others, as the next two.
+  kPeersSilent,  // This and the next two: from the other nodes to one node.
   kPeersReset,
   kPeersOneWay,
-  kZoneCut,  // The nodes of a zone lose the store, and the others them.
+  kZoneCut,  // The zone's nodes lose the store, and others cannot reach them.
   kWorkerCrash,
   kWorkerSilent,
-  kStoreFault,  // The store itself: down, silent, or losing answers.
-  kLostOrders,  // Workers carry orders out and do not answer.
+  kStoreFault,  // The store is down, does not answer, or loses replies.
+  kLostOrders,  // Workers carry out orders but do not answer.
   kRollingStop,
   kKillAll,
   kNewConfiguration,
-  kFirstKindsEnd,  // So many were there when the first failing seeds were
-                   // drawn.
-
-  // These last 1 to 5 s. What is silent heals quietly: no connection ends, and
-  // those on which something was dropped say nothing more.
-  kUnansweredPolls =
-      kFirstKindsEnd,  // A change is written; polls get no answer.
-  kPollsMissChange,    // Polls hear nothing of a change for a second, then are
-                       // cut.
-  kChangeDuringSilence,  // Some nodes do not reach the store when it changes.
-  kDroppedHistory,       // The same, and the store forgets its history.
-  kStorePathSilent,      // Between one node and the store.
-  kLateAppends,          // Done seconds after their answer was lost.
+  kFirstKindsEnd,  // The end of `SoakFaultSet::kFirst`.
+
+  // The following kinds last 1 to 5 s. When a silence ends, no connection is
+  // closed: a connection on which data was dropped never transfers data again.
+
+  // Polls get no answer while a change is written.
+  kUnansweredPolls = kFirstKindsEnd,
+  // Polls do not receive a change for 1 s and are then disconnected.
+  kPollsMissChange,
+  kChangeDuringSilence,  // Some nodes cannot reach the store during a change.
+  kDroppedHistory,       // The same, and the store drops its history.
+  kStorePathSilent,      // One node cannot reach the store.
+  kLateAppends,  // Appends take effect seconds after their reply was lost.
   kLeaderPaused,
-  kLeaderCut,    // No store for the leader, and no peer reaches it.
-  kAllPeersCut,  // The same, and it reaches no peer: no peer reaches another.
-  kSecondKindsEnd,  // So many were there when the next failing seeds were
-                    // drawn.
-
-  // What is open goes silent for good, without an end; new connections pass.
-  // Like a reset, it is over at once.
-  kNodeConnectionsSilent =
-      kSecondKindsEnd,    // One node's ways to the store and of peers.
-  kAllConnectionsSilent,  // All ways of all nodes, to workers too.
-  kChangeAfterAllSilent,  // The same, and soon a change is written.
-  kThirdKindsEnd,  // So many were there when the next failing seeds were drawn.
-
-  kCrashingJob =
-      kThirdKindsEnd,       // Its tasks crash each worker that starts them.
-  kWorkerShrinks,           // To a third, for 1 to 5 s and three more.
-  kCrashesAndLeaderKilled,  // A crashing job, and soon the leader is killed.
-  kCrashesAndAllPaused,     // The same, and all nodes stand still for a while.
-  kFourthKindsEnd,  // So many were there when the next failing seeds were
-                    // drawn.
-
-  // Workers start again under the ids that they had: one, three in turn and the
-  // first again, the same with the leader killed in between, and with all nodes
-  // and workers losing power.
+  kLeaderCut,       // The leader cannot reach the store, nor peers the leader.
+  kAllPeersCut,     // The same, and no peer can reach any other.
+  kSecondKindsEnd,  // The end of `SoakFaultSet::kLater`.
+
+  // All data on the connections that are open is dropped for good, without
+  // closing them; new connections work. Such a fault ends at once, like a
+  // reset.
+
+  // Connections from one node to the store and from its peers.
+  kNodeConnectionsSilent = kSecondKindsEnd,
+  kAllConnectionsSilent,  // All nodes, including those to workers.
+  kChangeAfterAllSilent,  // The same, soon followed by a change.
+  kThirdKindsEnd,         // The end of `SoakFaultSet::kSilences`.
+
+  // A job whose tasks crash each worker that starts them.
+  kCrashingJob = kThirdKindsEnd,
+  kWorkerShrinks,           // To a third of its capacity, for 4 to 8 s.
+  kCrashesAndLeaderKilled,  // A crashing job; soon after, the leader is killed.
+  kCrashesAndAllPaused,     // A crashing job, and all nodes are paused.
+  kFourthKindsEnd,          // The end of `SoakFaultSet::kWorkers`.
+
+  // Workers restart under the same worker IDs: one worker; three workers in
+  // turn and then the first again; the same, and the leader is killed; all
+  // workers, and all nodes are killed.
   kWorkerRestarts = kFourthKindsEnd,
   kWorkersRestartInSeries,
   kRestartsAndLeaderKilled,
   kPowerLoss,
-  kFifthKindsEnd,
+  kFifthKindsEnd,  // The end of `SoakFaultSet::kRestarts`.
 
-  // Three in turn as well, and orders are carried out late.
+  // Three workers in turn and the first again, while orders are carried out
+  // late.
   kRestartsAndLateOrders = kFifthKindsEnd,
   kCount,
 };
 
 class SoakFaultInjector {
  public:
-  // What is passed must outlive this.
+  // The referenced objects must outlive this one.
   SoakFaultInjector(SiteTestCluster& cluster,
                     NodeDisturbances& node_disturbances,
                     ConfigurationCheck& configurations, SoakJobs& jobs,
                     SoakRecord& record, const SoakOptions& options);
 
-  // Returns once all troubles are over.
+  // Injects faults over `options.length` and returns once all have ended.
   void InjectFaults();
 
  private:
-  using FaultThreads = std::vector<std::thread>;  // Troubles that are not over.
+  // Threads of faults that have not ended.
+  using FaultThreads = std::vector<std::thread>;
 
+  // Each of these begins faults of one or more ranges of kinds.
   void BeginFirstKinds(FaultKind kind, int node, int worker,
                        FaultThreads* fault_threads);
   void BeginLaterKinds(FaultKind kind, int node, FaultThreads* fault_threads);
   void BeginWorkerKinds(FaultKind kind, int node, int worker,
                         FaultThreads* fault_threads);
+  // Runs `step` after `delay` on a new thread in `fault_threads`.
   static void RunAfter(FaultThreads* fault_threads, absl::Duration delay,
                        std::function<void()> step);
 
@@ -147,7 +153,8 @@
   void SetLateOrders(double share);
 
   std::vector<int> OtherNodes(int node) const;
-  // The node that leads; `otherwise` when none says so.
+  // Returns the node that leads, or `fallback` if no node reports that it
+  // does.
   int LeaderOr(int fallback);
   FaultKind DrawFaultKind();
   absl::Duration DrawDuration();
--- a/testing/support/soak_jobs.cc
+++ b/testing/support/soak_jobs.cc
@@ -8,12 +8,12 @@
 namespace keelbridge::testing {
 namespace {
 
-// This many of the jobs that were accepted last count as accepted lately.
+// The number of jobs that count as recently accepted.
 constexpr size_t kRecentJobs = 12;
 constexpr size_t kNewestJobs = 3;
-// One draw in this many is among all jobs.
+// One in this many draws chooses among all jobs.
 constexpr uint64_t kAllJobsDrawPeriod = 3;
-// Nodes keep a job for 120 s after its end; none is asked for that long.
+// Less than the 120 s for which nodes keep a job after its end.
 constexpr absl::Duration kJobRetention = absl::Seconds(110);
 
 }  // namespace
--- a/testing/support/soak_jobs.h
+++ b/testing/support/soak_jobs.h
@@ -1,8 +1,8 @@
-// What the callers of a soak know of their jobs. Thread-safe.
+// Records what the clients of a soak test know about their jobs. Thread-safe.
 //
 //   SoakJobs jobs;
 //   jobs.Accepted(7);
-//   std::optional<uint64_t> job = jobs.Draw(random);  // To be asked for.
+//   std::optional<uint64_t> job = jobs.Draw(random);
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_JOBS_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SOAK_JOBS_H_
@@ -20,10 +20,10 @@
 
 struct SoakJob {
   bool accepted = false;
-  bool refused = false;  // An answer said that it was not taken.
-  bool unknown = false;  // A call for it had no certain answer.
+  bool refused = false;  // A reply said that the job was not accepted.
+  bool unknown = false;  // The outcome of a submission is not known.
   bool cancel_sent = false;
-  bool crashes = false;  // Its tasks crash each worker that starts them.
+  bool crashes = false;  // The tasks crash each worker that starts them.
   absl::Time accepted_at = absl::InfiniteFuture();
 };
 
@@ -32,17 +32,21 @@
   void RecordAccepted(uint64_t job);
   void RecordRefused(uint64_t job);
   void RecordUnknown(uint64_t job);
-  // The job's tasks will crash their workers. Call before it is handed in.
+  // Records that the job's tasks crash their workers. Must be called before the
+  // job is submitted.
   void RecordCrashing(uint64_t job);
-  // False when the job is not known to be accepted.
+  // Records that a cancellation is about to be sent. Returns false, without
+  // effect, if the job is not known to be accepted.
   bool BeginCancel(uint64_t job);
 
-  // An accepted job that nobody cancelled, most often one that was accepted
-  // lately: those are the ones that a node may not have heard of.
+  // Returns a random accepted job that was not cancelled, mostly a recently
+  // accepted one, since a node is more likely not to know of those.
   std::optional<uint64_t> Draw(std::mt19937_64& random) const;
-  // The same, among the last few.
+  // Returns a random one of the last few accepted jobs, unless it was
+  // cancelled.
   std::optional<uint64_t> DrawNewest(std::mt19937_64& random) const;
-  // Accepted, not cancelled, and not so old that it may be forgotten.
+  // Returns whether each node must know the job: it was accepted, was not
+  // cancelled, and is not old enough for nodes to have removed it.
   bool MustBeKnown(uint64_t job) const;
   SoakJob Get(uint64_t job) const;
   std::map<uint64_t, SoakJob> All() const;
@@ -53,7 +57,7 @@
 
   mutable std::mutex mutex_;
   std::map<uint64_t, SoakJob> jobs_;
-  std::vector<uint64_t> accepted_;  // In the order of their acceptance.
+  std::vector<uint64_t> accepted_;  // In the order of acceptance.
 };
 
 }  // namespace keelbridge::testing
--- a/testing/support/soak_monitor.cc
+++ b/testing/support/soak_monitor.cc
@@ -9,13 +9,13 @@
 
 namespace keelbridge::testing {
 
-// Who asks one node for jobs. Each has a connection of its own: a node that
-// goes on after a pause answers first what came by connections that were open
-// before.
+// How a client queries one node about jobs. Each client has its own connection,
+// because a node that resumes after a pause first answers calls on connections
+// that were open before.
 struct JobClientOptions {
-  absl::Duration timeout;  // For one answer.
-  absl::Duration pause;    // Between two calls, at most.
-  bool newest = false;     // Asks only for the last jobs that were accepted.
+  absl::Duration timeout;  // Timeout of a call.
+  absl::Duration pause;    // Maximum pause between two calls.
+  bool newest = false;     // Queries only the last few accepted jobs.
 };
 
 namespace {
@@ -26,7 +26,8 @@
     {absl::Milliseconds(1300), kCheckInterval},
     {absl::Seconds(4), kCheckInterval},
 };
-// Most likely idle when a pause begins, and calling before it ends.
+// Such clients are most likely idle when a pause of the node begins, and send a
+// call before it ends.
 constexpr JobClientOptions kInfrequentClient = {absl::Seconds(4),
                                                 absl::Seconds(4), true};
 constexpr int kInfrequentClientCount = 10;
@@ -110,7 +111,7 @@
       absl::StrCat(
           "LOST: job ", JobIdText(job), ", accepted at ",
           absl::ToInt64Milliseconds(accepted - record_.begin()),
-          " ms, is answered ", status, " by node ", node, ", asked at ",
+          " ms, is answered ", status, " by node ", node, ", queried at ",
           absl::ToInt64Milliseconds(sent_at - record_.begin()), " ms"));
 }
 
@@ -132,7 +133,7 @@
   observation.version = *version;
   observation.after = node_disturbances_.Get(node);
   const std::string fault = configurations_.CheckObservation(observation);
-  // Once for each version that a life is late with.
+  // Report each version at most once per incarnation.
   if (!fault.empty())
     record_.Fault(
         absl::StrCat("CONFIG ", node, " life ", observation.before.incarnation,
@@ -143,18 +144,19 @@
 std::optional<int64_t> SoakMonitor::FindServedVersion(int node,
                                                       int64_t newest) {
   for (int64_t version = newest; version > 0; --version) {
-    // No job has this id: a node that knows the queue refuses it by itself.
+    // This is not a valid job ID, so a node that knows the queue rejects it
+    // without asking the leader.
     const HttpOutcome outcome = cluster_.SendRequest(
         node,
         {"GET", VersionPrefix(version) + "none", {{"Host", kSiteHost}}, "", ""},
         kVersionCallTimeout);
     const int status = outcome.response ? outcome.response->status : 0;
     if (status == kBadRequest) return version;
-    // It has no configuration, or one that may be old.
+    // The node has no configuration, or one that may be outdated.
     if (status == kUnavailable) return 0;
     if (status != kNotFound) return std::nullopt;
   }
-  // It may have changed between two of these calls.
+  // The node's version may have changed between two of these calls.
   return std::nullopt;
 }
 
--- a/testing/support/soak_monitor.h
+++ b/testing/support/soak_monitor.h
@@ -1,12 +1,15 @@
-// Callers that look at every node of a soak all the while, each node by threads
-// of its own, so that one that does not answer hides no other:
+// Continuously checks every node of a soak test with client calls. Each node
+// has threads of its own, so that a node that does not answer does not delay
+// the checks of the others. They check:
 //
-// - by which configuration it serves: see ConfigurationCheck;
-// - that it never answers 410 or 404 for an accepted job that nobody cancelled.
+// - the configuration version by which the node serves (`ConfigurationCheck`);
+// - that the node never answers 410 or 404 for an accepted job that was not
+//   cancelled.
 //
-//   SoakMonitor watch(cell, touch, configurations, jobs, record, seed);
+//   SoakMonitor monitor(cluster, node_disturbances, configurations, jobs,
+//                       record, nodes, seed);
 //   ...
-//   watch.Stop();
+//   monitor.Stop();
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_MONITOR_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SOAK_MONITOR_H_
@@ -26,12 +29,12 @@
 
 namespace keelbridge::testing {
 
-// Who asks a node for jobs: how patiently, and how often.
+// The timeout and frequency of a client's calls about jobs.
 struct JobClientOptions;
 
 class SoakMonitor {
  public:
-  // What is passed must outlive this.
+  // The referenced objects must outlive this one.
   SoakMonitor(SiteTestCluster& cluster, NodeDisturbances& node_disturbances,
               ConfigurationCheck& configurations, SoakJobs& jobs,
               SoakRecord& record, int nodes, uint64_t seed);
@@ -40,8 +43,8 @@
   SoakMonitor& operator=(const SoakMonitor&) = delete;
 
   void Stop();
-  // Asks `node` for `job`, with patience; one that is called unknown is a
-  // fault.
+  // Queries `node` about `job` with a long timeout, and records a violation if
+  // the node does not know a job that it must know.
   void CheckJobAtEnd(int node, uint64_t job);
   size_t read_calls() const { return read_calls_; }
 
@@ -49,11 +52,12 @@
   void AddJobClient(int node, uint64_t seed, const JobClientOptions& options);
   void CheckJob(HttpClient& client, int node, uint64_t job,
                 absl::Duration timeout);
-  // For `time`, or until it is stopped.
+  // Sleeps for `time` or until `Stop` is called.
   void Sleep(absl::Duration time) const;
   void MonitorConfiguration(int node);
   void CheckConfiguration(int node);
-  // 0: by none; nullopt: no answer tells.
+  // Returns the version by which the node serves, 0 if it refuses calls for
+  // lack of a current configuration, or nullopt if its replies do not show it.
   std::optional<int64_t> FindServedVersion(int node, int64_t newest);
 
   SiteTestCluster& cluster_;
--- a/testing/support/soak_record.h
+++ b/testing/support/soak_record.h
@@ -1,8 +1,8 @@
-// What happened in a soak and which promises were broken, in words, with the
-// time since its beginning. Thread-safe.
+// Records the events and the violations of a soak test as texts, each with the
+// time since the start of the test. Thread-safe.
 //
 //   SoakRecord record;
-//   record.Note("kill node 2");
+//   record.RecordEvent("kill node 2");
 //   record.Fault("LOST: job 7 ...");
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_RECORD_H_
@@ -20,12 +20,13 @@
 
 class SoakRecord {
  public:
-  // Times count from now on.
+  // Sets the start of the test, from which times are counted, to now.
   void Begin();
   absl::Time begin() const { return begin_; }
 
   void RecordEvent(const std::string& what);
-  // The first fault of each `key` is kept: one cause is told of once.
+  // Records a violation. Only the first one of each `key` is kept, so that each
+  // cause is reported once.
   void Fault(const std::string& what) { Fault(what, what); }
   void Fault(const std::string& key, const std::string& what);
 
--- a/testing/support/soak_state_test.cc
+++ b/testing/support/soak_state_test.cc
@@ -1,4 +1,4 @@
-// What a soak knows of its nodes and jobs.
+// Tests of the state that a soak test keeps about its nodes and jobs.
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 namespace keelbridge::testing {
 namespace {
 
-TEST_CASE("node touch: a node is in touch once every disturbance is over") {
+TEST_CASE("node touch: a node is undisturbed once all disturbances are over") {
   NodeDisturbances node_disturbances(2);
   node_disturbances.Disturb(0);
   node_disturbances.DisturbAll();
@@ -24,14 +24,15 @@
   CHECK(node_disturbances.Get(1).undisturbed_since <= absl::Now());
 }
 
-TEST_CASE("node touch: another process is another life") {
+TEST_CASE("node touch: a new process is a new incarnation") {
   NodeDisturbances node_disturbances(2);
   node_disturbances.StartNextIncarnation(1);
   CHECK(node_disturbances.Get(0).incarnation == 0);
   CHECK(node_disturbances.Get(1).incarnation == 1);
 }
 
-TEST_CASE("soak jobs: only what was accepted and not cancelled must be known") {
+TEST_CASE(
+    "soak jobs: only jobs that were accepted and not cancelled must be known") {
   SoakJobs jobs;
   std::mt19937_64 random(1);
   jobs.RecordRefused(1);
@@ -48,7 +49,7 @@
   CHECK_FALSE(jobs.Draw(random));
 }
 
-TEST_CASE("soak record: the first fault of a key is kept") {
+TEST_CASE("soak record: only the first fault of each key is kept") {
   SoakRecord record;
   record.Fault("key", "first");
   record.Fault("key", "second");
--- a/testing/support/test_main.cc
+++ b/testing/support/test_main.cc
@@ -1,4 +1,4 @@
-// Runs every test with fixed seeds, so that each run reaches the same verdict.
+// Runs all tests with fixed seeds, so that results are reproducible.
 
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  // RapidCheck's own seed; a value from outside still goes first.
+  // Sets RapidCheck's seed unless the environment already sets its parameters.
   setenv("RC_PARAMS", "seed=20261202", 0);
   doctest::Context context(argc, argv);
   return context.run();
--- a/testing/support/wide_site.h
+++ b/testing/support/wide_site.h
@@ -1,5 +1,5 @@
-// A large site of workers for tests of wide gangs: advice takes as long as the
-// advice service says, and runs end by themselves.
+// A simulated site with many workers, for tests of large gangs. Advice calls
+// take as long as their terms say, and runs end by themselves.
 //
 //   WideSite site;
 //   site.Submit(1, "restore", 180, WideSite::kHalfMilli, true);
@@ -20,25 +20,25 @@
 
 namespace keelbridge::testing {
 
-// A site whose advice takes longer to get than half of what its tickets hold:
-// a call names 100 workers at most and takes 1.46 s, tickets hold for 1.5 s,
-// and a quarter of the workers may run a step.
+// A site whose advice calls take longer than half of the validity of tickets:
+// a call that names 100 workers, the maximum, takes 1.46 s; tickets are valid
+// for 1.5 s; and a quarter of the workers may run a step.
 class WideSite {
  public:
   static constexpr int kWorkers = 1100;
   static constexpr int32_t kWorkerMilli = 64000;
   static constexpr int32_t kWorkerMib = 256000;
-  // Two of them fill a worker.
+  // A task size of which two fit on a worker.
   static constexpr int32_t kHalfMilli = 29400;
   static constexpr int32_t kWorkMs = 6200;
 
-  // One step of tasks that are alike.
+  // A step of identical tasks.
   struct Work {
     int32_t count = 1;
     Resources need;
     bool gang = false;
     int32_t estimated_ms = kWorkMs;
-    int32_t work_ms = kWorkMs;  // What its runs take.
+    int32_t work_ms = kWorkMs;  // The actual duration of its runs.
   };
 
   explicit WideSite(int workers = kWorkers, int advisers = 140) : driver_(1) {
@@ -57,9 +57,10 @@
     driver_.RunUntil(absl::Milliseconds(100));
   }
 
-  // Whether a worker may run a step: a quarter of them may.
+  // Returns whether a worker may run a step. A quarter of the workers may.
   static bool IsGood(const TaskId& step, const std::string& worker) {
-    uint32_t hash = 2166136261U;  // FNV-1a: the same on each machine.
+    // FNV-1a, whose result is the same on each machine.
+    uint32_t hash = 2166136261U;
     for (const char c : absl::StrCat(worker, "/", step.job))
       hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
     return (hash >> 8) % 4 == 0;
@@ -81,7 +82,7 @@
     Submit(id, queue, Work{count, {cpu_milli, 1, 0}, gang});
   }
 
-  // Runs end after their work's time.
+  // Runs until `until` after `kBegin`. Each run ends `work_ms` after its start.
   void RunUntil(absl::Duration until) {
     while (driver_.now().mono < kBegin + until) {
       driver_.RunUntil(driver_.now().mono - kBegin + absl::Milliseconds(100));
@@ -99,12 +100,12 @@
     }
   }
 
-  // Tasks of the job.
+  // Returns how many tasks of the job were started.
   int Started(JobId job) const {
     const auto found = started_.find(job);
     return found == started_.end() ? 0 : found->second;
   }
-  // Jobs of which something was started.
+  // Returns how many of the jobs `first` to `last` had a task started.
   int JobsStarted(JobId first, JobId last) const {
     int jobs = 0;
     for (JobId job = first; job <= last; ++job) jobs += Started(job) > 0;
@@ -115,12 +116,13 @@
     return found == started_at_.end() ? absl::InfiniteDuration()
                                       : found->second;
   }
-  // Of all processors, the share that runs use.
+  // Returns the share of all processors that runs use.
   double UsedShare() const {
     return static_cast<double>(used_milli_) /
            static_cast<double>(capacity_milli_);
   }
-  // Tasks of the job that fit now on the workers that may run it.
+  // Returns how many tasks of the job currently fit on the workers that may run
+  // it.
   int64_t CountFitting(JobId job) const {
     const Resources need = work_by_job_.at(job).need;
     int64_t fits = 0;
--- a/testing/support/zone_harness.cc
+++ b/testing/support/zone_harness.cc
@@ -129,7 +129,7 @@
 void ZoneHarness::ResumeWorker(int i) {
   Trace(absl::StrCat("resume w", i));
   workers_[i].paused = false;
-  // They came over several connections, so in any order.
+  // The messages arrived over several connections, so their order is random.
   auto queued_events = std::exchange(workers_[i].queued_events, {});
   std::shuffle(queued_events.begin(), queued_events.end(), random_);
   for (const auto& event : queued_events) event();
@@ -173,7 +173,7 @@
         deliver) {
   const int w = std::stoi(name.substr(1));
   const uint64_t incarnation = nodes_[i].incarnation;
-  // The answer or its absence reaches the scheduler exactly once.
+  // Either the reply or the timeout reaches the scheduler, exactly once.
   auto completed = std::make_shared<bool>(false);
   const auto settle = [this, i, incarnation, completed,
                        deliver](const std::optional<Reply>& reply) {
@@ -276,7 +276,7 @@
     if (node.zone_scheduler->Leads(now_) != node.was_leading) {
       node.was_leading = !node.was_leading;
       Trace(absl::StrCat("s", i,
-                         node.was_leading ? " leads" : " leads no longer"));
+                         node.was_leading ? " leads" : " has lost leadership"));
     }
     const std::vector<Action> actions =
         node.zone_scheduler->Tick(NodeNow(node));
--- a/testing/support/zone_harness.h
+++ b/testing/support/zone_harness.h
@@ -1,9 +1,9 @@
-// A few schedulers, workers and a log on a virtual clock, for focused tests of
-// failures.
+// Simulates a few schedulers, workers and a log on a virtual clock, for tests
+// of specific failures.
 //
-// Messages take a few milliseconds, may be lost in either direction, and are
-// carried out by the fakes that the HTTP stand-ins use. Everything follows from
-// one seed.
+// Messages take a few milliseconds and may be lost in either direction. The
+// fakes that handle them are those behind the fake HTTP servers. One seed
+// determines the whole simulation.
 //
 //   ZoneHarness zone({.schedulers = 2, .workers = 5, .seed = 7});
 //   zone.Confirm({intent});
@@ -30,13 +30,16 @@
 
 namespace keelbridge::testing {
 
-// Mechanisms that can be switched off, to show that the checkers then find a
-// fault.
+// Safety mechanisms that a test can switch off, to show that the checks then
+// detect a violation.
 struct SafetyMechanisms {
-  bool wait_for_certainty =
-      true;               // Of leases: unsettled starts and silent workers.
-  bool not_after = true;  // Of commands.
-  bool epochs = true;     // Of workers: the hold and its epoch.
+  // Schedulers wait until leases of unresolved starts and of unresponsive
+  // workers have expired for certain.
+  bool wait_for_certainty = true;
+  // Workers reject commands that arrive after their deadline.
+  bool not_after = true;
+  // Workers check the epoch of the hold, the leadership lease.
+  bool epochs = true;
 };
 
 class ZoneHarness {
@@ -46,28 +49,30 @@
     int workers = 5;
     uint64_t seed = 1;
     Resources worker_size{16000, 32768, 0};
-    absl::Duration clock_error = absl::Milliseconds(
-        200);         // Wall clocks differ by up to this from true time.
-    double loss = 0;  // Of each message, either way.
+    // The maximum difference between a wall clock and the true time.
+    absl::Duration clock_error = absl::Milliseconds(200);
+    // The probability that a message or its reply is lost.
+    double loss = 0;
     SafetyMechanisms mechanisms = {};
     absl::Duration step = absl::Milliseconds(20);
     absl::Duration log_retention = absl::InfiniteDuration();
     int64_t snapshot_every = 2000;
-    bool trace = false;  // Prints every fact and failure, to follow one seed.
+    bool trace = false;  // Prints all events and injected faults.
   };
 
   explicit ZoneHarness(Options options);
 
   void RunFor(absl::Duration time);
-  // Runs until `done` holds; false when `most` went by.
+  // Runs until `done` returns true. Returns false if `most` has passed first.
   bool RunUntil(const std::function<bool()>& done, absl::Duration timeout);
 
-  // The scheduler that leads, or -1.
+  // Returns the scheduler that leads, or -1 if there is none.
   int Leader() const;
-  // Runs until one leads, has read its own record, and stays; -1 if none does.
+  // Runs until a scheduler leads, has read its own leadership record, and still
+  // leads 1 s later. Returns it, or -1 if there is none.
   int AwaitLeader();
-  // Plans and confirms `intents` with the leader, waiting for one. False when
-  // it was refused.
+  // Waits for a leader, then plans `intents` with it and confirms the plan.
+  // Returns false if the plan is invalid or was not confirmed in time.
   bool Confirm(const std::vector<Intent>& intents);
   static Intent Batch(const std::string& id, int64_t tasks,
                       absl::Duration duration);
@@ -76,26 +81,28 @@
   // Publishes the same configuration with another policy.
   void SetPolicy(PolicyKind policy);
   void Kill(int scheduler);
-  // A planned stop: gives leadership back, then ends.
+  // Stops the scheduler as planned: it releases leadership, then ends.
   void HandOver(int scheduler);
-  void Start(int scheduler);  // A new run of it.
-  // A paused scheduler does nothing; what comes for it waits. On resuming, it
-  // first carries out what it had decided.
+  // Starts a new incarnation of the scheduler.
+  void Start(int scheduler);
+  // Suspends the scheduler. Messages to it are queued. When it resumes, it
+  // first carries out the actions that it had decided before.
   void Pause(int scheduler);
-  // Pauses it at its worst moment: after it decided on a start, before it
-  // sends.
+  // Suspends the scheduler at the most critical moment: after it has decided on
+  // a start, but before it sends the command.
   void PauseBeforeNextStart(int scheduler);
   bool Paused(int scheduler) const { return nodes_[scheduler].paused; }
   void Resume(int scheduler);
   void SetLogDown(bool down) { log_down_ = down; }
-  // Appends take effect but are not answered.
+  // If set, appends take effect but are not answered.
   void SetLogLosesAnswers(bool loses) { log_loses_answers_ = loses; }
-  // A scheduler that cannot reach a worker; one way: the worker hears it but is
-  // not heard.
+  // Drops all messages between a scheduler and a worker; with `one_way`, only
+  // the worker's replies.
   void Cut(int scheduler, int worker, bool one_way);
   void Heal();
   void RestartWorker(int worker);
-  // A paused worker carries out what came for it when it resumes.
+  // Suspends the worker. It carries out the messages that arrived in the
+  // meantime, in random order, when it resumes.
   void PauseWorker(int worker);
   void ResumeWorker(int worker);
 
@@ -109,7 +116,8 @@
   const std::vector<RunEvent>& facts() const { return facts_; }
   size_t Running() const;
   RunRules Rules() const;
-  // Lets every worker's leases and tasks come to their end, then judges.
+  // Ends all tasks that are due and expired leases, then returns the violations
+  // found in the workers' runs.
   std::vector<std::string> FindViolations();
   std::mt19937_64& random() { return random_; }
   // Prints a line when tracing.
@@ -147,8 +155,8 @@
   void Step();
   void ExecuteAction(int node, const Action& action);
   void SendAppend(int node, const SendAppend& append);
-  // Runs `handle` at the worker and `deliver` back at the scheduler's same
-  // run.
+  // Runs `handle` on the worker, then `deliver` on the scheduler if it is
+  // still the same incarnation.
   template <typename Reply>
   void Exchange(
       int node, const std::string& worker,
--- a/testing/support/zone_test_cluster.cc
+++ b/testing/support/zone_test_cluster.cc
@@ -54,7 +54,7 @@
 ZoneTestCluster::~ZoneTestCluster() {
   hosts_.clear();
   platform_->Stop();
-  // KEELBRIDGE_KEEP leaves the logs of the processes for a look.
+  // Setting KEELBRIDGE_KEEP keeps the logs of the processes for inspection.
   if (std::getenv("KEELBRIDGE_KEEP") == nullptr) {
     std::filesystem::remove_all(directory_);
   }
--- a/testing/support/zone_test_cluster.h
+++ b/testing/support/zone_test_cluster.h
@@ -1,9 +1,9 @@
-// One zone of real processes: entry hosts with gateway and scheduler, against
-// the stand-ins in this process.
+// A test cluster of one zone of real processes: entry hosts with a gateway and
+// a scheduler each, using the fake platform in the test process.
 //
-//   ZoneTestCluster cell({.entry_hosts = 2});
-//   cell.Publish();
-//   cell.AwaitLeader();
+//   ZoneTestCluster cluster({.entry_hosts = 2});
+//   cluster.Publish();
+//   cluster.AwaitLeader();
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_ZONE_TEST_CLUSTER_H_
 #define KEELBRIDGE_TESTING_SUPPORT_ZONE_TEST_CLUSTER_H_
@@ -22,8 +22,8 @@
 
 namespace keelbridge::testing {
 
-// Polls until `done` holds; false after a generous time, which only a fault
-// makes a test wait for.
+// Polls until `done` returns true. Returns false after 60 s, long enough that
+// only a fault exceeds it.
 bool Eventually(const std::function<bool()>& done);
 
 class ZoneTestCluster {
@@ -41,19 +41,19 @@
 
   // Appends the configuration, as an operator would.
   void Publish();
-  // Starts a gateway (again), with all other gateways as peers.
+  // Starts or restarts a gateway, with all other gateways as its peers.
   void StartGateway(int host);
   void StartScheduler(int host);
   bool Ready(int host) const;
-  // The host whose scheduler leads, or -1.
+  // Returns the host whose scheduler leads, or -1 if there is none.
   int Leader() const;
   int AwaitLeader() const;
 
-  // Plans and confirms with the leader.
+  // Plans the intents with the leader and confirms the plan.
   bool Confirm(const std::vector<Intent>& intents) const;
   HttpOutcome Send(int host, const HttpRequest& request,
                    absl::Duration timeout = absl::Seconds(10)) const;
-  // Requests of the journal, each as its runner noted it.
+  // Returns the journal entries of this kind, as their runners recorded them.
   std::vector<Json::Value> Requests(const std::string& kind = "request") const;
   int CountRequests(const std::string& key, const std::string& value) const;
   std::vector<RunEvent> RunFacts() const;
@@ -79,7 +79,7 @@
     std::string scheduler_address;
   };
 
-  // Starts a daemon and returns the address that it serves.
+  // Starts a daemon and returns the address on which it serves.
   std::string StartDaemon(const std::string& role, int host, int port,
                           std::unique_ptr<ChildProcess>* child);
   std::string ConfigurationText() const;
