--- a/testing/capacity_benchmark.cc
+++ b/testing/capacity_benchmark.cc
@@ -1,5 +1,5 @@
-// Slopes for docs/CAPACITY.md: what each role's state, messages and processor
-// time grow with.
+// Benchmarks behind docs/CAPACITY.md: how the state, the messages and the
+// processor time of each role grow with the size of a deployment.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -37,7 +37,8 @@
   return out + "]}";
 }
 
-// Reading and checking a configuration: each change costs this on each host.
+// Time to parse and validate a configuration, and the heap that it takes. Every
+// host pays this for every configuration change.
 void BM_Configuration(benchmark::State& state) {
   const std::string text = ConfigurationText(static_cast<int>(state.range(0)));
   for (auto _ : state) benchmark::DoNotOptimize(ParseConfiguration(text, "c"));
@@ -52,7 +53,9 @@
     ->Arg(1100)
     ->Unit(benchmark::kMicrosecond);
 
-// A renewal and its answer when the tables agree, and when rows travel.
+// Size and encoding time of a lease renewal and its reply. Without rows, the
+// digests of both sides agree; otherwise the reply carries that many lease
+// rows.
 void BM_HoldMessages(benchmark::State& state) {
   HoldRequest request;
   request.mode = HoldMode::kAcquire;
@@ -85,7 +88,7 @@
 }
 BENCHMARK(BM_HoldMessages)->Arg(0)->Arg(16)->Unit(benchmark::kMicrosecond);
 
-// Bytes of log for an end of a task, many in an envelope.
+// Log bytes per ended task, by the number of ends in one envelope.
 void BM_EndRecords(benchmark::State& state) {
   Envelope envelope{{UINT64_MAX >> 1, 12345}, {}};
   for (int i = 0; i < state.range(0); ++i) {
@@ -106,7 +109,8 @@
     ->Arg(330)
     ->Unit(benchmark::kMicrosecond);
 
-// Rebuilding a zone's state from its snapshot, by live intents of 10 tasks.
+// Time to restore a zone's state from its snapshot, and the heap that it takes,
+// by the number of tasks. Each live intent has 10 tasks.
 void BM_Rebuild(benchmark::State& state) {
   ZoneState zone;
   int64_t offset = 0;
@@ -135,7 +139,7 @@
     ->Arg(18000)
     ->Unit(benchmark::kMillisecond);
 
-// Memory of one idempotency key that the claims still remember.
+// Memory per idempotency key in the claim table.
 void BM_Claims(benchmark::State& state) {
   testing::FakeLog log;
   for (int64_t i = 0; i < state.range(0) / 50; ++i) {
@@ -158,8 +162,8 @@
 BENCHMARK(BM_Claims)->Arg(10000)->Arg(100000)->Iterations(3)->Unit(
     benchmark::kMillisecond);
 
-// A leading scheduler in steady state: processor time a virtual second, by
-// workers with 16 tasks each.
+// Processor time per virtual second of a leading scheduler in steady state, by
+// the number of workers. Each worker runs 16 tasks.
 void BM_Leader(benchmark::State& state) {
   testing::ZoneHarness::Options options;
   options.schedulers = 1;
--- a/testing/gateway_hop_main.cc
+++ b/testing/gateway_hop_main.cc
@@ -1,5 +1,6 @@
-// Measures what a gateway hop adds: the same request to a runner directly and
-// through a gateway, in turn, on keep-alive connections.
+// Measures the latency that a gateway hop adds. Sends the same request to a
+// runner directly and through a gateway, alternating between the two, on
+// keep-alive connections.
 //
 //   keelbridge-hop --requests=2000
 
@@ -13,7 +14,7 @@
 #include "absl/time/clock.h"
 #include "testing/support/zone_test_cluster.h"
 
-ABSL_FLAG(int, requests, 2000, "requests each way");
+ABSL_FLAG(int, requests, 2000, "number of requests on each path");
 
 namespace keelbridge::testing {
 namespace {
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -1,5 +1,5 @@
-// Failures brought about with real processes, signals and sockets. Judged from
-// the stand-ins' journals.
+// Failure tests with real processes, signals and sockets. Results are checked
+// against the journals of the fake platform, which record what really ran.
 
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -65,7 +65,8 @@
   cluster.scheduler(leader).Wait();
   cluster.RemoveScheduler(leader);
   REQUIRE(cluster.AwaitLeader() == 1 - leader);
-  // Longer than any lease: what the new leader did not take over would lapse.
+  // Sleeps for longer than any lease, so that the lease of any task that the
+  // new leader failed to take over would expire.
   absl::SleepFor(absl::Seconds(6));
   CHECK(cluster.RunFacts().size() == 6);
   CHECK(cluster.Confirm({Service("more", 2)}));
@@ -73,8 +74,8 @@
 }
 
 TEST_CASE(
-    "processes: the leading scheduler is frozen for longer than any lease and "
-    "thaws") {
+    "processes: the leading scheduler is suspended for longer than any lease "
+    "and resumed") {
   ZoneTestCluster cluster({});
   cluster.Publish();
   REQUIRE(cluster.Confirm({Service("index", 6)}));
@@ -91,7 +92,7 @@
 }
 
 TEST_CASE(
-    "processes: the leading scheduler is stopped as planned, again and again") {
+    "processes: the leading scheduler is shut down gracefully, repeatedly") {
   ZoneTestCluster cluster({});
   cluster.Publish();
   REQUIRE(cluster.Confirm({Service("index", 6)}));
@@ -108,8 +109,8 @@
 }
 
 TEST_CASE(
-    "processes: the log is down; a killed scheduler is replaced and requests "
-    "go on") {
+    "processes: while the log is down, a killed scheduler is replaced and "
+    "requests are served") {
   ZoneTestCluster cluster({});
   cluster.Publish();
   REQUIRE(cluster.Confirm({Service("index", 6)}));
@@ -123,7 +124,8 @@
   cluster.RemoveScheduler(leader);
   CHECK(cluster.AwaitLeader() == 1 - leader);
   CHECK(VerdictOf(cluster.Send(0, {"GET", "/licence/1", {}, "", ""})) == "Ran");
-  // What needs a record is refused at once, and did not run.
+  // A request with an idempotency key needs a record in the log. It is refused
+  // at once and has not run.
   HttpRequest keyed{"POST",
                     "/thumbnail/1",
                     {{kIdempotencyKeyHeader, "k"}, {kDeadlineHeader, "700"}},
@@ -134,7 +136,8 @@
   REQUIRE(refused.response.has_value());
   CHECK(!FindHeader(refused.response->headers, "Retry-After").empty());
   CHECK(cluster.CountRequests("key", "k") == 0);
-  // A gateway that starts now takes the configuration from its peer.
+  // A gateway that starts while the log is down gets the configuration from its
+  // peer.
   cluster.gateway(0).Signal(SIGKILL);
   cluster.gateway(0).Wait();
   cluster.StartGateway(0);
@@ -145,8 +148,8 @@
 }
 
 TEST_CASE(
-    "processes: every gateway is stopped and started in turn under load; no "
-    "request is cut off") {
+    "processes: gateways are restarted one after the other under load, and no "
+    "request is interrupted") {
   ZoneTestCluster::Options options;
   options.entry_hosts = 3;
   options.runner_work_ms = 10;
@@ -163,8 +166,9 @@
         ParseAddress(cluster.GatewayAddress(i)).value(),
         HttpClient::Options()));
   }
-  // The balancer asks each host whether it is ready, and sends requests to
-  // those that were; when a host takes no connection, it tries the next.
+  // The load balancer polls the readiness of each host and sends requests only
+  // to hosts that were ready. If a host accepts no connection, it tries the
+  // next one.
   std::array<std::atomic<bool>, 3> ready{true, true, true};
   std::thread balancer([&] {
     while (!stop) {
@@ -207,15 +211,15 @@
   balancer.join();
   for (std::thread& caller : callers) caller.join();
   MESSAGE("answered ", answered.load(), ", refused ", refused.load(),
-          ", cut off ", interrupted.load());
+          ", interrupted ", interrupted.load());
   CHECK(interrupted == 0);
   CHECK(answered > 100);
   CHECK(refused * 20 <= answered);
 }
 
 TEST_CASE(
-    "processes: a ticket runs once, at whatever gateway it is sent, also when "
-    "its gateway is killed") {
+    "processes: a ticket runs at most once at any gateway, even if the issuing "
+    "gateway is killed") {
   ZoneTestCluster cluster({});
   cluster.Publish();
   const auto ticket_of = [&cluster](int host) {
@@ -243,14 +247,16 @@
   cluster.gateway(0).Wait();
   CHECK(VerdictOf(send(1, second, "b")) == "MayHaveRun");
   cluster.StartGateway(0);
-  // Before it has a configuration it refuses everything, whatever the ticket.
+  // A gateway without a configuration refuses every request, so the test waits
+  // until it is ready.
   REQUIRE(Eventually([&] { return cluster.Ready(0); }));
   const HttpOutcome after_restart = send(0, second, "b");
   CAPTURE(after_restart.response ? after_restart.response->body
                                  : after_restart.message);
   CHECK(VerdictOf(after_restart) == "MayHaveRun");
   CHECK(cluster.CountRequests("path", "thumbnail/b") == 0);
-  // Without ticket or key the caller is told what to send.
+  // A request with neither a ticket nor a key gets status 428, Precondition
+  // Required.
   const HttpOutcome without_ticket =
       cluster.Send(1, {"POST", "/thumbnail/c", {}, "x", "text/plain"});
   REQUIRE(without_ticket.response.has_value());
@@ -285,7 +291,8 @@
     CHECK(cluster.CountRequests("key", absl::StrCat("key", k)) == 1);
 }
 
-TEST_CASE("processes: targets that refuse, cut off or leave") {
+TEST_CASE(
+    "processes: targets refuse connections, interrupt responses or leave") {
   ZoneTestCluster cluster({});
   cluster.Publish();
   Faults refuse;
@@ -305,8 +312,9 @@
   cut_off.cut_off = true;
   for (const char* runner : {"t0", "t1", "t2"})
     cluster.platform().SetFaults(absl::StrCat("runner/", runner), cut_off);
-  // Repeatable: tried elsewhere, and never a part of an answer. Not repeatable:
-  // once only.
+  // A repeatable request is retried on another target, and the caller never
+  // gets a partial response. A request that is not repeatable is sent only
+  // once.
   const HttpOutcome repeatable =
       cluster.Send(0, {"GET", "/licence/c", {}, "", ""});
   CHECK(VerdictOf(repeatable) == "MayHaveRun");
@@ -333,7 +341,8 @@
   CHECK(count_at_t1() == before);
 }
 
-// Sends raw bytes and returns the first line of the answer, if it waits.
+// Sends raw bytes on a new connection and returns the first line of the
+// response, or an empty string if there is none or `wait` is false.
 std::string SendRawBytes(const std::string& address, const std::string& bytes,
                          bool wait = true) {
   const Address to = ParseAddress(address).value();
@@ -344,7 +353,7 @@
   inet_pton(AF_INET, to.ip.c_str(), &in.sin_addr);
   std::string answer;
   if (connect(fd, reinterpret_cast<sockaddr*>(&in), sizeof(in)) == 0) {
-    // Longer than the server waits for the rest of a request.
+    // Longer than the server's timeout for the rest of a request.
     const timeval read_timeout{8, 0};
     setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &read_timeout,
                sizeof(read_timeout));
@@ -360,7 +369,9 @@
   return answer.substr(0, answer.find('\r'));
 }
 
-TEST_CASE("processes: hostile requests get a 4xx or nothing, and cost little") {
+TEST_CASE(
+    "processes: malformed requests get a 4xx or no response and use little "
+    "memory") {
   ZoneTestCluster cluster({});
   cluster.Publish();
   const std::string address = cluster.GatewayAddress(0);
@@ -392,18 +403,20 @@
       cluster.Send(0, {"POST", "/rpc", {}, nested_json, "application/json"});
   REQUIRE(rpc.response.has_value());
   CHECK(rpc.response->body.find("error") != std::string::npos);
-  // Half a request each, and gone.
+  // 200 connections send an incomplete request and close.
   const std::string partial_request =
       "GET /licence/1 HTTP/1.1\r\nX-" + std::string(500, 'h') + ": 1\r\n";
   for (int i = 0; i < 200; ++i)
     (void)SendRawBytes(address, partial_request, false);
   CHECK(VerdictOf(cluster.Send(0, {"GET", "/licence/1", {}, "", ""})) == "Ran");
   const long after = cluster.gateway(0).ResidentKib();
-  MESSAGE("gateway's memory before ", before, " KiB, after ", after, " KiB");
+  MESSAGE("resident memory of the gateway: before ", before, " KiB, after ",
+          after, " KiB");
   CHECK(after < before + 16L * 1024);
 }
 
-TEST_CASE("processes: bad settings and a taken port end with a clear message") {
+TEST_CASE(
+    "processes: invalid settings and a port in use end with a clear message") {
   ZoneTestCluster cluster({});
   const std::string base = cluster.directory() + "/bad";
   std::ofstream(base + ".json") << "{\"name\": \"x\"}";
--- a/testing/site_cut_test.cc
+++ b/testing/site_cut_test.cc
@@ -1,5 +1,6 @@
-// Nodes that are cut off from what they must know, as real processes: what they
-// tell callers meanwhile and soon after.
+// Tests with real processes of nodes that are isolated from the store, the
+// workers or their peers: which answers they give to clients during the outage
+// and shortly after it.
 
 #include <doctest/doctest.h>
 
@@ -33,7 +34,9 @@
   return outcome.response ? outcome.response->status : 0;
 }
 
-// A node that knows the version's queue refuses the id, others the queue.
+// Returns whether `node` serves configuration `version`. The request names the
+// queue of that version with an invalid job id: a node that knows the queue
+// answers 400, and any other node answers that the queue does not exist.
 bool ServesVersion(SiteTestCluster& cluster, int node, int64_t version) {
   const HttpRequest request{
       "GET", VersionPrefix(version) + "none", {{"Host", kSiteHost}}, "", ""};
@@ -46,9 +49,9 @@
   });
 }
 
-// Every node serves by `version` within the bound of ConfigurationCheck:
-// `kApplyTime` from now on while nothing disturbs the nodes, `kRecoveryTime`
-// once their trouble has just ended.
+// Checks that every node serves configuration `version` within `time_limit`
+// from now. The limits are those of ConfigurationCheck: `kApplyTime` while no
+// fault affects the nodes, and `kRecoveryTime` when a fault has just ended.
 void CheckAllServeVersion(SiteTestCluster& cluster, int64_t version,
                           absl::Duration time_limit) {
   const absl::Time deadline = absl::Now() + time_limit;
@@ -75,7 +78,7 @@
 }
 
 TEST_CASE(
-    "site cut: a change behind a silence that heals quietly is heard of") {
+    "site cut: a change during a silent outage without resets is applied") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   for (int node = 0; node < kNodes; ++node)
@@ -87,7 +90,7 @@
   CheckAllServeVersion(cluster, 2, ConfigurationCheck::kRecoveryTime);
 }
 
-TEST_CASE("site cut: polls that are cut after a change cost nothing") {
+TEST_CASE("site cut: polls closed after a change do not delay it") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   SiteStore::Faults faults;
@@ -100,12 +103,13 @@
     platform.store().SetFaults({});
     platform.store().CloseLongPolls();
   });
-  // A second of the two is over.
+  // One second of the limit has already passed.
   CheckAllServeVersion(cluster, 2,
                        ConfigurationCheck::kApplyTime - absl::Seconds(1));
 }
 
-// Nothing that the node could hear of another leader by reaches it any more.
+// Isolates the node from the store, its peers and all workers, so that it
+// cannot learn of another leader.
 void IsolateNode(SiteTestCluster& cluster, int node) {
   cluster.SetStoreProxy(node, Mode::kDropAll);
   for (int i = 0; i < kNodes; ++i) cluster.SetPeerProxy(i, Mode::kDropAll);
@@ -113,7 +117,8 @@
     cluster.SetWorkerProxy(i, Mode::kDropAll);
 }
 
-// Hands `job` in at the nodes but `leader`; false: none accepted it in time.
+// Submits `job` at every node except `leader` in turn until one accepts it.
+// Returns false if none does so within 20 s.
 bool SubmitToOtherNodes(SiteTestCluster& cluster, int leader, uint64_t job) {
   const absl::Time deadline = absl::Now() + absl::Seconds(20);
   for (int attempt = 0; absl::Now() < deadline; ++attempt) {
@@ -126,7 +131,7 @@
   return false;
 }
 
-TEST_CASE("site cut: a leader that is cut off calls no accepted job unknown") {
+TEST_CASE("site cut: an isolated leader reports no accepted job as unknown") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   const int leader = cluster.Leader();
@@ -142,8 +147,9 @@
   }
 }
 
-// Callers that ask `node` for `job`, on connections that are open already, and
-// wait for what it answers once it goes on.
+// Concurrent callers that request jobs from a node on persistent connections.
+// The node may be suspended meanwhile: the callers then wait until it resumes
+// and answers.
 class ConcurrentCallers {
  public:
   ConcurrentCallers(SiteTestCluster& cluster, int node)
@@ -164,8 +170,8 @@
       });
     }
   }
-  // How many of those that asked since the last time were told that nobody
-  // knows the job.
+  // Waits for all calls started since the last call of this function. Returns
+  // how many of them were answered that the job is unknown.
   int JoinAndCountUnknown() {
     for (std::thread& thread : threads_) thread.join();
     threads_.clear();
@@ -179,7 +185,8 @@
   std::vector<std::thread> threads_;
 };
 
-TEST_CASE("site cut: a leader that stood still calls no accepted job unknown") {
+TEST_CASE(
+    "site cut: a leader that stood still reports no accepted job as unknown") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   constexpr int kRounds = 3;
@@ -189,7 +196,7 @@
     const int leader = cluster.Leader();
     REQUIRE(leader >= 0);
     ConcurrentCallers callers(cluster, leader);
-    callers.StartCalls(job + 100, kCallers);  // Nobody handed it in.
+    callers.StartCalls(job + 100, kCallers);  // Never submitted.
     CHECK(callers.JoinAndCountUnknown() == kCallers);
     cluster.node(leader).Signal(SIGSTOP);
     const bool accepted = SubmitToOtherNodes(cluster, leader, job);
@@ -208,13 +215,14 @@
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   const int node = (cluster.Leader() + 1) % kNodes;
-  // Whatever it passes on gets no answer.
+  // Calls that the node forwards get no answer.
   cluster.SetStoreProxy(node, Mode::kDropAll);
   for (int i = 0; i < kNodes; ++i) cluster.SetPeerProxy(i, Mode::kDropAll);
   cluster.node(node).Signal(SIGTERM);
-  // The grace is 6 s, a call is passed on for up to 2.6 s, and the process ends
-  // 0.5 s before its grace. The first call keeps it until the others come. All
-  // of them may have reached a leader, the last one with its only try.
+  // The grace period is 6 s, a call is forwarded for up to 2.6 s, and the
+  // process exits 0.5 s before the end of the grace period. The first call
+  // keeps the process running until the others arrive. Each of the calls may
+  // have reached a leader; the last one has time for a single attempt only.
   std::vector<std::thread> callers;
   std::vector<int> statuses(3);
   for (size_t i = 0; i < statuses.size(); ++i) {
--- a/testing/site_entries_test.cc
+++ b/testing/site_entries_test.cc
@@ -1,6 +1,6 @@
-// Entries of other writers in the store, and records of the nodes' own that
-// cannot be read, against real processes: nothing starts there, no node stands
-// still or ends, also while a leader loads.
+// Tests with real processes of store entries by other writers and of unreadable
+// records of the nodes' own: no task starts on a worker from such an entry, and
+// no node stalls or exits, including while a leader loads its state.
 
 #include <doctest/doctest.h>
 
@@ -33,7 +33,7 @@
     CHECK(cluster.AwaitState(job, "completed"));
 }
 
-// Ends the leader; the next one loads what lies in the store.
+// Kills the leader, so that the next one loads its state from the store.
 void ReplaceLeader(SiteTestCluster& cluster) {
   int leader = -1;
   REQUIRE(Eventually([&] { return (leader = cluster.Leader()) >= 0; }));
@@ -45,7 +45,7 @@
   REQUIRE(cluster.AwaitReady(kNodes));
 }
 
-TEST_CASE("site entries: foreign entries of workers are passed over") {
+TEST_CASE("site entries: worker entries of other writers are skipped") {
   SiteTestCluster::Options options;
   options.nodes = kNodes;
   SiteTestCluster cluster(options);
@@ -65,7 +65,7 @@
   CHECK(cluster.Faults().empty());
 }
 
-TEST_CASE("site entries: records of jobs that cannot be read end no load") {
+TEST_CASE("site entries: unreadable job records do not stop a load") {
   SiteTestCluster::Options options;
   options.nodes = kNodes;
   SiteTestCluster cluster(options);
@@ -86,14 +86,15 @@
   });
   ReplaceLeader(cluster);
   CheckJobsComplete(cluster, 3, 6);
-  // Not denied: such a job may have been accepted.
+  // The node must not report the job as unknown, since it may have been
+  // accepted.
   const HttpOutcome unreadable = cluster.Call(0, "GET", 0xab);
   REQUIRE(unreadable.response);
   CHECK(unreadable.response->status == 503);
   CHECK(cluster.Faults().empty());
 }
 
-TEST_CASE("site entries: a configuration that makes no sense changes nothing") {
+TEST_CASE("site entries: an invalid configuration changes nothing") {
   SiteTestCluster::Options options;
   options.nodes = kNodes;
   SiteTestCluster cluster(options);
--- a/testing/site_load_main.cc
+++ b/testing/site_load_main.cc
@@ -1,11 +1,13 @@
-// keelbridge-site-load: hands jobs in at the nodes of a site on the stand-in,
-// at a steady rate, and tells what came of them and what the nodes spent.
+// keelbridge-site-load: submits jobs to the nodes of a site on the fake
+// platform at a steady rate. Prints the response statuses and latencies, and
+// the processor time that the given processes used.
 //
 //   build/keelbridge-site-load --nodes=127.0.0.11:18161,127.0.0.12:18161
 //       --jobs_per_second=140 --length=20s --pids=4711,4712
 //
-// The rate does not wait for answers. Of every 25 jobs one is wide and long,
-// two are of middle size, and the others are short, as on a busy day of a site.
+// Jobs are sent at the given rate whether or not earlier calls were answered.
+// Of every 25 jobs, one has many long tasks, two are of medium size and the
+// others are short, as on a busy day of a site.
 
 #include <unistd.h>
 
@@ -28,11 +30,12 @@
 #include "keelbridge/transport/event_http_client.h"
 #include "testing/fakes/site_platform.h"
 
-ABSL_FLAG(std::vector<std::string>, nodes, {}, "client addresses of nodes");
-ABSL_FLAG(double, jobs_per_second, 50, "jobs handed in a second");
-ABSL_FLAG(absl::Duration, length, absl::Seconds(10), "for so long");
-ABSL_FLAG(std::vector<std::string>, pids, {}, "processes to measure");
-ABSL_FLAG(uint64_t, first_job, 1, "the first job's number");
+ABSL_FLAG(std::vector<std::string>, nodes, {}, "client addresses of the nodes");
+ABSL_FLAG(double, jobs_per_second, 50, "jobs submitted per second");
+ABSL_FLAG(absl::Duration, length, absl::Seconds(10), "duration of the load");
+ABSL_FLAG(std::vector<std::string>, pids, {},
+          "ids of the processes whose processor time is measured");
+ABSL_FLAG(uint64_t, first_job, 1, "number of the first job");
 
 namespace {
 
@@ -56,7 +59,8 @@
                       "}]}");
 }
 
-// Seconds of processor time that a process has used.
+// Returns the processor time in seconds that a process has used so far, or 0 if
+// it cannot be read.
 double ProcessorSeconds(const std::string& pid) {
   std::ifstream file(absl::StrCat("/proc/", pid, "/stat"));
   std::string text((std::istreambuf_iterator<char>(file)),
--- a/testing/site_load_test.cc
+++ b/testing/site_load_test.cc
@@ -1,6 +1,6 @@
-// How well the site's scheduler decides under load and faults, on a virtual
-// clock: what callers get, with a mechanism and without it. Each test states
-// the shares that were measured over its seeds.
+// Tests of the scheduling quality of a site under load and faults, on a virtual
+// clock: the share of jobs that end in time with and without a policy. The
+// comment at each test states the shares over its seeds.
 
 #include <doctest/doctest.h>
 
@@ -37,7 +37,7 @@
   return spec;
 }
 
-// Of `jobs`, the share that ended within `objective`.
+// Returns the share of `jobs` that ended within `objective`, 0 to 1.
 double ShareInTime(const SiteSimulation& site, const std::vector<JobId>& jobs,
                    absl::Duration objective) {
   int in_time = 0;
@@ -53,9 +53,10 @@
   double patient = 0;
 };
 
-// Tasks that take half a worker and up to all of its accelerators, beside many
-// small ones that are less urgent, save their progress and could fill all
-// workers: 8 workers, 30 s, half of the workers may run a step.
+// Runs urgent tasks that need half a worker and up to all of its accelerators
+// together with many small, less urgent tasks that save checkpoints and could
+// fill all workers. There are 8 workers and 30 s of load, and half of the
+// workers may run any given step. Returns the shares of jobs in time.
 Shares RunLargeAndSmallTasks(SchedulerPolicy policy) {
   Shares sum;
   constexpr int kSeeds = 5;
@@ -94,25 +95,27 @@
   return sum;
 }
 
-// Of the large tasks 0.88 were in time before, all are now; of the small ones
-// all were and are.
-TEST_CASE("site load: large tasks beside small ones are in time") {
+// Without the policies, 0.88 of the large tasks are in time; with them, all
+// are. All small tasks are in time in both cases.
+TEST_CASE("site load: large tasks are in time among many small ones") {
   SchedulerPolicy disabled;
   disabled.make_room = false;
   disabled.hold_room = false;
   disabled.name_by_cost = false;
   const Shares without_policy = RunLargeAndSmallTasks(disabled);
   const Shares with_policy = RunLargeAndSmallTasks(SchedulerPolicy());
-  MESSAGE("large, in time: ", without_policy.urgent, " before, ",
-          with_policy.urgent, " after; small: ", without_policy.patient,
+  MESSAGE("share of large tasks in time: ", without_policy.urgent, " without, ",
+          with_policy.urgent,
+          " with the policies; of small tasks: ", without_policy.patient,
           " and ", with_policy.patient);
   CHECK(with_policy.urgent >= without_policy.urgent + 0.06);
   CHECK(with_policy.urgent > 0.95);
   CHECK(with_policy.patient > 0.95);
 }
 
-// Runs that yielded within 12 s on 8 full workers, with a large task each
-// second beside so many jobs of small ones that came at once.
+// Returns the number of preemptions within 12 s on 8 full workers.
+// `small_jobs` jobs of small tasks arrive at once, then one large task every
+// second.
 int64_t CountPreemptions(int small_jobs) {
   SiteSimulation::Options options;
   options.workers = 8;
@@ -134,15 +137,16 @@
   return site.scheduler()->figures().preemptions;
 }
 
-// Beside 20 jobs runs yield, beside 200 none does: it would cost work that a
-// site which is behind cannot make up.
-TEST_CASE("site load: no run yields while the site is behind") {
+// With 20 small jobs runs are preempted, with 200 none is: preemption repeats
+// work, and a site with a backlog has no spare capacity to make up for it.
+TEST_CASE("site load: no run is preempted while the site has a backlog") {
   CHECK(CountPreemptions(20) > 0);
   CHECK(CountPreemptions(200) == 0);
 }
 
-// Short jobs whose objective leaves half a second, while some answers of
-// workers are lost, and some orders come seconds late.
+// Runs short jobs whose latency objective leaves half a second of slack. `lost`
+// is the share of lost worker answers, `late` the share of orders that workers
+// carry out seconds late. Returns the share of jobs in time.
 double RunShortJobs(SchedulerPolicy policy, double lost, double late) {
   double sum = 0;
   constexpr int kSeeds = 5;
@@ -173,13 +177,14 @@
   return sum;
 }
 
-// 0.85 were in time before, 0.99 are now.
-TEST_CASE("site load: short jobs are in time although answers get lost") {
+// Without the policy, 0.85 of the jobs are in time; with it, 0.99 are.
+TEST_CASE("site load: short jobs are in time despite lost answers") {
   SchedulerPolicy disabled;
   disabled.settle_soon = false;
   const double without_policy = RunShortJobs(disabled, 0.05, 0.02);
   const double with_policy = RunShortJobs(SchedulerPolicy(), 0.05, 0.02);
-  MESSAGE("in time: ", without_policy, " before, ", with_policy, " after");
+  MESSAGE("share in time: ", without_policy, " without, ", with_policy,
+          " with the policy");
   CHECK(without_policy < 0.9);
   CHECK(with_policy > 0.95);
 }
--- a/testing/site_process_test.cc
+++ b/testing/site_process_test.cc
@@ -1,5 +1,6 @@
-// Nodes of a site as real processes against the platform stand-in: signals,
-// outages and callers' errors, judged from what the workers really ran.
+// Tests of a site's nodes as real processes against the fake platform: signals,
+// outages and client errors. Results are checked against the runs that the fake
+// workers recorded.
 
 #include <doctest/doctest.h>
 
@@ -27,7 +28,7 @@
   return outcome.response ? outcome.response->status : 0;
 }
 
-TEST_CASE("site processes: jobs of steps and gangs through every node") {
+TEST_CASE("site processes: every node accepts jobs of steps and gangs") {
   SiteTestCluster cluster({});
   REQUIRE(cluster.AwaitReady(3));
   for (uint64_t job = 1; job <= 9; ++job) {
@@ -36,7 +37,8 @@
                                  : SiteTestCluster::OneStepJob(2, 200);
     CHECK(StatusOf(cluster.Call(static_cast<int>(job % 3), "POST", job,
                                 body)) == 200);
-    // The same id again, at another node, is the same job.
+    // Submitting the same id again, at another node, does not create a second
+    // job.
     CHECK(StatusOf(cluster.Call(static_cast<int>((job + 1) % 3), "POST", job,
                                 body)) == 200);
   }
@@ -46,7 +48,8 @@
   CheckNoFaults(cluster);
 }
 
-TEST_CASE("site processes: bad settings are named, and nothing starts") {
+TEST_CASE(
+    "site processes: invalid settings are named and the node does not start") {
   const std::string path = "/tmp/keelbridge-bad-settings.json";
   std::ofstream(path) << "{\"name\": \"n\", \"store\": \"nowhere\"}";
   ChildProcess node("keelbridge-node", {"--settings=" + path}, path + ".log");
@@ -84,7 +87,7 @@
   CHECK(StatusOf(cluster.Call(0, "GET", 5)) == 410);
 }
 
-TEST_CASE("site processes: a traced call leaves a span a hop") {
+TEST_CASE("site processes: a traced call records one span per hop") {
   SiteTestCluster cluster({});
   REQUIRE(cluster.AwaitReady(3));
   const int follower = cluster.Leader() == 0 ? 1 : 0;
@@ -127,7 +130,7 @@
 }
 
 TEST_CASE(
-    "site processes: the leader is killed; nothing runs twice, nothing "
+    "site processes: when the leader is killed, no task runs twice and no job "
     "is lost") {
   SiteTestCluster cluster({});
   REQUIRE(cluster.AwaitReady(3));
@@ -169,7 +172,8 @@
   down.down = true;
   cluster.WithPlatform(
       [&](SitePlatform& platform) { platform.store().SetFaults(down); });
-  // An idle leader learns of it at its next sign of life, 1.5 s apart.
+  // An idle leader notices the outage at its next heartbeat to the store, which
+  // it sends every 1.5 s.
   absl::SleepFor(absl::Milliseconds(2500));
   const HttpOutcome refused =
       cluster.Call(0, "POST", 50, SiteTestCluster::OneStepJob(1, 1));
@@ -198,7 +202,8 @@
     CHECK(StatusOf(cluster.Call(static_cast<int>(job % 3), "POST", job,
                                 SiteTestCluster::OneStepJob(2, 2500, 1000))) ==
           200);
-  // All of them end while the store is away: more than it takes at once.
+  // All jobs end while the store is down. The records of their ends exceed what
+  // the store accepts in one append.
   SiteStore::Faults down;
   down.down = true;
   cluster.WithPlatform(
@@ -213,7 +218,8 @@
   CheckNoFaults(cluster);
 }
 
-TEST_CASE("site processes: answers of store and workers are lost") {
+TEST_CASE(
+    "site processes: jobs complete despite lost answers of store and workers") {
   SiteTestCluster cluster({});
   REQUIRE(cluster.AwaitReady(3));
   SiteStore::Faults lossy;
@@ -233,7 +239,7 @@
   CheckNoFaults(cluster);
 }
 
-TEST_CASE("site processes: a lost answer of the store costs little time") {
+TEST_CASE("site processes: a lost answer of the store adds little latency") {
   SiteTestCluster cluster({});
   REQUIRE(cluster.AwaitReady(3));
   SiteStore::Faults lossy;
@@ -249,7 +255,7 @@
     times.push_back(absl::Now() - start);
   }
   std::sort(times.begin(), times.end());
-  // Seven of ten lost no answer or one.
+  // Seven of ten submissions lose at most one answer.
   CHECK(times[kJobs * 7 / 10] < absl::Milliseconds(450));
   cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(SiteStore::Faults());
@@ -281,7 +287,7 @@
   options.blocked_logs = true;
   SiteTestCluster cluster(options);
   REQUIRE(cluster.AwaitReady(3));
-  // More lines than a pipe and the ring hold.
+  // Logs more lines than the pipe and the log's ring buffer hold.
   constexpr uint64_t kJobs = 400;
   for (uint64_t job = 1; job <= kJobs; ++job)
     REQUIRE(
--- a/testing/site_restart_test.cc
+++ b/testing/site_restart_test.cc
@@ -1,5 +1,6 @@
-// Workers that start again under the id that they had, as real processes meet
-// them: no end is dropped unheard, no run that is gone is taken to go on.
+// Tests with real processes of workers that restart under their previous id: no
+// ended run is lost, and no run that the restart killed is taken for a running
+// one.
 
 #include <doctest/doctest.h>
 
@@ -35,7 +36,7 @@
   CHECK(faults.empty());
 }
 
-TEST_CASE("site restart: no end of a worker's next life is dropped unheard") {
+TEST_CASE("site restart: no end in a worker's next incarnation is lost") {
   SiteTestCluster cluster(TwoWorkerOptions());
   REQUIRE(cluster.AwaitReady(3));
   for (uint64_t job = 1; job <= 4; ++job) {
@@ -50,22 +51,23 @@
   CheckNoFaults(cluster);
 }
 
-TEST_CASE("site restart: what was lost with a worker's life is started again") {
+TEST_CASE("site restart: runs lost with a worker's incarnation start again") {
   SiteTestCluster cluster(TwoWorkerOptions());
   REQUIRE(cluster.AwaitReady(3));
-  absl::SleepFor(absl::Seconds(8));  // A clock that the next lives lack.
+  // Makes sure that the clocks of these incarnations are ahead of those of the
+  // next ones.
+  absl::SleepFor(absl::Seconds(8));
   REQUIRE(cluster.SubmitAnywhere(1, SiteTestCluster::OneStepJob(6, 2000)));
   absl::SleepFor(absl::Seconds(1));
   RestartAll(cluster, absl::Milliseconds(300));
   const absl::Time restarted = absl::Now();
   CHECK(cluster.AwaitState(1, "completed"));
-  // Until they are back, until that is noticed, and their work.
+  // Covers the restart, its detection and the repeated work.
   CHECK(absl::Now() - restarted < absl::Seconds(5));
   CheckNoFaults(cluster);
 }
 
-TEST_CASE(
-    "site restart: a task that crashes its worker each time is given up") {
+TEST_CASE("site restart: a task that always crashes its worker fails") {
   SiteTestCluster::Options options = TwoWorkerOptions();
   options.platform.keep_id_after_crash = true;
   SiteTestCluster cluster(options);
--- a/testing/site_silence_test.cc
+++ b/testing/site_silence_test.cc
@@ -1,5 +1,5 @@
-// All connections of a site go silent for good at one moment, without an end,
-// while new ones pass: what real processes do then.
+// Test with real processes: all open connections of a site stop delivering data
+// at the same moment and are never closed, while new connections work.
 
 #include <doctest/doctest.h>
 
@@ -18,19 +18,21 @@
 namespace {
 
 constexpr int kNodes = 3;
-// After a silence every node must accept jobs within this time: a lost try of
-// 1 s, and a leader that is heard of again.
+// Limit for the first job that a node accepts after the connections became
+// silent: covers one failed attempt of 1 s and the time to learn of the leader
+// again.
 constexpr absl::Duration kFirstAcceptTimeout = absl::Seconds(3);
-// Then each further one: a call that finds no silent connection takes some
-// 20 ms.
+// Limit for each further job. A call that meets no silent connection takes
+// about 20 ms.
 constexpr absl::Duration kNextAcceptTimeout = absl::Milliseconds(800);
 constexpr absl::Duration kPollInterval = absl::Milliseconds(30);
-// As many calls at a time as a node keeps connections to a peer.
+// Equals the number of connections that a node keeps to a peer.
 constexpr int kCallers = 10;
 constexpr int kFurtherCalls = 12;
-// At most 5 in 10 s, and the test is over within two such periods.
+// A node logs at most 5 such lines in 10 s, and the test ends within two of
+// these periods.
 constexpr int kMaxLogLines = 10;
-constexpr int kLongMs = 9000;  // Longer than a lease of 6 s.
+constexpr int kLongMs = 9000;  // Longer than a lease, which is 6 s.
 constexpr int kShortMs = 100;
 
 SiteTestCluster::Options ProxiedOptions() {
@@ -44,12 +46,13 @@
   return outcome.response ? outcome.response->status : 0;
 }
 
-// Jobs that were handed in at a site, each of one task.
+// Submits jobs of one task each to a site and keeps track of them.
 class SubmittedJobs {
  public:
   explicit SubmittedJobs(SiteTestCluster& cluster) : cluster_(cluster) {}
 
-  // Hands a new job in at `node` until it is accepted; how long it took.
+  // Submits a new job at `node`, with retries for up to 20 s until it is
+  // accepted. Returns how long this took.
   absl::Duration Submit(int node, int work_ms) {
     const uint64_t job = ++last_;
     const absl::Time start = absl::Now();
@@ -61,7 +64,7 @@
     }
     return absl::Now() - start;
   }
-  // From `callers` threads at each node, one job each.
+  // Submits one job from each of `callers` threads per node.
   void SubmitAtAll(int callers, int work_ms) {
     std::vector<std::thread> threads;
     threads.reserve(static_cast<size_t>(callers) * kNodes);
@@ -72,7 +75,7 @@
   }
   uint64_t count() const { return last_; }
 
-  // None is denied by any node, and all complete.
+  // Checks that all submitted jobs complete.
   void CheckNoneLost() {
     for (uint64_t job = 1; job <= last_; ++job) {
       CAPTURE(job);
@@ -85,7 +88,7 @@
   std::atomic<uint64_t> last_{0};
 };
 
-// Lines of `event` that `node` has logged.
+// Returns the number of log lines of `node` for `event`.
 int CountLogLines(const SiteTestCluster& cluster, int node,
                   const std::string& event) {
   std::ifstream log(absl::StrCat(cluster.directory(), "/node-", node, ".log"));
@@ -103,7 +106,8 @@
   return claims;
 }
 
-// Each node accepts jobs soon, and goes on to.
+// Checks that each node accepts a first job and then further ones within the
+// limits above.
 void CheckAllNodesAccept(SubmittedJobs& jobs) {
   std::vector<absl::Duration> first(kNodes);
   std::vector<absl::Duration> slowest(kNodes);
@@ -129,7 +133,8 @@
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   SubmittedJobs jobs(cluster);
-  // Connections to the leader, as many as a node keeps; tasks that go on.
+  // Opens as many connections to the leader as a node keeps, and starts tasks
+  // that outlast the silent period.
   jobs.SubmitAtAll(kCallers, kShortMs);
   jobs.SubmitAtAll(2, kLongMs);
   jobs.SubmitAtAll(kCallers, kShortMs);
@@ -138,12 +143,13 @@
   cluster.SilenceAllOpenConnections();
   CheckAllNodesAccept(jobs);
   jobs.CheckNoneLost();
-  // One leader may have lost the others' word; that is no series.
+  // The leader may miss the replies of the other nodes once, which causes one
+  // claim of leadership, but claims must not repeat.
   CHECK(CountClaims(cluster) - claims <= 1);
-  // No lease lapsed: each task ran once.
+  // No lease expired: each task ran once.
   CHECK(cluster.RunCount() == jobs.count());
   CHECK(cluster.Faults().empty());
-  // Each node tells of it, in few lines.
+  // Each node logs the silent connections in a small number of lines.
   for (int node = 0; node < kNodes; ++node) {
     const int lines = CountLogLines(cluster, node, "connection_silent");
     CHECK(lines > 0);
--- a/testing/site_simulation_test.cc
+++ b/testing/site_simulation_test.cc
@@ -1,5 +1,6 @@
-// The scheduler of a site under failure, on a virtual clock: nothing twice,
-// nothing over a worker's room, nothing before its turn, nothing accepted lost.
+// Tests of a site's scheduler under failures, on a virtual clock: no task runs
+// twice, no worker is overcommitted, no step starts before the steps that it
+// depends on, and no accepted job is lost.
 
 #include "testing/support/site_simulation.h"
 
@@ -11,11 +12,13 @@
 namespace keelbridge::testing {
 namespace {
 
-// A task that lasts whose own worker is in reach: the end is heard, another
-// start is answered, or settled if it was not.
+// Limit for the time that a long-running task is down while its own worker is
+// reachable: covers learning of its end and a new start, including the time to
+// determine the outcome of a start that was not answered.
 constexpr absl::Duration kMaxDownTimeWithWorker = absl::Seconds(1);
-// Any other: an earlier leader's bound, 6 s, the lease of its own worker, 6.3
-// s, and what a second change of leader meanwhile adds.
+// Limit in all other cases: the grace period for earlier leaders of 6 s, the
+// lease of the task's own worker of 6.3 s, and the time that a second leader
+// change in the meantime adds.
 constexpr absl::Duration kMaxDownTime = absl::Seconds(20);
 
 StepSpec Step(int32_t count, int32_t cpu_milli, int64_t estimated_ms) {
@@ -53,7 +56,8 @@
   return spec;
 }
 
-// All accepted jobs end, and none but by its own failures or its cancel.
+// Checks that the simulation found no fault and that all accepted jobs have
+// ended.
 void CheckAllJobsEnded(SiteSimulation& site) {
   CAPTURE(absl::StrJoin(site.faults(), "\n"));
   CHECK(site.faults().empty());
@@ -67,7 +71,8 @@
   }
 }
 
-// Jobs of all three kinds for `seconds`.
+// Submits four jobs per second for `seconds`: gangs, jobs of two steps and jobs
+// of a single step.
 void SubmitLoad(SiteSimulation& site, int seconds) {
   for (int i = 0; i < seconds * 4; ++i) {
     site.After(absl::Milliseconds(250 * i), [&site, i] {
@@ -78,7 +83,7 @@
   }
 }
 
-TEST_CASE("site: calm jobs of steps and gangs are completed") {
+TEST_CASE("site: jobs of steps and gangs complete without faults") {
   SiteSimulation::Options options;
   options.failing_runs = 0;
   SiteSimulation site(options);
@@ -90,7 +95,7 @@
     CHECK(site.StatusOf(id) == JobState::kCompleted);
 }
 
-TEST_CASE("site: tickets of advice are asked for and used") {
+TEST_CASE("site: tickets of admission advice are requested and used") {
   SiteSimulation::Options options;
   options.advice = true;
   SiteSimulation site(options);
@@ -102,7 +107,8 @@
 }
 
 TEST_CASE("site: a failed end that is listed again counts once") {
-  // The count is durable, the note to the worker is not, and the leader dies.
+  // The leader dies after it has persisted the failure count and before it has
+  // acknowledged the ended run to the worker, so the worker reports it again.
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     SiteSimulation::Options options;
     options.seed = seed;
@@ -189,8 +195,8 @@
 }
 
 TEST_CASE("site: room of a run whose job has ended still counts") {
-  // A cancelled job's description is dropped; its runs may still be there when
-  // the next leader takes over.
+  // The description of a cancelled job is deleted, but its runs may still be on
+  // the workers when the next leader takes over.
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     SiteSimulation::Options options;
@@ -206,7 +212,7 @@
     }
     site.Run(absl::Milliseconds(500));
     for (const JobId id : jobs) site.Cancel(id);
-    site.Run(absl::Milliseconds(45));  // The cancels are durable.
+    site.Run(absl::Milliseconds(45));  // The cancellations are durable.
     site.ReplaceLeader(absl::Milliseconds(5), false);
     site.Run(absl::Milliseconds(10));
     for (int i = 0; i < 8; ++i) site.Submit(SingleStep(300));
@@ -215,8 +221,8 @@
   }
 }
 
-TEST_CASE("site: a worker cut just after a change of leader keeps its runs") {
-  // Its lease may be one that the earlier leader gave.
+TEST_CASE("site: a worker isolated just after a leader change keeps its runs") {
+  // The worker's lease may have been granted by the earlier leader.
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     SiteSimulation::Options options;
@@ -235,17 +241,17 @@
   }
 }
 
-// Leaders that die, live on, or freeze between what they decided and their
-// orders; workers that leave, crash or are cut off; orders that are lost or
-// carried out late.
-TEST_CASE("site: tasks that last never run twice at once and start again") {
+// Leaders die, continue to run after they were replaced, or freeze between a
+// decision and the orders for it. Workers leave, crash or are isolated. Orders
+// are lost or carried out late.
+TEST_CASE("site: long-running tasks never run twice at once and start again") {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     SiteSimulation::Options options;
     options.seed = seed;
     options.lost_answers = 0.02;
     options.late_orders = seed % 2 == 0 ? 0.03 : 0;
-    // With fewer, some step finds no worker that may run it.
+    // With fewer workers, some step has no worker that may run it.
     options.advice = seed % 3 == 0;
     if (options.advice) options.workers = 24;
     SiteSimulation site(options);
@@ -271,7 +277,8 @@
         if (kind >= 6)
           site.DrainWorker(worker, random_duration, absl::Seconds(12));
         if (kind != 7) return;
-        // The next leader does not reach what may still run there.
+        // The next leader cannot reach the worker, where the task may still
+        // run.
         site.After(absl::Milliseconds(150), [&site, worker] {
           site.CutWorker(worker, absl::Seconds(6));
           site.ReplaceLeader(absl::Milliseconds(300), false);
@@ -288,9 +295,11 @@
   }
 }
 
-// One worker leaves and answers nothing, another is cut off, and a leader
-// freezes: a task whose own worker is there waits for neither.
-TEST_CASE("site: a task that lasts does not wait for workers of others") {
+// One worker leaves and stops answering, another is isolated, and a leader
+// freezes. A task whose own worker is reachable must not wait for either of the
+// two.
+TEST_CASE(
+    "site: a long-running task does not wait for workers of other tasks") {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     SiteSimulation::Options options;
@@ -319,9 +328,10 @@
   }
 }
 
-// Jobs whose tasks crash what starts them, workers that shrink, leave, crash by
-// themselves and are cut off, leaders that die, live on, or stand still as a
-// suspended machine does, and a store that goes away.
+// Runs jobs whose tasks crash the workers that start them. Meanwhile workers
+// shrink, leave, crash by themselves and are isolated, leaders die, continue to
+// run after they were replaced, or pause like a suspended machine, and the
+// store is down. Only the crashing jobs may fail.
 void RunWithCrashingTasks(uint64_t seed) {
   CAPTURE(seed);
   SiteSimulation::Options options;
@@ -380,31 +390,34 @@
   }
 }
 
-TEST_CASE("site: tasks that crash their workers beside other troubles") {
+TEST_CASE("site: tasks that crash their workers among other faults") {
   for (uint64_t seed = 1; seed <= 60; ++seed) RunWithCrashingTasks(seed);
 }
 
-// Seeds that failed once.
+// Seeds that once failed, with the fault that each of them showed.
 TEST_CASE("site: tasks that crash their workers, seeds that failed") {
-  // A sound task that served beside them was given up: it was charged with
-  // crashes that came right after others had begun there.
+  // A sound task that ran on the same workers failed: it was blamed for crashes
+  // that came right after other tasks had started there.
   for (const uint64_t seed : {1103, 1112, 1273, 1328, 1330, 1358})
     RunWithCrashingTasks(seed);
-  // The same by two crashes alone on its worker, one of them drawn.
+  // The same failure after two crashes while the sound task was alone on its
+  // worker; one of the crashes was injected at random.
   RunWithCrashingTasks(1001);
-  // BUDGET: a gang that takes many workers looked like a wave of crashes.
+  // BUDGET: a gang that crashed many workers was taken for a wave of unrelated
+  // crashes.
   RunWithCrashingTasks(1318);
-  // BUDGET: the store was away, and the next leader found an older account.
+  // BUDGET: the store was down, and the next leader loaded an outdated crash
+  // record.
   RunWithCrashingTasks(2367);
-  // BUDGET: its first crash came in a wave, and one was not known to be its
-  // own.
+  // BUDGET: the first crash of the task came in a wave, and another one could
+  // not be attributed to it with certainty.
   RunWithCrashingTasks(3422);
 }
 
-// Workers start again under their ids in series, again before they were
-// noticed, with orders that are carried out late, leaders that change and power
-// lost.
-// `restarted_before`: one did so before there was work.
+// Restarts workers under their ids, in series, and some again before the first
+// restart was noticed, together with late orders, leader changes and power
+// losses. All jobs must complete. If `restarted_before` is true, one worker
+// restarts before the first job is submitted.
 void RunWithRestarts(uint64_t seed, int fault_count, double late_orders,
                      bool restarted_before = false) {
   CAPTURE(seed);
@@ -441,12 +454,12 @@
           site.RestartWorker((first + worker) % 8, down);
         });
       }
-      if (kind == 1)  // Once more, as soon as it is back.
+      if (kind == 1)  // Restarts it again once it is back.
         site.After(down + gap, [=, &site] { site.RestartWorker(first, down); });
       if (kind == 2) site.ReplaceLeader(absl::Milliseconds(300), false);
       if (kind == 3) site.ReplaceLeader(absl::Milliseconds(50), true);
       if (kind == 4) site.CutWorker(first, gap * 4);
-      if (kind == 5) site.ReplaceLeader(down, false);  // All lost power.
+      if (kind == 5) site.ReplaceLeader(down, false);  // Power loss.
     });
   }
   site.Run(absl::Seconds(70));
@@ -461,7 +474,7 @@
   }
 }
 
-// Played in a test of its own, the last one.
+// The last test of this file runs this seed instead.
 constexpr uint64_t kSoundJobGivenUpSeed = 13;
 
 TEST_CASE("site: workers that start again under their ids") {
@@ -470,28 +483,29 @@
   }
 }
 
-TEST_CASE("site: orders come late as workers start again under their ids") {
+TEST_CASE("site: orders arrive late as workers restart under their ids") {
   for (uint64_t seed = 1; seed <= 10; ++seed) RunWithRestarts(seed, 3, 0.03);
 }
 
-// A late order may reach a life that nobody has spoken to yet: its task waits
-// until that cannot be any more, where workers were seen to start again.
+// A late order may reach an incarnation that no leader has contacted yet. Where
+// workers were observed to restart, its task therefore waits until no late
+// order can arrive any more.
 TEST_CASE("site: no late order runs twice once workers were seen to restart") {
   for (uint64_t seed = 1; seed <= 100; ++seed)
     RunWithRestarts(seed, 3, 0.03, /*restarted_before=*/true);
 }
 
-// A late order may reach a life that nobody has spoken to yet.
+// A late order may reach an incarnation that no leader has contacted yet.
 TEST_CASE("site: no order that comes late runs twice on a worker's next life") {
   for (uint64_t seed = 11; seed <= 60; ++seed) RunWithRestarts(seed, 3, 0.03);
 }
 
-// Some tasks lose four workers in a row by chance.
+// With this many restarts, some tasks lose four workers in a row by chance.
 TEST_CASE(
     "site: no sound job is given up as workers start again all the time") {
   RunWithRestarts(kSoundJobGivenUpSeed, 3, 0);
   for (uint64_t seed = 1; seed <= 60; ++seed) RunWithRestarts(seed, 5, 0);
-  // A series of restarts takes the task's worker three and four times in a row.
+  // A series of restarts hits the task's worker three or four times in a row.
   for (const uint64_t seed : {106, 407, 490}) RunWithRestarts(seed, 5, 0);
 }
 
--- a/testing/site_soak_test.cc
+++ b/testing/site_soak_test.cc
@@ -1,4 +1,6 @@
-// Short seeded soaks; more seeds by hand: build/keelbridge-soak --seeds=50.
+// Short soak tests with fixed seeds. The soak program runs other seeds:
+//
+//   build/keelbridge-soak --seeds=50
 
 #include "testing/support/site_soak.h"
 
@@ -31,8 +33,7 @@
   CheckSeed(2);
 }
 
-// Tasks that crash their workers, workers that shrink, and leaders that go in
-// between.
+// Tasks crash their workers, workers shrink, and leaders are killed in between.
 TEST_CASE("soak: two short seeds of workers that crash and shrink") {
   SoakOptions options = ShortSoakOptions();
   options.kinds = SoakFaultSet::kWorkers;
@@ -40,8 +41,8 @@
   CheckSeed(2, options);
 }
 
-// Workers that start again under their ids, in series, as leaders go.
-TEST_CASE("soak: two short seeds of workers that start again") {
+// Series of workers restart under their ids while leaders are killed.
+TEST_CASE("soak: two short seeds of workers that restart") {
   SoakOptions options = ShortSoakOptions();
   options.kinds = SoakFaultSet::kRestarts;
   options.max_faults = 3;
@@ -49,7 +50,7 @@
   CheckSeed(2, options);
 }
 
-// Orders that come late to workers that start again.
+// Orders reach restarting workers late.
 TEST_CASE("soak: two short seeds of orders that come late to a next life") {
   SoakOptions options = ShortSoakOptions();
   options.kinds = SoakFaultSet::kLateRestarts;
@@ -58,20 +59,22 @@
   CheckSeed(2, options);
 }
 
-// Seeds that failed once, with what was at fault.
+// Seeds that once failed, with the cause of each failure.
 TEST_CASE("soak: seeds that failed") {
   SoakOptions options;
   options.length = absl::Seconds(12);
   options.nodes = 6;
   options.max_faults = 12;
   options.kinds = SoakFaultSet::kFirst;
-  // TWICE, both: a leader took a worker's life that was there for one that is
-  // over, since the platform still listed the life before it.
+  // TWICE, with both seeds: a leader took the current incarnation of a worker
+  // for an ended one, because the platform still listed the previous
+  // incarnation.
   CheckSeed(1005, options);
   CheckSeed(1018, options);
 }
 
-// Seeds that found what no earlier soak could, with what is at fault.
+// Options for seeds that failed with the later fault kinds. The first set of
+// fault kinds could not show these failures.
 SoakOptions LaterFaultSetOptions() {
   SoakOptions options;
   options.length = absl::Seconds(12);
@@ -82,11 +85,12 @@
 }
 
 TEST_CASE("soak: seeds that failed, configuration") {
-  // CONFIG: the polls of all nodes were under way when the change was written,
-  // and none was answered: each node waited 22 s for its own.
+  // CONFIG: the polls of all nodes were in flight when the change was written,
+  // and none was answered: each node waited 22 s for its own poll.
   CheckSeed(7030, LaterFaultSetOptions());
-  // CONFIG: the same behind silences that healed quietly, with the history
-  // forgotten: the one node that had heard lost its next poll, too.
+  // CONFIG: the same failure after silent outages that ended without a reset,
+  // with a store that had dropped its history. The only node that had learned
+  // of the change lost its next poll, too.
   CheckSeed(7021, LaterFaultSetOptions());
 }
 
@@ -95,8 +99,9 @@
   options.nodes = 5;
   options.max_faults = 10;
   options.kinds = SoakFaultSet::kFirstAndLater;
-  // LOST, in 2 of 4 runs: a leader that was paused answered from its old table
-  // when it went on, before it heard of the next one: its poll was lost.
+  // LOST, in 2 of 4 runs: a paused leader answered from its outdated job table
+  // when it resumed, before it learned of the next leader, as its poll was
+  // lost.
   CheckSeed(9206, options);
 }
 
@@ -105,10 +110,10 @@
   options.length = absl::Seconds(12);
   options.kinds = SoakFaultSet::kWorkers;
   // BUDGET: three leaders in a row were killed 0.4 s after they had started the
-  // tasks, before anything showed, and left no record of them.
+  // tasks, before they detected a crash, and left no record of the starts.
   CheckSeed(4, options);
-  // BUDGET: all nodes stood still for seconds, and the crash that they slept
-  // through was taken for a silence.
+  // BUDGET: all nodes were paused for seconds, and a crash during the pause was
+  // taken for an unresponsive worker.
   CheckSeed(13, options);
 }
 
--- a/testing/site_stale_knowledge_test.cc
+++ b/testing/site_stale_knowledge_test.cc
@@ -1,5 +1,5 @@
-// What a node knows of the configuration may be old without anybody telling it:
-// it must find out by itself.
+// Tests with real processes of nodes that hold a stale configuration and get no
+// notification of the change: each node must detect this by itself.
 
 #include <doctest/doctest.h>
 
@@ -15,11 +15,12 @@
 namespace {
 
 constexpr int kNodes = 3;
-// From the end of an outage until all nodes must use the newest configuration,
-// when that was written 2 s before at least: nodes are in touch then.
+// Limit from the end of an outage until all nodes must use the newest
+// configuration, if it was written at least 2 s before that end. The nodes are
+// back in contact with the store within this time.
 constexpr absl::Duration kApplyTimeout = ConfigurationCheck::kRecoveryTime;
 constexpr int kLargeSiteQueues = 2800;
-// 10 Mbit/s, the slowest link that nodes have.
+// 10 Mbit/s, the slowest link of any node.
 constexpr double kSlowestLinkBytesPerSecond = 10e6 / 8;
 
 SiteTestCluster::Options ProxiedOptions() {
@@ -46,8 +47,8 @@
 }
 
 TEST_CASE(
-    "stale knowledge: a configuration that every poll of the store missed is "
-    "in force soon after the store answers again") {
+    "stale knowledge: a configuration that every poll missed is in force soon "
+    "after the store answers again") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   REQUIRE(AllNodesUse(cluster, 1));
@@ -61,7 +62,8 @@
   CHECK(AwaitAllNodesUse(cluster, 2));
 }
 
-// Of `queues` queues, each in a route of some 80 bytes and `padding_bytes`.
+// Returns a configuration with `queues` additional queues. The route of each
+// takes about 80 bytes plus `padding_bytes`.
 std::string LargeConfiguration(int64_t version, int queues,
                                size_t padding_bytes) {
   std::string out =
@@ -79,15 +81,15 @@
 }
 
 TEST_CASE(
-    "stale knowledge: a large configuration that was missed comes over slow "
-    "links") {
+    "stale knowledge: a large configuration that was missed is transferred "
+    "over slow links") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   for (int i = 0; i < kNodes; ++i)
     cluster.SetStoreProxy(i, FaultProxy::Mode::kDropAll);
   absl::SleepFor(absl::Milliseconds(300));
   cluster.WithPlatform([](SitePlatform& platform) {
-    // About 100 KB: seven pieces through a proxy that holds each for 0.2 s.
+    // About 100 KB, which pass the proxy as seven chunks delayed by 0.2 s each.
     platform.store().Put("keyed.op", "config", LargeConfiguration(2, 1200, 0));
   });
   absl::SleepFor(absl::Seconds(2));
@@ -107,8 +109,9 @@
   });
 }
 
-// No node reaches the store for `silence`, during which a large configuration
-// is written; then it is as if nothing had been, but for calls that hang.
+// Cuts all nodes off the store for `outage` and writes a large configuration
+// meanwhile. The outage ends without resets, so calls that were in flight keep
+// hanging. If `drop_history` is true, the store also drops its history.
 void CheckLargeAfterOutage(SiteTestCluster& cluster, int64_t version,
                            absl::Duration outage, bool drop_history) {
   for (int i = 0; i < kNodes; ++i)
@@ -124,7 +127,8 @@
   CAPTURE(absl::FormatDuration(outage));
   CHECK(AwaitAllNodesUse(cluster, version));
   MESSAGE("in force ", absl::ToInt64Milliseconds(absl::Now() - healed),
-          " ms after a silence of ", absl::ToInt64Milliseconds(outage), " ms");
+          " ms after a silent outage of ", absl::ToInt64Milliseconds(outage),
+          " ms");
 }
 
 void CheckLargeAfterOutages(bool drop_history) {
@@ -133,7 +137,8 @@
   for (int i = 0; i < kNodes; ++i)
     cluster.SetStoreLink(i, kSlowestLinkBytesPerSecond);
   int64_t version = 1;
-  // A read that hangs is at another point of its time at the end of each.
+  // At the end of each of these outages, a hanging read is at a different point
+  // of its timeout.
   for (const int ms : {2400, 3300, 4200, 5100, 6000}) {
     CheckLargeAfterOutage(cluster, ++version, absl::Milliseconds(ms),
                           drop_history);
@@ -143,13 +148,13 @@
 
 TEST_CASE(
     "stale knowledge: 700 KB on the slowest link are in force 3 s after a "
-    "silence of any length") {
+    "silent outage of any length") {
   CheckLargeAfterOutages(false);
 }
 
 TEST_CASE(
     "stale knowledge: 700 KB on the slowest link are in force 3 s after a "
-    "silence in which the store forgot its history") {
+    "silent outage in which the store dropped its history") {
   CheckLargeAfterOutages(true);
 }
 
@@ -188,15 +193,16 @@
   for (int i = 0; i < kNodes; ++i) {
     REQUIRE(cluster.ConfigurationVersion(i) == 1);
     CHECK(GetStatus(cluster, i, "/other/") == 503);
-    // A route below one that the node knows: not a bad id either.
+    // A newer route below one that the node knows must not be reported as an
+    // invalid job id either.
     CHECK(GetStatus(cluster, i, "/restore/deep/") == 503);
     CHECK(GetStatus(cluster, i, "/restore/deep/0000000000000001") == 503);
   }
 }
 
-// A record that cannot be read is not one that was never written.
+// An unreadable record must not be treated as one that was never written.
 TEST_CASE(
-    "stale knowledge: what a configuration that cannot be read may hold is not "
+    "stale knowledge: no route that an unreadable configuration may contain is "
     "denied") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
@@ -218,17 +224,18 @@
     CHECK(GetStatus(cluster, i, "/none/") == 404);
 }
 
-// An answer from before a standstill of this process tells nothing of now.
+// A heartbeat response from before a suspension of the process says nothing
+// about the present state.
 TEST_CASE(
-    "stale knowledge: a heartbeat's answer that lay there while the process "
-    "stood still makes it not ready") {
+    "stale knowledge: a heartbeat response that was waiting while the process "
+    "was suspended does not make it ready") {
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   const int leader = cluster.Leader();
   REQUIRE(leader >= 0);
   const int suspended_node = (leader + 1) % kNodes;
   int ready_count = 0;
-  // Heartbeats are under way most of the time.
+  // With delayed peers, a heartbeat is in flight most of the time.
   cluster.SetPeerProxy(leader, FaultProxy::Mode::kDelay);
   absl::SleepFor(absl::Seconds(2));
   REQUIRE(cluster.Ready(suspended_node));
--- a/testing/soak_main.cc
+++ b/testing/soak_main.cc
@@ -1,4 +1,4 @@
-// keelbridge-soak: soaks of a site by hand, one seed after another.
+// keelbridge-soak: runs soak tests of a site, one seed after the other.
 //
 //   build/keelbridge-soak --first=1 --seeds=50 --length=15s
 
@@ -9,15 +9,17 @@
 #include "testing/support/site_soak.h"
 
 ABSL_FLAG(uint64_t, first, 1, "first seed");
-ABSL_FLAG(uint64_t, seeds, 10, "how many seeds");
-ABSL_FLAG(absl::Duration, length, absl::Seconds(15), "faults for so long");
+ABSL_FLAG(uint64_t, seeds, 10, "number of seeds");
+ABSL_FLAG(absl::Duration, length, absl::Seconds(15),
+          "for how long faults are injected");
 ABSL_FLAG(int, nodes, 4, "nodes");
 ABSL_FLAG(int, workers, 6, "workers");
-ABSL_FLAG(int, faults, 6, "faults at most");
+ABSL_FLAG(int, faults, 6, "maximum number of faults per seed");
 ABSL_FLAG(std::string, kinds, "all",
-          "kinds of trouble: all, first, later, first-and-later, silences, "
+          "set of fault kinds: all, first, later, first-and-later, silences, "
           "workers, restarts, late-restarts");
-ABSL_FLAG(bool, notes, false, "tells of all seeds what was done");
+ABSL_FLAG(bool, notes, false,
+          "also print the events of seeds without a failure");
 
 namespace {
 
@@ -52,8 +54,8 @@
     std::cout << "seed " << seed << ": " << report.faults.size() << " faults, "
               << report.accepted << " accepted, " << report.refused
               << " refused, " << report.unknown << " unknown, " << report.runs
-              << " runs, " << report.events.size() << " notes, "
-              << report.read_calls << " looks, slowest change "
+              << " runs, " << report.events.size() << " events, "
+              << report.read_calls << " read calls, slowest change "
               << absl::ToInt64Milliseconds(report.max_change_delay) << " ms"
               << std::endl;
     if (!report.faults.empty()) ++failed;
--- a/testing/workload/naive_decider.h
+++ b/testing/workload/naive_decider.h
@@ -1,6 +1,7 @@
-// The plainly right scheduler to compare with: first come, first fit. It walks
-// the queue in order and gives each task that fits the first worker that has
-// room. Nothing yields, nothing is kept free, nothing is reserved.
+// The baseline scheduler for comparisons: first come, first served, with first
+// fit. It walks the queue in order and places each task on the first worker
+// with enough free capacity. Tasks that fit nowhere keep their place in the
+// queue. Nothing is preempted and no capacity is reserved.
 
 #ifndef KEELBRIDGE_TESTING_WORKLOAD_NAIVE_DECIDER_H_
 #define KEELBRIDGE_TESTING_WORKLOAD_NAIVE_DECIDER_H_
@@ -28,7 +29,7 @@
     return queue_.back();
   }
 
-  // Starts everything that fits now.
+  // Starts all queued tasks that fit now and returns them with their workers.
   std::vector<std::pair<TaskId, WorkerId>> Decide() {
     std::vector<std::pair<TaskId, WorkerId>> starts;
     for (auto it = queue_.begin(); it != queue_.end();) {
--- a/testing/workload/report_main.cc
+++ b/testing/workload/report_main.cc
@@ -1,5 +1,6 @@
-// Prints the quality of decisions on both workloads, ours beside the naive
-// version, as Markdown. scripts/measure puts it into docs/MEASUREMENTS.md.
+// Prints the scheduling quality on both workloads as Markdown: the scheduler
+// with each of its policies compared with the naive scheduler. scripts/measure
+// writes the output to docs/MEASUREMENTS.md.
 
 #include <cstdio>
 
@@ -8,12 +9,14 @@
 #include "absl/strings/str_format.h"
 #include "testing/workload/workload_run.h"
 
-ABSL_FLAG(int, workers, 50, "workers in the cell");
-ABSL_FLAG(int, seeds, 5, "seeds to average over");
-ABSL_FLAG(double, load, 1.15, "load offered, of the cell's processors");
-ABSL_FLAG(double, wrong, 1, "estimates wrong by up to this factor");
+ABSL_FLAG(int, workers, 50, "number of workers");
+ABSL_FLAG(int, seeds, 5, "number of seeds to average over");
+ABSL_FLAG(double, load, 1.15,
+          "offered load as a share of the processors of all workers");
+ABSL_FLAG(double, wrong, 1,
+          "factor by which actual durations may exceed their estimates");
 ABSL_FLAG(bool, sweep, false,
-          "also find the largest load that keeps all promises");
+          "also find the largest load that meets all objectives");
 ABSL_FLAG(int64_t, minutes, 60, "length of each run in virtual minutes");
 
 namespace keelbridge::testing {
@@ -51,14 +54,16 @@
       sum.rework_s / 3600, sum.examined_per_placement);
 }
 
-// What the deployments promise: urgent work starts within 2.6 s, interactive
-// work within 2 s, and 99% of deadlines are kept.
+// Returns whether the service objectives of the deployments are met: 99% of
+// urgent tasks start within 2.6 s and 99% of interactive tasks within 2 s, 99%
+// of deadlines are met, and every urgent task has started.
 bool MeetsObjectives(const Outcome& outcome) {
   return outcome.p99_wait[0] <= 2600 && outcome.p99_wait[1] <= 2000 &&
          outcome.deadlines_met >= 0.99 && outcome.never_started[0] == 0;
 }
 
-// The work held at the largest load at which the promises are kept.
+// Prints, for each policy, the largest load at which all objectives are met,
+// and the work done at this load.
 void PrintSweep(const char* title, Workload (*make)(const WorkloadOptions&)) {
   std::printf("\n### %s: the most work that is held with all promises kept\n\n",
               title);
--- a/testing/workload/workload.cc
+++ b/testing/workload/workload.cc
@@ -8,21 +8,22 @@
 
 constexpr int64_t kSecond = 1000;
 constexpr int64_t kMinute = 60 * kSecond;
-// A larger task would fit on no worker of the cell.
+// Tasks with more memory would not fit on any worker.
 constexpr int kMaxGib = 120;
 
-// One kind of task: ranges from which each is drawn evenly.
+// One kind of task. The properties of each task are drawn uniformly from the
+// ranges.
 struct TaskKind {
   WorkClass work_class;
   int team;
-  double share;  // Of the load that is not services.
+  double share;  // Share of all processors used at load 1.
   int min_cores, max_cores;
   int min_gib_per_core, max_gib_per_core;
   double accelerator_share;
   int64_t min_ms, max_ms;
-  double deadline_factor;  // Deadline after so many times its length; 0: none.
+  double deadline_factor;  // Deadline in estimated durations; 0: none.
   bool checkpoints;
-  int burst;  // Tasks that arrive together.
+  int burst;  // Number of tasks that arrive together.
 };
 
 class Generator {
@@ -33,7 +34,7 @@
       cores_ += worker.cpu_milli / 1000.0;
   }
 
-  // Services that hold `share` of the cell's processors throughout.
+  // Adds services that occupy `share` of all processors throughout the run.
   void AddServices(double share, int team) {
     int32_t group = 0;
     for (double allocated_cores = 0; allocated_cores < share * cores_;
@@ -56,7 +57,7 @@
   void AddTasks(const TaskKind& kind) {
     const double mean_cores = (kind.min_cores + kind.max_cores) / 2.0;
     const double mean_ms = static_cast<double>(kind.min_ms + kind.max_ms) / 2;
-    // Arrivals a millisecond that make up this kind's share of the load.
+    // Arrivals per millisecond that result in this kind's share of the load.
     const double rate =
         options_.load * kind.share * cores_ / (mean_cores * mean_ms);
     std::exponential_distribution<double> gap(rate / kind.burst);
--- a/testing/workload/workload.h
+++ b/testing/workload/workload.h
@@ -1,5 +1,6 @@
-// Seeded workloads of the two deployments, for the decision core on a virtual
-// clock: what arrives when, what it needs, and how long it really takes.
+// Seeded workloads of the two deployments for the decision core on a virtual
+// clock: when each task arrives, which resources it needs and how long it
+// actually takes.
 //
 //   Workload workload = PictureDesk({.workers = 50, .seed = 1});
 
@@ -18,15 +19,17 @@
   int workers = 50;
   uint64_t seed = 1;
   int64_t length_ms = int64_t{3600} * 1000;
-  double load = 1.0;  // Of the cell's processors, on average.
-  double max_duration_factor =
-      1;  // True durations are estimates times up to this.
+  // Average offered load relative to all processors. Services don't scale with
+  // it.
+  double load = 1.0;
+  // Upper limit of actual to estimated duration. Values below 1.2 count as 1.2.
+  double max_duration_factor = 1;
 };
 
 struct Arrival {
   int64_t at_ms = 0;
   TaskSpec spec;
-  int64_t actual_ms = 0;  // 0: runs to the end of the workload.
+  int64_t actual_ms = 0;  // 0: runs until the end of the workload.
 };
 
 struct Workload {
@@ -34,15 +37,16 @@
   PolicyKind policy = PolicyKind::kWaitingFirst;
   std::vector<Resources> workers;
   int workers_per_rack = 8;
-  std::vector<double> quotas;     // Of teams 0, 1, ...
-  std::vector<Arrival> arrivals;  // By time.
+  std::vector<double> quotas;     // By team number.
+  std::vector<Arrival> arrivals;  // Ordered by at_ms.
   int64_t length_ms = 0;
 };
 
-// Services and bursts of small interactive work, restorations with deadlines
-// that may use accelerators, long bulk batches.
+// Services, bursts of small interactive tasks, restorations with deadlines that
+// may use accelerators, and long bulk batches.
 Workload PictureDesk(const WorkloadOptions& options);
-// Small deeds, bundles with deadlines, large scans that fill the cell.
+// Services, small urgent and interactive tasks for deeds, bundles with
+// deadlines, and large bulk scans that can occupy all workers.
 Workload Conversion(const WorkloadOptions& options);
 
 }  // namespace keelbridge::testing
--- a/testing/workload/workload_run.cc
+++ b/testing/workload/workload_run.cc
@@ -11,13 +11,14 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr int64_t kStopDelayMs = 100;  // From a stop order to the end.
-constexpr int64_t kCheckpointDelayMs =
-    1000;  // The same, saving progress first.
+// Time from a stop order to the end of the run, without and with a checkpoint.
+constexpr int64_t kStopDelayMs = 100;
+constexpr int64_t kCheckpointDelayMs = 1000;
 constexpr int kDecisionBudget = 100000;
 constexpr double kMsPerHour = 3600 * 1000.0;
 
-// What both schedulers are measured by.
+// Records the starts and ends of runs and computes the outcome from them, for
+// both schedulers.
 class OutcomeRecorder {
  public:
   explicit OutcomeRecorder(const Workload& workload) : workload_(workload) {
@@ -27,7 +28,8 @@
     spent_ms_.assign(workload.arrivals.size(), 0);
   }
 
-  // Adds up the time since the last event.
+  // Moves the time to `now_ms` and accumulates the usage since the last call.
+  // `waiting` tells whether any task was waiting during that time.
   void AdvanceTo(int64_t now_ms, bool waiting) {
     const double span = static_cast<double>(now_ms - now_ms_);
     now_ms_ = now_ms;
@@ -112,8 +114,8 @@
     stranded_accelerators_ += StrandedAccelerators(free);
     used_cpu_ -= sign * need.cpu_milli;
     if (free.cpu_milli < 0 || free.memory_mib < 0 || free.accelerators < 0) {
-      out.faults.push_back(absl::StrCat(
-          "worker ", worker, " is given more than it has at ", now_ms_));
+      out.faults.push_back(
+          absl::StrCat("worker ", worker, " is overcommitted at ms ", now_ms_));
     }
   }
 
@@ -137,13 +139,13 @@
 struct End {
   int64_t at_ms;
   TaskId task;
-  int64_t run;  // Which start of the task this ends.
+  int64_t run;  // The number of the run that ends.
   bool yields;
   bool operator>(const End& other) const { return at_ms > other.at_ms; }
 };
 using EndQueue = std::priority_queue<End, std::vector<End>, std::greater<>>;
 
-// A task that runs, or waits again.
+// The state of a task from its arrival until it finishes.
 struct TaskState {
   size_t arrival = 0;
   int64_t run = 0;
@@ -172,7 +174,7 @@
   OutcomeRecorder recorder(workload);
   EndQueue ends;
   std::map<TaskId, TaskState> tasks;
-  // Task ids are reused, numbers of starts are not.
+  // Run numbers are unique, whereas task ids are reused.
   int64_t next_run = 0;
   size_t next = 0;
   int64_t now = 0;
@@ -252,7 +254,8 @@
     if (!ends.empty()) at = std::min(at, ends.top().at_ms);
     now = std::max(now, at);
     recorder.AdvanceTo(now, naive.waiting() > 0);
-    // Tasks are numbered in the order of their arrival.
+    // The naive scheduler numbers tasks in the order of their arrival, so a
+    // task id is also an index into `arrivals`.
     for (; next < workload.arrivals.size() &&
            workload.arrivals[next].at_ms <= now;
          ++next) {
--- a/testing/workload/workload_run.h
+++ b/testing/workload/workload_run.h
@@ -1,5 +1,6 @@
-// Runs a workload through the decision core, or through the naive one, and
-// measures what its users would feel. Time moves by the workload's own events.
+// Runs a workload through the decision core or the naive scheduler and measures
+// what users would experience. Virtual time advances from one event of the
+// workload to the next.
 //
 //   Outcome ours = RunWorkload(workload, DeciderOptions::ForPolicy(policy));
 //   Outcome naive = RunNaive(workload);
@@ -16,30 +17,35 @@
 namespace keelbridge::testing {
 
 struct Outcome {
-  // By class; waiting times in milliseconds from arrival to the first start.
+  // By work class. Waits are milliseconds from the arrival to the first start.
   std::array<int64_t, kWorkClasses> median_wait{};
   std::array<int64_t, kWorkClasses> p99_wait{};
   std::array<int64_t, kWorkClasses> max_wait{};
   std::array<int64_t, kWorkClasses> started{};
   std::array<int64_t, kWorkClasses> never_started{};
-  double deadlines_met = 0;  // Of those that fell due, 0 to 1.
-  double used_while_waiting =
-      0;                 // Share of processors in use while work waits.
-  double work_done = 0;  // Core hours that finished tasks took.
-  double stranded = 0;   // Share of accelerators that are free on workers
-                         // without a free core, on average.
-  double rework_s = 0;   // Core seconds done again because of yields.
+  // Share of the deadlines that fell due, 0 to 1.
+  double deadlines_met = 0;
+  // Share of processors in use while tasks wait.
+  double used_while_waiting = 0;
+  // Core hours of finished tasks, without rework.
+  double work_done = 0;
+  // Average share of accelerators that are free on workers without a free core.
+  double stranded = 0;
+  // Core seconds repeated because of preemptions.
+  double rework_s = 0;
   int64_t yields = 0;
   int64_t max_preemptions_per_task = 0;
   int64_t placements = 0;
   double examined_per_placement = 0;
-  std::vector<std::string> faults;  // Capacity, spread or conservation broken.
+  std::vector<std::string> faults;  // Workers that were overcommitted.
 };
 
+// Runs the workload through the decision core with `options`.
 Outcome RunWorkload(const Workload& workload, DeciderOptions options);
+// Runs the workload through the naive scheduler.
 Outcome RunNaive(const Workload& workload);
 
-// A decision core with the workload's workers and teams.
+// Returns a decision core with the workers and teams of the workload.
 Decider MakeDecider(const Workload& workload, DeciderOptions options);
 
 }  // namespace keelbridge::testing
--- a/testing/workload/workload_test.cc
+++ b/testing/workload/workload_test.cc
@@ -1,6 +1,7 @@
-// Quality of decisions on the seeded workloads, against the naive version and
-// against the bounds below. The runs are deterministic: a bound that is broken
-// means that decisions changed, and only a commit that says why moves it.
+// Tests of the scheduling quality on the seeded workloads, compared with the
+// naive scheduler and with fixed bounds. The runs are deterministic, so an
+// exceeded bound means that decisions have changed. A commit that moves a bound
+// must say why.
 
 #include <doctest/doctest.h>
 
@@ -29,8 +30,8 @@
 constexpr size_t kInteractive = static_cast<size_t>(WorkClass::kInteractive);
 
 TEST_CASE(
-    "Picture Desk: interactive waiting at least 2 times better than naive, "
-    "deadlines too") {
+    "Picture Desk: interactive waits are at most half of the naive "
+    "scheduler's, and deadlines are met at least as well") {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     CAPTURE(seed);
     const Workload workload = PictureDesk(Options(1.15, seed));
@@ -41,15 +42,15 @@
     CHECK(2 * ours.p99_wait[kInteractive] <= naive.p99_wait[kInteractive]);
     CHECK(ours.deadlines_met >= naive.deadlines_met);
     CHECK(ours.stranded <= naive.stranded);
-    // Bounds of 2026-12-02.
+    // Fixed bounds, independent of the naive scheduler.
     CHECK(ours.p99_wait[kInteractive] <= 1500);
     CHECK(ours.deadlines_met >= 0.95);
   }
 }
 
 TEST_CASE(
-    "Conversion: packing near the naive one's at overload, at far better "
-    "promises") {
+    "Conversion: processor use under overload is close to the naive "
+    "scheduler's, with better waits and deadlines") {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     CAPTURE(seed);
     const Workload workload = Conversion(Options(1.3, seed));
@@ -60,7 +61,7 @@
     CHECK(ours.p99_wait[kUrgent] <= 2600);
     CHECK(ours.p99_wait[kInteractive] <= naive.p99_wait[kInteractive]);
     CHECK(ours.deadlines_met >= naive.deadlines_met);
-    // Bounds of 2026-12-02.
+    // Fixed bounds, independent of the naive scheduler.
     CHECK(ours.used_while_waiting >= 0.93);
   }
 }
@@ -93,7 +94,7 @@
 
 TEST_CASE(
     "more work than the cell holds, and estimates wrong by 3 times: urgent "
-    "work still starts in time") {
+    "tasks still start in time") {
   for (const double duration_factor : {1.0, 3.0}) {
     for (const double load : {1.6, 2.5}) {
       const Outcome ours = Run(PictureDesk(Options(load, 5, duration_factor)));
@@ -101,9 +102,10 @@
       CAPTURE(load);
       CHECK(ours.faults.empty());
       CHECK(ours.p99_wait[kUrgent] <= 2600);
-      // Those that have not started yet count with their wait so far.
+      // Tasks that have not started yet count with their wait so far.
       CHECK(ours.max_wait[kUrgent] <= 5200);
-      // What gets worse first is bulk, then standard work.
+      // Under overload, the waits of bulk tasks grow before those of
+      // interactive tasks.
       CHECK(ours.p99_wait[kInteractive] <=
             ours.p99_wait[static_cast<size_t>(WorkClass::kBulk)]);
     }
