--- a/testing/fakes/fake_log.h
+++ b/testing/fakes/fake_log.h
@@ -1,5 +1,5 @@
-// A stand-in for the platform's log service: streams of records with offsets,
-// kept for a limited time.
+// An in-memory fake of the platform's log service: streams of records with
+// offsets that expire after a retention time.
 
 #ifndef KEELBRIDGE_TESTING_FAKES_FAKE_LOG_H_
 #define KEELBRIDGE_TESTING_FAKES_FAKE_LOG_H_
@@ -14,16 +14,21 @@
 
 namespace keelbridge::testing {
 
+// Not thread-safe.
 class FakeLog {
  public:
   explicit FakeLog(absl::Duration retention = absl::InfiniteDuration())
       : retention_(retention) {}
 
+  // Returns the offset of the appended record.
   int64_t Append(const std::string& stream, std::string text, absl::Time now);
+  // Drops expired records and returns at most `max_records` from offset `from`,
+  // or from the oldest retained offset if that is later.
   LogBatch Read(const std::string& stream, int64_t from, size_t max_records,
                 absl::Time now);
-  // Drops the oldest records now, whatever their age.
+  // Drops all records before `offset`, regardless of their age.
   void DropBefore(const std::string& stream, int64_t offset);
+  // Number of `Append` calls so far.
   int64_t appends() const { return appends_; }
 
  private:
@@ -32,7 +37,7 @@
     absl::Time at;
   };
   struct Stream {
-    int64_t first = 0;
+    int64_t first = 0;  // Offset of the oldest retained record.
     std::deque<Record> records;
   };
 
--- a/testing/fakes/fake_worker.cc
+++ b/testing/fakes/fake_worker.cc
@@ -147,7 +147,7 @@
     if (earliest > mono) {
       ++it;
     } else if (earliest == row.lapse_time) {
-      // A lapsed lease leaves no row: nobody may rely on it.
+      // A lapsed lease is removed entirely, so that no caller can rely on it.
       End(row, LeaseState::kStopped, "lapsed", earliest);
       it = rows_.erase(it);
     } else {
--- a/testing/fakes/fake_worker.h
+++ b/testing/fakes/fake_worker.h
@@ -1,9 +1,9 @@
-// A stand-in for a worker of the platform: holds, leases that lapse,
-// checkpoints, stops.
+// A fake of one platform worker: holds (leadership leases), task leases that
+// lapse, checkpoints and stops.
 //
-// The model is pure (time comes in), so that the same code serves the HTTP
-// stand-in and the tests on a virtual clock. It journals what really ran, from
-// when to when.
+// The model reads no clock: callers pass the current time. The same code
+// therefore serves the HTTP stand-in and tests on a virtual clock. It reports
+// the start and the end of each run to a journal.
 
 #ifndef KEELBRIDGE_TESTING_FAKES_FAKE_WORKER_H_
 #define KEELBRIDGE_TESTING_FAKES_FAKE_WORKER_H_
@@ -20,15 +20,15 @@
 
 namespace keelbridge::testing {
 
-// One fact of a journal: a task began or ceased to run on a worker.
+// A journal entry: a task started or stopped running on a worker.
 struct RunEvent {
-  absl::Time at;  // True (monotonic) time.
+  absl::Time at;  // Monotonic time, independent of the worker's wall clock.
   std::string worker;
   std::string task;
   int64_t attempt = 0;
   bool begins = false;
   Resources resources;
-  std::string how;  // Of an end: "finished", "failed", "checkpointed",
+  std::string how;  // How the run ended: "finished", "failed", "checkpointed",
                     // "stopped", "lapsed" or "killed".
 };
 
@@ -38,7 +38,8 @@
     std::string name;
     Resources total;
     absl::Duration checkpoint_time = absl::Milliseconds(200);
-    // Switched off only to show that a checker finds what then goes wrong.
+    // Disabled only by tests that verify that the run checker detects the
+    // resulting violations.
     bool check_epoch = true;
     bool check_not_after = true;
     bool check_capacity = true;
@@ -50,9 +51,11 @@
   HoldReply Hold(const HoldRequest& request, Now now);
   CommandReply Start(const StartRequest& request, Now now);
   CommandReply Stop(const StopRequest& request, Now now);
-  // Lets time pass: leases lapse, tasks finish, checkpoints complete.
+  // Advances the model to `mono`: leases lapse, tasks finish and checkpoints
+  // complete.
   void Advance(absl::Time mono);
-  // The host restarts: everything it ran and knew is gone.
+  // Simulates a restart of the host, which ends all runs and discards all
+  // state.
   void Restart(uint64_t incarnation, absl::Time now);
 
   Resources used() const { return used_; }
@@ -68,7 +71,7 @@
     absl::Time checkpoint_done_time = absl::InfiniteFuture();
   };
 
-  // Why a command is refused, or empty.
+  // Returns the reason to refuse a command, or an empty string.
   std::string RefusalReason(const std::string& holder, int64_t epoch,
                             int64_t not_after_ms, Now now,
                             bool needs_hold) const;
--- a/testing/fakes/fakes_main.cc
+++ b/testing/fakes/fakes_main.cc
@@ -1,12 +1,13 @@
-// Runs the stand-ins for the platform and for the workers and targets of a
+// Runs stand-ins for the platform and for the workers and targets of a
 // configuration.
 //
-//   keelbridge-fakes --configuration=examples/picture-desk/configuration.json
-//   --out=run/configuration.json
+//   keelbridge-fakes \
+//       --configuration=examples/picture-desk/configuration.json \
+//       --out=run/configuration.json
 //
-// Picks a free port, writes the configuration anew with the addresses that it
-// serves, and writes its port to
-// --ready_file when it serves.
+// Picks a free port unless --port is set, writes a copy of the configuration
+// with the addresses that it serves to --out, and writes its port to
+// --ready_file once it is serving.
 
 #include <csignal>
 #include <fstream>
@@ -23,25 +24,27 @@
 #include "testing/fakes/platform_server.h"
 
 ABSL_FLAG(std::string, configuration, "",
-          "configuration whose workers and targets to stand in for");
-ABSL_FLAG(std::string, out, "",
-          "where to write the configuration with the addresses served here");
+          "configuration whose workers and targets to simulate");
+ABSL_FLAG(
+    std::string, out, "",
+    "file for the configuration with the addresses served by this process");
 ABSL_FLAG(std::string, ready_file, "",
-          "where to write the port once it serves");
-ABSL_FLAG(int, port, 0, "port; 0 picks a free one");
+          "file for the port, written once the server is ready");
+ABSL_FLAG(int, port, 0, "port to listen on; 0 picks a free port");
 ABSL_FLAG(int, workers_per_zone, 1000,
-          "stand in for at most this many workers of each zone");
+          "maximum number of simulated workers in each zone");
 ABSL_FLAG(int64_t, runner_work_ms, 2,
-          "what a runner takes for a request, in milliseconds");
+          "time that a runner takes to serve a request, in milliseconds");
 ABSL_FLAG(absl::Duration, host_list_lag, absl::Seconds(1),
-          "lag of the list of leaving hosts");
+          "delay until a leaving host appears in the host list");
 ABSL_FLAG(absl::Duration, log_retention, absl::Hours(1),
-          "how long the log keeps records");
+          "retention time of log records");
 
 namespace keelbridge::testing {
 namespace {
 
-// Rewrites addresses to this process, and leaves out workers beyond the limit.
+// Returns `root` with all addresses pointing to this process and without the
+// workers of each zone beyond the limit.
 Json::Value RewriteAddresses(Json::Value root, int port, int workers_per_zone) {
   const std::string base = absl::StrCat("127.0.0.1:", port);
   std::map<std::string, int> workers_in_zone;
@@ -108,8 +111,8 @@
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
-      "stand-ins for the platform, workers and targets; for tests and "
-      "demonstrations");
+      "Stand-ins for the platform, its workers and its targets, for tests and "
+      "demonstrations.");
   absl::ParseCommandLine(argc, argv);
   sigset_t signals;
   sigemptyset(&signals);
--- a/testing/fakes/fault_proxy.cc
+++ b/testing/fakes/fault_proxy.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-// One connection through the proxy: two sockets, a pump in each direction.
+// One proxied connection: two sockets with a read-write loop in each direction.
 class ProxiedConnection
     : public std::enable_shared_from_this<ProxiedConnection> {
  public:
@@ -68,8 +68,8 @@
         });
   }
 
-  // Takes what a side of a silenced connection sends, and its end, and tells
-  // the other side nothing.
+  // Reads and discards the data of one side of a silenced connection, and
+  // does not propagate its close to the other side.
   void Discard(Tcp::socket& from, Tcp::socket& to, Chunk* chunk,
                bool is_response, boost::system::error_code error) {
     if (!error && proxy_ != nullptr) return Pump(from, to, chunk, is_response);
@@ -85,8 +85,8 @@
     const bool dropped =
         mode == FaultProxy::Mode::kDropAll ||
         (mode == FaultProxy::Mode::kDropResponses && is_response);
-    // What was dropped makes the rest of the connection meaningless: it stays
-    // open and says nothing more.
+    // After dropped data the rest of the byte stream is invalid, so this
+    // direction stops reading while the connection stays open.
     if (dropped) return;
     absl::Duration delay = mode == FaultProxy::Mode::kDelay
                                ? proxy_->delay_
--- a/testing/fakes/fault_proxy.h
+++ b/testing/fakes/fault_proxy.h
@@ -1,5 +1,5 @@
-// A TCP proxy on loopback that harms what passes: delays it, resets it,
-// silences it, or drops one direction.
+// A TCP proxy on the loopback interface that injects faults: it delays or drops
+// traffic, resets connections, or drops responses only.
 //
 //   FaultProxy proxy(loop, store_address);
 //   settings.store = proxy.address();
@@ -20,18 +20,18 @@
 
 class ProxiedConnection;
 
-// All on the loop's thread.
+// Not thread-safe: use only on the thread of `loop`.
 class FaultProxy {
  public:
   enum class Mode {
     kForward,
-    kDelay,          // Each piece waits for `delay`.
-    kReset,          // Open connections are reset, new ones too.
-    kDropAll,        // Nothing passes; connections stay open.
-    kDropResponses,  // Requests pass, answers do not.
+    kDelay,          // Each chunk of data is delayed by `delay`.
+    kReset,          // Open and new connections are reset.
+    kDropAll,        // All data is dropped; connections stay open.
+    kDropResponses,  // Requests are forwarded, responses are dropped.
   };
 
-  // Listens on `listen`; port 0: any that is free.
+  // Listens on `listen`; port 0 picks a free port.
   FaultProxy(boost::asio::io_context& loop, Address target,
              const Address& listen = {"127.0.0.1", 0, ""});
   ~FaultProxy();
@@ -39,17 +39,20 @@
   FaultProxy& operator=(const FaultProxy&) = delete;
 
   const Address& address() const { return address_; }
-  // Passing again ends the connections that are open, so that both sides learn
-  // at once that something went wrong on them.
+  // kForward and kReset close all open connections that are not silenced
+  // (kReset with a TCP reset), so that both sides learn at once that data may
+  // have been lost on them.
   void SetMode(Mode mode, absl::Duration delay = absl::Milliseconds(200));
-  // Passes again and tells nobody: a connection on which something was dropped
-  // stays open and says nothing more, one on which nothing was goes on.
+  // Switches to kForward without closing connections. A connection on which
+  // data was dropped stays open but forwards nothing more in that direction;
+  // all other connections continue.
   void ResumeForwarding() { mode_ = Mode::kForward; }
-  // All connections that are open now stay open and say nothing more, in either
-  // direction, for good: neither a mode nor the end of one side ends the other.
-  // New ones pass as the mode says.
+  // Permanently drops all data in both directions on the connections that are
+  // open now. They stay open: neither a change of mode nor a close by one side
+  // closes the other side. New connections follow the mode.
   void SilenceOpenConnections();
-  // Answers of all connections share a link of this rate; 0: it has no bound.
+  // Limits the rate of responses over all connections together, as a shared
+  // network link does; 0 means unlimited.
   void SetResponseRate(double bytes_per_second) {
     response_rate_ = bytes_per_second;
   }
@@ -57,7 +60,8 @@
  private:
   friend class ProxiedConnection;
   void Accept();
-  // How long a piece of an answer is on the link, behind those before it.
+  // Reserves the shared link for a chunk of a response. Returns the time until
+  // the chunk has been transmitted, after all chunks that are already queued.
   absl::Duration ReserveLinkTime(size_t bytes);
 
   boost::asio::io_context& loop_;
--- a/testing/fakes/fault_proxy_test.cc
+++ b/testing/fakes/fault_proxy_test.cc
@@ -8,7 +8,8 @@
 namespace keelbridge::testing {
 namespace {
 
-// A server that answers when told to, a proxy before it, and a caller.
+// A server that answers only when the test invokes `pending_reply`, a proxy in
+// front of it, and a client.
 struct ProxyFixture {
   boost::asio::io_context loop;
   EventHttpServer::Reply pending_reply;
@@ -44,7 +45,7 @@
   }
 };
 
-TEST_CASE("fault proxy: a call whose answer was dropped hears nothing more") {
+TEST_CASE("fault proxy: a call whose response was dropped stays unanswered") {
   ProxyFixture fixture;
   fixture.Send();
   fixture.proxy.SetMode(FaultProxy::Mode::kDropAll);
@@ -53,7 +54,7 @@
   fixture.proxy.ResumeForwarding();
   fixture.Run();
   CHECK_FALSE(fixture.completed);
-  // Another connection passes.
+  // A new connection works.
   EventHttpClient other(fixture.loop, fixture.proxy.address(),
                         EventHttpClient::Options());
   int status = 0;
@@ -68,7 +69,7 @@
   CHECK_FALSE(fixture.completed);
 }
 
-TEST_CASE("fault proxy: answers share the link's rate") {
+TEST_CASE("fault proxy: responses share the rate limit of the link") {
   ProxyFixture fixture;
   fixture.proxy.SetResponseRate(100e3);
   fixture.Send();
@@ -89,13 +90,13 @@
   CHECK_FALSE(other_completed);
   fixture.Run();
   CHECK_FALSE(
-      (fixture.completed && other_completed));  // Both at once take 0.4 s.
+      (fixture.completed && other_completed));  // Together they take 0.4 s.
   for (int i = 0; i < 4; ++i) fixture.Run();
   CHECK(fixture.status == 200);
   CHECK(other_completed);
 }
 
-TEST_CASE("fault proxy: a call on which nothing was dropped goes on") {
+TEST_CASE("fault proxy: a call without dropped data continues") {
   ProxyFixture fixture;
   fixture.Send();
   fixture.proxy.SetMode(FaultProxy::Mode::kDropAll);
@@ -106,7 +107,7 @@
   CHECK(fixture.status == 200);
 }
 
-TEST_CASE("fault proxy: what is open goes silent for good, new ones pass") {
+TEST_CASE("fault proxy: silenced connections stay silent, new ones work") {
   ProxyFixture fixture;
   fixture.Send();
   fixture.proxy.SilenceOpenConnections();
@@ -125,7 +126,7 @@
   fixture.pending_reply({});
   fixture.Run();
   CHECK(status == 200);
-  // No mode ends the silence.
+  // No change of mode closes a silenced connection.
   fixture.pending_reply = nullptr;
   fixture.proxy.SetMode(FaultProxy::Mode::kReset);
   fixture.Run();
@@ -133,7 +134,7 @@
   CHECK(fixture.server.Connections() == 1);
 }
 
-TEST_CASE("fault proxy: passing again ends what is open") {
+TEST_CASE("fault proxy: a return to forwarding closes open connections") {
   ProxyFixture fixture;
   fixture.Send();
   fixture.proxy.SetMode(FaultProxy::Mode::kDropAll);
--- a/testing/fakes/foreign_entries.h
+++ b/testing/fakes/foreign_entries.h
@@ -1,5 +1,5 @@
-// Entries that another writer leaves in the list of workers: none of them names
-// a worker to use.
+// Foreign entries: invalid entries in the list of workers, as another program
+// could write them. None of them describes a usable worker.
 //
 //   for (const ForeignEntry& entry : ForeignEntries("desk", "127.0.0.1:9"))
 //     store.Put("keyed.servers", entry.id, entry.document);
@@ -17,13 +17,13 @@
   std::string document;
 };
 
-// The entry of a worker with room, of `service`, as a worker writes it.
+// Returns a valid entry, as a worker of `service` with free capacity writes it.
 std::string ValidWorkerEntry(const std::string& service,
                              const std::string& address);
 
-// One of each kind: a field missing, of another type or out of range, a state
-// or service that nobody knows, bytes that are no record. Where they tell an
-// address it is `address`; their ids begin with "foreign-".
+// Returns one entry of each kind: a field that is missing, of the wrong type or
+// out of range, an unknown state or service, and bytes that are not a record.
+// Every entry with an address has `address`; all ids start with "foreign-".
 std::vector<ForeignEntry> ForeignEntries(const std::string& service,
                                          const std::string& address);
 
--- a/testing/fakes/memory_store.cc
+++ b/testing/fakes/memory_store.cc
@@ -26,7 +26,7 @@
       writer = Writer{order.writer->epoch, -1};
     if (!order.records.empty()) {
       if (order.writer->sequence <= writer.last_sequence)
-        return reply;  // Again.
+        return reply;  // Duplicate append.
       writer.last_sequence = order.writer->sequence;
     }
   }
--- a/testing/fakes/memory_store.h
+++ b/testing/fakes/memory_store.h
@@ -1,10 +1,11 @@
-// A record store in memory for tests of one process: streams with keys, fenced
-// writers, conditional appends. Each process under test has a connection of its
-// own, which can be cut.
+// An in-memory record store for tests within one process: streams of keyed
+// records, fenced writers and conditional appends. Each node under test has its
+// own connection, which a test can make unresponsive.
 //
 //   MemoryStore store(loop);
 //   MemoryStoreConnection node_a(store);
-//   node_a.SetUnresponsive(true);  // Its calls get no answer and are not done.
+//   // Calls of this connection are now neither executed nor answered.
+//   node_a.SetUnresponsive(true);
 
 #ifndef KEELBRIDGE_TESTING_FAKES_MEMORY_STORE_H_
 #define KEELBRIDGE_TESTING_FAKES_MEMORY_STORE_H_
@@ -19,10 +20,10 @@
 
 namespace keelbridge::testing {
 
-// All on the loop's thread.
+// Not thread-safe: use only on the thread of `loop`.
 class MemoryStore {
  public:
-  // Records in one answer of `Newest`.
+  // Maximum number of records in one reply of `Newest`.
   static constexpr size_t kPageSize = 3;
 
   explicit MemoryStore(boost::asio::io_context& loop) : loop_(loop) {}
@@ -35,7 +36,7 @@
  private:
   struct Writer {
     int64_t epoch = -1;
-    int64_t last_sequence = -1;  // Sequence.
+    int64_t last_sequence = -1;
   };
   struct Log {
     std::vector<Record> records;
@@ -61,7 +62,8 @@
               std::function<void(NewestReply)> done) override;
 
  private:
-  // Calls `done` with `reply` from the loop, or with no answer after `timeout`.
+  // Runs `operation` and posts its reply to `done`. If unresponsive, runs
+  // nothing and calls `done` with an empty reply after `timeout`.
   template <typename Reply>
   void Answer(absl::Duration timeout, const std::function<Reply()>& operation,
               std::function<void(Reply)> done);
--- a/testing/fakes/platform_server.cc
+++ b/testing/fakes/platform_server.cc
@@ -14,8 +14,7 @@
 namespace keelbridge::testing {
 namespace {
 
-// How long a part that is down keeps its caller waiting before the connection
-// is cut.
+// Time after which a part that is down closes the connection of a caller.
 constexpr absl::Duration kDownDelay = absl::Milliseconds(300);
 constexpr size_t kMaxReadRecords = 1000;
 constexpr size_t kTruncatedBytes = 64;
@@ -24,7 +23,8 @@
   return {status, {}, ToJsonText(value)};
 }
 
-// An answer that never arrives whole: the caller cannot tell what happened.
+// Returns a response that is truncated in transit, so that the caller cannot
+// know whether the request took effect.
 ServerResponse TruncatedResponse() {
   ServerResponse response{200, {}, "", "application/json"};
   response.body = "{";
--- a/testing/fakes/platform_server.h
+++ b/testing/fakes/platform_server.h
@@ -1,16 +1,24 @@
-// The stand-ins as HTTP services on one port: log, host list, workers and
-// runners of a configuration.
+// An HTTP server on one port with stand-ins for the log, the host list, and the
+// workers and runners of a configuration.
 //
-//   /log/append?stream=S, /log/read?stream=S&from=N&most=M
-//   /hosts                            leaving hosts: {"leaving": ["w1"]}, with
-//   a lag /worker/NAME/hold|start|stop /runner/NAME/SERVICE/...          a
-//   target: slots, connections, late and cut-off answers POST /control faults,
-//   by part: {"part": "log", "down": true, ...} GET /journal what really
-//   happened, one JSON object a line
+//   /log/append?stream=S
+//   /log/read?stream=S&from=N&most=M
+//   /hosts                      leaving hosts, after a delay:
+//                               {"leaving": ["w1"]}
+//   /worker/NAME/hold|start|stop
+//   /runner/NAME/SERVICE/...    a target with slots, connections, and delayed
+//                               or truncated responses
+//   POST /control               sets the faults of a part:
+//                               {"part": "log", "down": true, ...}
+//   GET /journal                observed events, one JSON object per line
 //
-// Faults of a part ("log", "hosts", "worker/NAME", "runner/NAME"):
-//   down (no answer), delay_ms, lose_answers (takes effect, no answer), cut_off
-//   (of runners), refuse (of runners)
+// Parts are "log", "hosts", "worker/NAME" and "runner/NAME". Their faults are:
+//
+//   down            no complete response
+//   delay_ms        the request is handled after this delay
+//   lose_answers    the request takes effect, but gets no complete response
+//   cut_off         truncated responses (runners only)
+//   refuse          all requests are refused (runners only)
 
 #ifndef KEELBRIDGE_TESTING_FAKES_PLATFORM_SERVER_H_
 #define KEELBRIDGE_TESTING_FAKES_PLATFORM_SERVER_H_
@@ -49,22 +57,24 @@
     absl::Duration host_list_lag = absl::Seconds(1);
     absl::Duration log_retention = absl::Hours(1);
     double max_appends_per_second = 100;
-    int64_t runner_work_ms = 2;  // What a runner takes for a request.
+    int64_t runner_work_ms = 2;  // Service time of a runner.
   };
 
   explicit PlatformServer(Options options);
   ~PlatformServer();
 
-  // Stands in for the workers and targets of `configuration`.
+  // Adds stand-ins for the workers and targets of `configuration`.
   void Serve(const Configuration& configuration);
   Result<int> Start();
   void Stop();
 
   void SetFaults(const std::string& part, const Faults& faults);
-  // Marks a worker or target as leaving; the host list shows it after its lag.
+  // Marks a worker or target as leaving. The host list includes it after
+  // `host_list_lag`.
   void SetLeaving(const std::string& host, bool leaving);
-  // Lines of JSON: {"kind": "run", "begins", "worker", "task", ...}, {"kind":
-  // "request", "id", "attempt", ...}.
+  // Returns the journal as JSON objects:
+  //   {"kind": "run", "begins", "worker", "task", ...}
+  //   {"kind": "request", "id", "attempt", ...}
   std::vector<std::string> Journal() const;
   int64_t LogAppends() const;
 
@@ -94,7 +104,7 @@
       ABSL_GUARDED_BY(mutex_);
   std::map<std::string, Runner> runners_ ABSL_GUARDED_BY(mutex_);
   std::map<std::string, absl::Time> leaving_
-      ABSL_GUARDED_BY(mutex_);  // Since when.
+      ABSL_GUARDED_BY(mutex_);  // Start times by host.
   std::map<std::string, Faults> faults_ ABSL_GUARDED_BY(mutex_);
   std::vector<std::string> journal_ ABSL_GUARDED_BY(mutex_);
   uint64_t next_incarnation_ ABSL_GUARDED_BY(mutex_) = 1;
--- a/testing/fakes/site_fakes_main.cc
+++ b/testing/fakes/site_fakes_main.cc
@@ -1,10 +1,11 @@
-// keelbridge-site-fakes: the platform stand-in as a process, for the
+// keelbridge-site-fakes runs the platform stand-in as a process, for the
 // quickstart.
 //
 //   keelbridge-site-fakes --workers=6 --ready_file=platform.json
 //
-// Writes where its store and its advice listen, and ends on SIGTERM with 1 when
-// its workers saw a promise broken.
+// Writes the addresses of its store and its advice service to --ready_file. On
+// SIGTERM or SIGINT it prints the guarantees that its workers saw violated, and
+// exits with 1 if there are any.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -16,10 +17,13 @@
 #include "testing/fakes/site_platform.h"
 
 ABSL_FLAG(int, workers, 6, "workers");
-ABSL_FLAG(int, cpu_milli, 16000, "processors of a worker, in thousandths");
-ABSL_FLAG(std::string, ready_file, "", "written once it serves");
+ABSL_FLAG(int, cpu_milli, 16000,
+          "CPU capacity of a worker, in thousandths of a processor");
+ABSL_FLAG(
+    std::string, ready_file, "",
+    "file for the addresses of the services, written once they are ready");
 
-// What the users' store takes in one call.
+// Largest append in one call that the production store accepts.
 constexpr size_t kMaxAppendBytes = 2 << 20;
 
 int main(int argc, char** argv) {
@@ -39,7 +43,7 @@
   stop.async_wait([&loop](boost::system::error_code, int) { loop.stop(); });
   loop.run();
   std::cout << platform.runs().size() << " runs, " << platform.faults().size()
-            << " broken promises\n";
+            << " violated guarantees\n";
   for (const std::string& fault : platform.faults()) std::cout << fault << "\n";
   return platform.faults().empty() ? 0 : 1;
 }
--- a/testing/fakes/site_platform.cc
+++ b/testing/fakes/site_platform.cc
@@ -15,19 +15,21 @@
 namespace {
 
 constexpr absl::Duration kAdvanceInterval = absl::Milliseconds(10);
-constexpr int kHeartbeatTicks =
-    50;  // Advances between two records of a worker.
+constexpr int kHeartbeatTicks = 50;  // Advances between two records.
 constexpr char kInstanceHeader[] = "X-Keelbridge-Expected-Instance";
-// Of a task that crashes its worker: how long after its start, and when the
-// next life comes.
+// A task that crashes its worker does so this long after its start, and the
+// worker's next incarnation starts after the downtime.
 constexpr absl::Duration kCrashDelay = absl::Milliseconds(10);
 constexpr absl::Duration kCrashDownTime = absl::Seconds(3);
-// After so many crashes so many starts are taken for an endless repeat.
+// A task may crash kExcusedCrashes workers. If it is then started
+// kEndlessRepeatStarts more times, it counts as restarted without bound.
 constexpr int kExcusedCrashes = 3;
 constexpr int kEndlessRepeatStarts = 3;
-// A capacity that has shrunk counts after this.
+// Time after which a reduced capacity is enforced, so that nodes can learn of
+// it first.
 constexpr absl::Duration kCapacityGrace = absl::Milliseconds(3500);
-// Of an order that is carried out late.
+// Delay of an order that is executed late: at least the minimum, plus a random
+// part of the range.
 constexpr absl::Duration kMinLateDelay = absl::Seconds(1);
 constexpr absl::Duration kLateDelayRange = absl::Seconds(3);
 constexpr absl::Duration kGangTimeout = absl::Seconds(3);
@@ -40,7 +42,7 @@
   return {status, {}, ToJsonText(body), "application/json"};
 }
 
-// What the payload says of a task's step.
+// Returns the plan that the payload defines for the step of a task.
 SiteRunPlan MakeRunPlan(const StartOrder& order, double draw) {
   SiteRunPlan plan;
   const Json::Value steps = Parse("{\"steps\":" + order.payload + "}")["steps"];
@@ -263,7 +265,7 @@
     observation.order.fence = body["fencingToken"].asInt64();
     observation.order.ends_acknowledged = body["lastSeen"].asInt64();
     observation.order.lease_until_ms = body["deadlineMs"].asInt64();
-    // The order counts from its arrival; the answer may wait.
+    // The order takes effect on arrival; only the response may wait.
     incarnation.Observe(observation.order, now);
     pending_observations_.push_back(std::move(observation));
     return;
@@ -350,7 +352,8 @@
   for (const Json::Value& worker : body["workers"]) {
     const size_t draw = std::hash<std::string>()(
         absl::StrCat(worker.asString(), body["step"].asString()));
-    // The first worker may run every step, so that each has one.
+    // The first worker is healthy for every step, so that each step has a
+    // worker.
     const bool first = absl::StartsWith(worker.asString(), "i-0-");
     if (draw % 3 == 0 && !first) continue;
     Json::Value row(Json::arrayValue);
--- a/testing/fakes/site_platform.h
+++ b/testing/fakes/site_platform.h
@@ -1,14 +1,15 @@
-// A stand-in for the whole of the users' platform on loopback: its store, its
-// workers, its advice, on one event loop, with faults and a journal of what
-// ran.
+// A stand-in for the entire platform on the loopback interface: its store, its
+// workers and its advice service on one event loop, with fault injection and a
+// journal of the runs.
 //
-// Tasks say in their job's payload what they do: a JSON list with an object a
-// step, of cpu, memory, work_ms, gang (members), fails (a share) and crashes
-// (the task crashes each worker that starts it).
+// The payload of a job defines what its tasks do: a JSON list with one object
+// per step, with the fields cpu, memory, work_ms, gang (number of members),
+// fails (fraction of runs) and crashes (each worker that starts the task
+// crashes).
 //
 //   SitePlatform platform(loop, {.workers = 6});
 //   platform.PublishConfiguration(1);
-//   std::string settings = platform.NodeSettings("node-a", ports);
+//   settings.store = platform.store_address();
 
 #ifndef KEELBRIDGE_TESTING_FAKES_SITE_PLATFORM_H_
 #define KEELBRIDGE_TESTING_FAKES_SITE_PLATFORM_H_
@@ -32,14 +33,15 @@
 
 namespace keelbridge::testing {
 
-// The queue that `PublishConfiguration` makes in every version.
+// Host and path prefix of the queue that every version published by
+// `PublishConfiguration` has.
 inline constexpr char kSiteHost[] = "desk.example";
 inline constexpr char kSitePrefix[] = "/restore/";
-// The prefix of a queue that only this version has: a node that serves by
-// another one answers calls to it with 404.
+// Returns the path prefix of a queue that only `version` has. A node that
+// serves another version answers calls to it with 404.
 std::string VersionPrefix(int64_t version);
 
-// All on the loop's thread.
+// Not thread-safe: use only on the thread of `loop`.
 class SitePlatform {
  public:
   struct Options {
@@ -49,7 +51,8 @@
     int max_attempts = 3;
     uint64_t seed = 1;
     absl::Duration max_lease = absl::Seconds(6);
-    // A worker that a task crashed comes back under its id; with proxies.
+    // A worker that was crashed by a task restarts under the same id. Requires
+    // `UseWorkerProxies`.
     bool keep_id_after_crash = false;
   };
 
@@ -60,44 +63,47 @@
   SiteStore& store() { return store_; }
   void PublishConfiguration(int64_t version);
 
-  // Puts a proxy before each worker. Call before the first record is read.
+  // Puts a fault proxy in front of each worker. Call before the first worker
+  // record is read.
   void UseWorkerProxies();
   void SetWorkerProxy(int index, FaultProxy::Mode mode);
-  // The connections that are open to workers go silent for good.
+  // Permanently drops all data on the connections to workers that are open now.
   void SilenceOpenWorkerConnections();
   void CrashWorker(int index, absl::Duration down);
-  // The worker crashes, and its next life comes under the id that it had: it
-  // knows nothing of before, its counts begin anew, and no connection of before
-  // leads to it. Until then it refuses connections or is dark. With proxies.
+  // Crashes the worker and starts its next incarnation under the same id after
+  // `down`. The new incarnation has none of the old state, its counters start
+  // anew, and no earlier connection leads to it. Until then the proxy resets
+  // connections or drops all data. Requires `UseWorkerProxies`.
   void RestartWorker(int index, absl::Duration down);
-  // The worker has only this share of its capacity for a time; its record says
-  // so with the next heartbeat.
+  // Reduces the worker's capacity to the fraction `share` for `time`. Its
+  // record shows the reduced capacity from the next heartbeat on.
   void ShrinkWorker(int index, double share, absl::Duration time);
-  // Leaves entries of another writer in the list of workers; the address that
-  // they tell is nobody's to call.
+  // Writes foreign entries to the list of workers. No node may call the address
+  // that they contain.
   void WriteForeignEntries();
-  // Calls that came there.
+  // Number of calls to the address in the foreign entries.
   int64_t foreign_calls() const { return foreign_calls_; }
-  // Lost: the worker carries orders out and does not answer.
+  // Sets the fraction of orders that are executed but not answered.
   void SetLostOrders(double share) { lost_orders_ = share; }
-  // Late: the same, 1 to 4 s after they came, by the life that is there then.
+  // Sets the fraction of orders that are not answered and are executed only 1
+  // to 4 s after their arrival, by the incarnation that then runs.
   void SetLateOrders(double share) { late_orders_ = share; }
 
   const std::vector<SiteRun>& runs() const { return runs_; }
-  // Broken promises that the workers saw, in words.
+  // Descriptions of the violated guarantees that the workers observed.
   const std::vector<std::string>& faults() const { return faults_; }
 
  private:
   struct Slot {
     std::unique_ptr<SiteWorker> incarnation;
     std::unique_ptr<EventHttpServer> server;
-    Address address;  // That its record tells.
+    Address address;  // Published in its record.
     std::unique_ptr<FaultProxy> proxy;
-    std::string name;           // Its id for the platform.
+    std::string name;           // Current worker id, without the incarnation.
     int64_t start_time_ms = 0;  // Wall clock.
-    int name_count = 0;         // That it has had.
-    // The most that may run there; see ShrinkWorker: a capacity that has shrunk
-    // counts once nodes had time to hear of it.
+    int name_count = 0;         // Number of ids used so far.
+    // Limit on the resources of concurrent runs. A capacity that was reduced by
+    // `ShrinkWorker` is enforced only after nodes had time to learn of it.
     Resources capacity_limit;
   };
   struct PendingObservation {
@@ -110,10 +116,10 @@
 
   Address Serve(std::unique_ptr<EventHttpServer>* server,
                 EventHttpServer::Handler handler);
-  // Under a new id, unless it starts again.
+  // Starts an incarnation, under a new id unless `keep_id`.
   void StartIncarnation(int index, bool keep_id);
   void EndIncarnation(int index, absl::Duration down, bool keep_id);
-  // Carries out an order to start or to stop; none: it is another call.
+  // Executes an order to start or stop a run. Returns nullopt for other paths.
   std::optional<OrderReply> ExecuteOrder(SiteWorker& incarnation,
                                          const std::string& path,
                                          const Json::Value& body);
@@ -143,7 +149,8 @@
   Address store_address_;
   Address advice_address_;
   std::vector<Slot> slots_;
-  // Orders that get no answer: their connections stay open and say nothing.
+  // Replies to orders that stay unanswered. Keeping a reply keeps its
+  // connection open.
   std::vector<EventHttpServer::Reply> unanswered_;
   std::vector<PendingObservation> pending_observations_;
   boost::asio::steady_timer timer_;
@@ -155,11 +162,11 @@
   std::map<std::pair<TaskId, int32_t>, absl::Time> gang_done_at_;
   std::map<TaskId, int32_t> gang_size_;
   struct CrashCount {
-    int workers = 0;               // That crashed under the task.
-    int starts_after_excused = 0;  // After the last of them that counts.
+    int workers = 0;  // Number of workers that the task crashed.
+    // Starts after the task used up its excused crashes.
+    int starts_after_excused = 0;
   };
-  std::map<TaskId, CrashCount>
-      crash_counts_;  // Tasks that crash their workers.
+  std::map<TaskId, CrashCount> crash_counts_;
   std::vector<std::string> faults_;
 };
 
--- a/testing/fakes/site_store.cc
+++ b/testing/fakes/site_store.cc
@@ -48,7 +48,7 @@
   std::string value;
 };
 
-// False when the body is no sequence of keyed records.
+// Returns false if `body` is not a sequence of keyed records.
 bool Decode(const std::string& body, std::vector<KeyValue>* out) {
   size_t at = 0;
   while (at < body.size()) {
@@ -66,8 +66,8 @@
   return true;
 }
 
-// Items of a page that name no record: a key, a value or an offset of another
-// type, a value that is no base64, no object at all.
+// Returns page items that are not records: a key, value or offset of the wrong
+// type, a value that is not Base64, and items that are not objects.
 std::vector<Json::Value> UnreadableItems() {
   std::vector<Json::Value> items;
   const auto add = [&items](const Json::Value& key, const Json::Value& value,
@@ -89,7 +89,7 @@
   return items;
 }
 
-// `text` with its %XX as bytes.
+// Returns `text` with each %XX escape replaced by its byte.
 std::string PercentDecode(const std::string& text) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
@@ -231,7 +231,7 @@
 }
 
 void SiteStore::CloseLongPolls() {
-  // A connection lives as long as the reply that it waits for.
+  // Destroying a pending reply closes its connection.
   waiters_.clear();
   dropped_polls_.clear();
 }
--- a/testing/fakes/site_store.h
+++ b/testing/fakes/site_store.h
@@ -1,8 +1,8 @@
-// A stand-in for the users' metadata store: topics of records over HTTP, keyed
-// topics, conditional and fenced appends, long polls, and faults.
+// A stand-in for the platform's metadata store over HTTP: topics of keyed
+// records, conditional and fenced appends, long polls and fault injection.
 //
-//   SiteStore store(loop);
-//   server handler: store.Handle(request, reply);
+//   SiteStore store(loop, /*seed=*/1);
+//   store.Handle(request, reply);  // In the handler of an HTTP server.
 
 #ifndef KEELBRIDGE_TESTING_FAKES_SITE_STORE_H_
 #define KEELBRIDGE_TESTING_FAKES_SITE_STORE_H_
@@ -23,24 +23,23 @@
 
 namespace keelbridge::testing {
 
-// All on the loop's thread.
+// Not thread-safe: use only on the thread of `loop`.
 class SiteStore {
  public:
   struct Faults {
-    bool down = false;          // 503 at once.
+    bool down = false;          // Answers 503 immediately.
     bool unresponsive = false;  // Never answers.
-    double lost_answers = 0;    // Of appends: done, not answered.
-    // Long polls get no answer, at a change or at their end, and not when the
-    // fault is over either. All other calls are answered.
+    double lost_answers = 0;  // Fraction of appends executed, but not answered.
+    // Long polls get no response, neither at a change nor at their deadline,
+    // and not after the fault has been cleared. All other calls are answered.
     bool drop_poll_responses = false;
-    double late_appends =
-        0;  // Not answered, and done after `late_append_delay`.
+    double late_appends = 0;  // Fraction not answered, executed after a delay.
     absl::Duration late_append_delay = absl::Seconds(3);
     absl::Duration delay = absl::Milliseconds(2);
   };
 
-  // A larger append is refused, as real stores refuse it; small in tests, so
-  // that batches of an everyday size come near it.
+  // Larger appends are refused, as by the real store. The limit is small in
+  // tests, so that batches of ordinary size come close to it.
   static constexpr size_t kMaxAppendBytes = 4096;
   void SetMaxAppendBytes(size_t bytes) { max_append_bytes_ = bytes; }
 
@@ -48,19 +47,20 @@
       : loop_(loop), random_(seed) {}
 
   void Handle(const ServerRequest& request, EventHttpServer::Reply reply);
-  // Writes a record as the operator or a worker would; no value drops the key.
+  // Writes a record as the operator or a worker would. An empty value deletes
+  // the key.
   void Put(const std::string& topic, const std::string& key,
            const std::string& value);
   void SetFaults(Faults faults) { faults_ = faults; }
-  // Drops the history of a topic; the newest record of each key stays.
+  // Drops the history of a topic, but keeps the newest record of each key.
   void DropHistory(const std::string& topic);
   void DropAllHistory();
-  // From now on each page of the topic's newest records has items between its
-  // own that cannot be read.
+  // From now on each page of the topic's newest records also contains items
+  // that cannot be read.
   void AddUnreadableItems(const std::string& topic) {
     topics_with_unreadable_items_.insert(topic);
   }
-  // Ends the connections of all long polls that wait, unanswered.
+  // Closes the connections of all waiting long polls without a response.
   void CloseLongPolls();
   int64_t appends() const { return appends_; }
 
@@ -72,8 +72,8 @@
   };
   struct Writer {
     int64_t epoch = -1;
-    int64_t next = -1;                         // The sequence wanted; -1: any.
-    std::map<int64_t, std::string> responses;  // Of the last five.
+    int64_t next = -1;  // Expected sequence number; -1 accepts any.
+    std::map<int64_t, std::string> responses;  // Last five, by sequence.
   };
   struct Topic {
     int64_t first = 0;
@@ -89,7 +89,8 @@
     EventHttpServer::Reply reply;
   };
 
-  // Does what was asked, unless faults of appends prevent or delay it.
+  // Executes an append, subject to the faults that delay it or drop its
+  // response.
   void HandleAppend(const ServerRequest& request,
                     const EventHttpServer::Reply& reply);
   bool RandomBool(double share);
@@ -109,12 +110,12 @@
   size_t max_append_bytes_ = kMaxAppendBytes;
   Faults faults_;
   std::map<std::string, Topic> topics_;
-  std::set<std::string>
-      topics_with_unreadable_items_;  // Topics whose pages are.
-  // Calls that get no answer: their connections stay open and say nothing.
+  std::set<std::string> topics_with_unreadable_items_;
+  // Replies to calls that stay unanswered. Keeping a reply keeps its connection
+  // open.
   std::vector<EventHttpServer::Reply> unanswered_;
   std::list<Waiter> waiters_;
-  // Long polls that get no answer.
+  // Replies to long polls that stay unanswered.
   std::vector<EventHttpServer::Reply> dropped_polls_;
   bool expiry_armed_ = false;
   int64_t appends_ = 0;
--- a/testing/fakes/site_store_test.cc
+++ b/testing/fakes/site_store_test.cc
@@ -10,9 +10,9 @@
 constexpr char kTopic[] = "keyed.test";
 constexpr int kNoAnswer = 0;
 constexpr int kConnectionClosed =
-    -1;  // The connection ended without an answer.
+    -1;  // The connection closed without a response.
 
-// What became of one call.
+// The result of one call.
 struct Outcome {
   int status = kNoAnswer;
 };
@@ -23,7 +23,7 @@
 
   std::shared_ptr<Outcome> Send(const ServerRequest& request) {
     auto outcome = std::make_shared<Outcome>();
-    // Destroyed with the last copy of the reply, as a connection is.
+    // Destroyed with the last copy of the reply, like a real connection.
     const std::shared_ptr<void> connection(nullptr, [outcome](void*) {
       if (outcome->status == kNoAnswer) outcome->status = kConnectionClosed;
     });
@@ -59,7 +59,7 @@
   }
 };
 
-TEST_CASE("site store: silent polls get no answer while other calls do") {
+TEST_CASE("site store: dropped polls get no response while other calls do") {
   StoreFixture fixture;
   const auto early = fixture.Poll(0, 10000);
   fixture.Run(20);
@@ -75,7 +75,7 @@
   CHECK(late->status == kNoAnswer);
   CHECK(read->status == 200);
   CHECK(newest->status == 200);
-  // Nor do they when the fault is over and something else changes.
+  // They get none after the fault is cleared and another record changes.
   fixture.store.SetFaults({});
   fixture.store.Put(kTopic, "k", "w");
   fixture.Run(50);
@@ -83,7 +83,7 @@
   CHECK(late->status == kNoAnswer);
 }
 
-TEST_CASE("site store: a silent poll's own time brings no answer either") {
+TEST_CASE("site store: a dropped poll gets no response at its deadline") {
   StoreFixture fixture;
   SiteStore::Faults faults;
   faults.drop_poll_responses = true;
@@ -94,7 +94,7 @@
   CHECK(poll->status == kNoAnswer);
 }
 
-TEST_CASE("site store: polls that are cut end without an answer") {
+TEST_CASE("site store: closed polls end without a response") {
   StoreFixture fixture;
   const auto waiting_poll = fixture.Poll(0, 10000);
   fixture.Run(20);
@@ -108,7 +108,7 @@
   CHECK(dropped_poll->status == kConnectionClosed);
 }
 
-TEST_CASE("site store: a late append is done, and never answered") {
+TEST_CASE("site store: a late append takes effect, but is never answered") {
   StoreFixture fixture;
   SiteStore::Faults faults;
   faults.late_appends = 1;
@@ -121,13 +121,14 @@
   fixture.Run(300);
   CHECK(fixture.store.appends() == 1);
   CHECK(append->status == kNoAnswer);
-  // Its condition counts when it is done: the next one comes too late.
+  // The late append has moved the end of the topic, so the condition of the
+  // next one fails.
   const auto next = fixture.Append(0);
   fixture.Run(50);
   CHECK(next->status == 412);
 }
 
-TEST_CASE("site store: forgotten history is gone, the newest records stay") {
+TEST_CASE("site store: dropped history is gone, the newest records stay") {
   StoreFixture fixture;
   fixture.store.Put(kTopic, "k", "v");
   fixture.store.DropAllHistory();
--- a/testing/fakes/site_worker.h
+++ b/testing/fakes/site_worker.h
@@ -1,8 +1,8 @@
-// A stand-in for one worker of a site: fences, one lease on its own clock,
-// lists of what runs and what ended, gangs, checkpoints, and a journal of what
-// really ran, from which promises are judged.
+// A fake of one platform worker: fencing tokens, one lease on its own clock,
+// reports of running and ended runs, gangs, checkpoints, and a journal of the
+// actual runs, from which tests verify the scheduler's guarantees.
 //
-//   SiteWorker worker({"i-1", ...}, site_time);
+//   SiteWorker worker(options, plan, journal, now);
 //   OrderReply reply = worker.Start(order, now);
 
 #ifndef KEELBRIDGE_TESTING_FAKES_SITE_WORKER_H_
@@ -19,7 +19,7 @@
 
 namespace keelbridge::testing {
 
-// One run that a worker began, and how it ended.
+// One run that a worker started, and how it ended.
 struct SiteRun {
   TaskId task;
   int32_t run = 0;
@@ -27,25 +27,24 @@
   Resources need;
   absl::Time began;
   absl::Time ended = absl::InfiniteFuture();
-  RunEnd end = RunEnd::kFailed;  // Once it has ended.
-  bool acknowledged = false;     // The system took note of the end.
-  bool late = false;             // The order was carried out late.
+  RunEnd end = RunEnd::kFailed;  // Valid once the run has ended.
+  bool acknowledged = false;     // The scheduler acknowledged the end.
+  bool late = false;             // The start order was executed late.
 };
 
-// What a run needs, how long it takes and whether it fails. Set by the test,
-// which knows the jobs.
+// Resources, duration and outcome of a run, as defined by the test.
 struct SiteRunPlan {
   Resources need;
-  absl::Duration work;  // Until it ends, with what comes before the work.
-  absl::Duration restore_time;  // Of that, what is no work: a restore.
-  absl::Duration done;          // Work that earlier runs did.
-  bool writes_checkpoints =
-      false;  // Its progress can be carried on; see CheckpointedWork.
+  absl::Duration work;          // Total duration, including `restore_time`.
+  absl::Duration restore_time;  // Initial part without progress.
+  absl::Duration done;          // Work of earlier runs.
+  // The progress can be continued by the next run; see CheckpointedWork.
+  bool writes_checkpoints = false;
   bool fails = false;
-  int32_t gang = 0;  // Members that must be present; 0: none.
+  int32_t gang = 0;  // Required members; 0 if the run is not a gang's.
 };
 
-// The work that a checkpoint of the stand-in tells to be done.
+// Returns the completed work that a checkpoint of this fake records.
 absl::Duration CheckpointedWork(const std::string& checkpoint);
 
 class SiteWorker {
@@ -54,11 +53,11 @@
     WorkerRecord record;
     absl::Duration max_lease = absl::Seconds(6);
     absl::Duration stop_time = absl::Milliseconds(50);
-    double clock_rate = 1.0;  // Down to 0.98.
+    double clock_rate = 1.0;  // Relative to real time; at least 0.98.
     int64_t clock_start_ms = 1000;
   };
   using Plan = std::function<SiteRunPlan(const StartOrder&)>;
-  // Called for each run that begins or ends, for the judge.
+  // Called for each run that starts or ends.
   using Journal = std::function<void(const SiteRun&, bool begins)>;
 
   SiteWorker(Options options, Plan plan, Journal journal, absl::Time now);
@@ -67,13 +66,15 @@
   OrderReply Stop(const StopOrder& order, absl::Time now);
   ObserveReply Observe(const ObserveOrder& order, absl::Time now);
 
-  // Ends what is due. Call before looking and at least every few milliseconds.
+  // Ends all runs that are due. Call before reading the state and at least
+  // every few milliseconds.
   void Advance(absl::Time now);
-  // All members of gang runs that are present, for the whole site to see.
+  // Ends the members of a gang's run on this worker as done.
   void CompleteGang(const TaskId& step, int32_t run, absl::Time now);
-  // The gang's run is broken: a member ended otherwise.
+  // Ends the members of a gang's run on this worker as broken, because another
+  // member is missing or ended otherwise.
   void BreakGang(const TaskId& step, int32_t run, absl::Time now);
-  // Dies: nothing runs any more.
+  // Ends all runs and stops the worker permanently.
   void Crash(absl::Time now);
 
   const WorkerRecord& record() const { return options_.record; }
@@ -82,7 +83,7 @@
   const std::map<std::pair<TaskId, int32_t>, SiteRun>& running() const {
     return running_;
   }
-  // Ends that the system has not taken note of.
+  // Ended runs that the scheduler has not acknowledged.
   const std::vector<EndedTask>& unacknowledged_ends() const { return ended_; }
   bool LeaseLapsed(absl::Time now) const {
     return ClockMs(now) > lease_until_ms_;
@@ -101,7 +102,7 @@
   void End(const RunKey& key, RunEnd end, absl::Time now);
   bool AcceptFence(int64_t fence);
   void ExtendLease(int64_t until_ms, absl::Time now);
-  // Work done by then, earlier runs included.
+  // Returns the work done until `now`, including that of earlier runs.
   absl::Duration WorkDone(const Timing& timing, absl::Time now) const;
   std::string Checkpoint(const Timing& timing, absl::Time now) const;
   int32_t ProgressPercent(const Timing& timing, absl::Time now) const;
@@ -117,7 +118,7 @@
   std::map<RunKey, SiteRun> running_;
   std::map<RunKey, Timing> timing_;
   std::vector<EndedTask> ended_;
-  std::map<TaskId, int32_t> highest_run_;  // Stopped or ended here.
+  std::map<TaskId, int32_t> highest_run_;  // Stopped or ended on this worker.
 };
 
 }  // namespace keelbridge::testing
--- a/testing/fuzz/client_call_fuzzer.cc
+++ b/testing/fuzz/client_call_fuzzer.cc
@@ -1,6 +1,7 @@
-// A client's request: the first line is "METHOD PATH", the second the time that
-// the client waits, the rest the job. A job that is taken is within all limits
-// and reads the same from the product's own form.
+// Fuzzes the parsing of a client's request. The first line of the input is
+// "METHOD PATH", the second is the client's remaining wait time, and the rest
+// is the job. An accepted job is within all limits and survives a round trip
+// through its internal JSON encoding.
 
 #include <algorithm>
 
@@ -35,13 +36,13 @@
 
 void CheckAcceptedJob(const keelbridge::JobSpec& spec) {
   fuzz::Require(static_cast<bool>(keelbridge::CheckJobSpec(spec)),
-                "a job that is taken is within the limits");
+                "an accepted job is within the limits");
   const Json::Value encoded = ToJson(spec);
   const Json::Value decoded =
       keelbridge::JsonDocument::Parse(keelbridge::ToJsonText(encoded), "job")
           .root();
   fuzz::Require(ToJson(keelbridge::JobSpecFromJson(decoded)) == encoded,
-                "a job reads the same from the product's own form");
+                "a job survives a round trip through its internal encoding");
 }
 
 }  // namespace
@@ -58,7 +59,7 @@
   }
   fuzz::Require(call.value().remaining > absl::ZeroDuration() &&
                     call.value().remaining <= absl::Seconds(60),
-                "a client waits for some time, and not for ever");
+                "the wait time of a client is positive and bounded");
   if (call.value().kind == ClientCallKind::kSubmit)
     CheckAcceptedJob(call.value().spec);
   return 0;
--- a/testing/fuzz/configuration_fuzzer.cc
+++ b/testing/fuzz/configuration_fuzzer.cc
@@ -1,5 +1,5 @@
-// The operator's configuration: any text is read or refused, and the look-ups
-// find what was read.
+// Fuzzes the operator's configuration: any text is either parsed or refused
+// with a reason, and the lookups find every parsed entry.
 
 #include "platform/dialect.h"
 #include "testing/fuzz/fuzz_check.h"
@@ -8,7 +8,7 @@
 
 void CheckLookups(const keelbridge::SiteConfiguration& configuration) {
   for (const keelbridge::Queue& queue : configuration.queues) {
-    fuzz::Require(queue.max_attempts >= 1, "a task may be tried once");
+    fuzz::Require(queue.max_attempts >= 1, "a task has at least one attempt");
     const keelbridge::Queue* named = configuration.FindQueueByName(queue.name);
     fuzz::Require(named != nullptr && named->name == queue.name,
                   "a queue is found by its name");
@@ -33,7 +33,7 @@
     return 0;
   }
   fuzz::Require(parsed.value().document == text,
-                "the document is kept as it is");
+                "the document is kept unchanged");
   CheckLookups(parsed.value());
   return 0;
 }
--- a/testing/fuzz/fuzz_check.h
+++ b/testing/fuzz/fuzz_check.h
@@ -1,4 +1,5 @@
-// What fuzzers share: how they judge, and how an input holds several parts.
+// Helpers shared by the fuzzers: a property check, and splitting an input into
+// lines.
 //
 //   Require(decoded.size() == size, "a decoded record lost bytes");
 //   for (const std::string& line : Lines(data, size)) ...
@@ -17,7 +18,7 @@
 
 namespace fuzz {
 
-// Ends the run with a finding unless `holds`.
+// Prints `what` and aborts if `condition` is false.
 inline void Require(bool condition, const char* what) {
   if (condition) return;
   std::fprintf(stderr, "does not hold: %s\n", what);
--- a/testing/fuzz/job_fuzzer.cc
+++ b/testing/fuzz/job_fuzzer.cc
@@ -1,6 +1,6 @@
-// A job in the product's own form, from the store or a peer, and tasks' names.
-// A value of the wrong type throws `Json::Exception`, as the header says of
-// nothing else.
+// Fuzzes task ids, and jobs in the internal JSON encoding that is used in the
+// store and between nodes. A value of the wrong type throws `Json::Exception`;
+// the header documents no other exception.
 
 #include "keelbridge/base/json_reader.h"
 #include "keelbridge/protocol/job.h"
@@ -15,7 +15,7 @@
   fuzz::Require(
       keelbridge::ParseTaskId(keelbridge::TaskIdText(task), &decoded_again) &&
           decoded_again == task,
-      "a task's name reads the same");
+      "a task id survives a round trip");
 }
 
 void CheckJob(const Json::Value& json) {
@@ -28,7 +28,7 @@
   if (!keelbridge::CheckJobSpec(spec)) return;
   const Json::Value encoded = ToJson(spec);
   fuzz::Require(ToJson(keelbridge::JobSpecFromJson(encoded)) == encoded,
-                "a job reads the same from what was written");
+                "a job survives a round trip");
 }
 
 }  // namespace
--- a/testing/fuzz/job_records_fuzzer.cc
+++ b/testing/fuzz/job_records_fuzzer.cc
@@ -1,6 +1,6 @@
-// Records of jobs as a leader finds them in the store: a line is "KEY VALUE",
-// or "KEY" for one that drops its key. Any records give jobs that can be walked
-// through and written again.
+// Fuzzes the records of jobs that a leader reads from the store. A line of the
+// input is "KEY VALUE", or "KEY" for a record that deletes its key. All jobs
+// built from any records are consistent and can be written again.
 
 #include "keelbridge/state/job_table.h"
 #include "testing/fuzz/fuzz_check.h"
--- a/testing/fuzz/known_workers_fuzzer.cc
+++ b/testing/fuzz/known_workers_fuzzer.cc
@@ -1,5 +1,5 @@
-// What leaders keep of workers: whatever the text, the worker is known, and
-// what is read is written and read the same.
+// Fuzzes the records in which leaders store known workers: a worker with any
+// record is known, and a parsed record survives a round trip.
 
 #include "keelbridge/state/known_workers.h"
 #include "testing/fuzz/fuzz_check.h"
@@ -13,6 +13,6 @@
   const auto decoded_again = keelbridge::ParseKnownWorker(encoded);
   fuzz::Require(
       decoded_again && KnownWorkerRecord(*decoded_again).value == encoded.value,
-      "a known worker reads the same");
+      "the record of a known worker survives a round trip");
   return 0;
 }
--- a/testing/fuzz/leader_record_fuzzer.cc
+++ b/testing/fuzz/leader_record_fuzzer.cc
@@ -1,5 +1,5 @@
-// The record that says who leads: any text is read or refused, and what is read
-// is written and read the same.
+// Fuzzes the record of the current leader: any text is parsed or refused, and a
+// parsed record survives a round trip.
 
 #include "keelbridge/coordination/site_election.h"
 #include "testing/fuzz/fuzz_check.h"
@@ -12,6 +12,6 @@
   const auto decoded_again = keelbridge::LeaderFromRecord(encoded);
   fuzz::Require(
       decoded_again && ToRecord(*decoded_again).value == encoded.value,
-      "a leader's record reads the same");
+      "the record of a leader survives a round trip");
   return 0;
 }
--- a/testing/fuzz/list_page_fuzzer.cc
+++ b/testing/fuzz/list_page_fuzzer.cc
@@ -1,5 +1,5 @@
-// A page of the store's newest records: any body is refused, or read but for
-// the items named as unreadable.
+// Fuzzes a page of the store's newest records: any body is refused, or parsed
+// except for the items that are reported as unreadable.
 
 #include "platform/log_store.h"
 #include "testing/fuzz/fuzz_check.h"
@@ -10,6 +10,6 @@
     return 0;
   for (const keelbridge::Record& record : page.records)
     fuzz::Require(!record.value || !record.value->empty(),
-                  "a record without bytes drops its key");
+                  "a record with an empty value deletes its key");
   return 0;
 }
--- a/testing/fuzz/node_messages_fuzzer.cc
+++ b/testing/fuzz/node_messages_fuzzer.cc
@@ -1,7 +1,7 @@
-// Clients' calls, advice and answers between nodes: the first byte says which
-// message the rest is. Any object is read, or refused by the value that stands
-// for nothing known; a request for advice alone throws `Json::Exception`, which
-// the server of calls answers.
+// Fuzzes client calls, advice and replies between nodes. The first byte of the
+// input selects the message type of the rest. Any object is parsed, or refused
+// with the value for an unknown message. Only a request for advice throws
+// `Json::Exception`, which the RPC server turns into an error response.
 
 #include "keelbridge/base/json_reader.h"
 #include "keelbridge/daemon/node_messages.h"
@@ -15,7 +15,7 @@
   const keelbridge::ClientReply reply = keelbridge::ClientReplyFromJson(in);
   fuzz::Require(reply.answer >= ClientAnswer::kAccepted &&
                     reply.answer <= ClientAnswer::kInvalid,
-                "an answer is one of those that there are");
+                "an answer is a known enumerator");
 }
 
 void CheckClientCall(const Json::Value& in) {
@@ -26,11 +26,11 @@
   }
   fuzz::Require(call.value().kind != keelbridge::ClientCallKind::kSubmit ||
                     keelbridge::CheckJobSpec(call.value().spec),
-                "a job that is taken is within the limits");
+                "an accepted job is within the limits");
   const Json::Value encoded = ToJson(call.value());
   const auto decoded_again = keelbridge::ClientCallFromJson(encoded);
   fuzz::Require(decoded_again && ToJson(decoded_again.value()) == encoded,
-                "a call reads the same");
+                "a call survives a round trip");
 }
 
 void CheckAdviceRequest(const Json::Value& in) {
--- a/testing/fuzz/order_messages_fuzzer.cc
+++ b/testing/fuzz/order_messages_fuzzer.cc
@@ -1,5 +1,5 @@
-// Rows of orders and of answers between nodes: any row is read or refused, and
-// what is read is written and read the same.
+// Fuzzes the rows of orders and order replies between nodes: any row is parsed
+// or refused, and a parsed row survives a round trip.
 
 #include "keelbridge/base/json_reader.h"
 #include "keelbridge/daemon/order_messages.h"
@@ -16,7 +16,7 @@
   const Json::Value encoded = ToRow(*order);
   const auto decoded_again = keelbridge::OrderFromRow(encoded);
   fuzz::Require(decoded_again && ToRow(*decoded_again) == encoded,
-                "an order reads the same");
+                "an order survives a round trip");
 }
 
 void CheckReply(const Json::Value& row) {
@@ -24,14 +24,14 @@
   if (!reply) return;
   const OrderResult result = reply->reply.order.result;
   fuzz::Require(result >= OrderResult::kDone && result <= OrderResult::kUnknown,
-                "an answer's result is one of those that there are");
+                "the result of a reply is a known enumerator");
   for (const keelbridge::EndedTask& task : reply->reply.ended)
     fuzz::Require(task.end >= RunEnd::kDone && task.end <= RunEnd::kAlone,
-                  "an end is one of those that there are");
+                  "the end of a run is a known enumerator");
   const Json::Value encoded = ToRow(*reply);
   const auto decoded_again = keelbridge::ReplyFromRow(encoded);
   fuzz::Require(decoded_again && ToRow(*decoded_again) == encoded,
-                "an answer reads the same");
+                "a reply survives a round trip");
 }
 
 }  // namespace
--- a/testing/fuzz/record_frames_fuzzer.cc
+++ b/testing/fuzz/record_frames_fuzzer.cc
@@ -1,5 +1,6 @@
-// Record frames of the store: the first eight bytes are the offset asked for,
-// the rest is the answer's body. What is read whole is written the same.
+// Fuzzes record frames of the store. The first eight bytes of the input are the
+// requested offset, and the rest is the response body. Records that are parsed
+// completely are encoded to the same bytes.
 
 #include <cstring>
 
@@ -8,15 +9,16 @@
 
 namespace {
 
-// The body's first bytes: where the stream ends and begins.
+// Length of the header of a body: the end and the first offset of the stream.
 constexpr size_t kHeaderBytes = 16;
 
-// A record of a key and no bytes, and one of a key alone, have one form.
+// A record with an empty value and a record without a value have the same
+// encoding.
 void CheckEncodedEqual(const std::string& body,
                        const keelbridge::ReadReply& reply) {
   fuzz::Require(platform::internal::EncodeRecords(reply.records) ==
                     body.substr(kHeaderBytes),
-                "records are written as they were read");
+                "records are encoded to the bytes that were decoded");
 }
 
 }  // namespace
@@ -32,6 +34,6 @@
   CheckEncodedEqual(body, reply);
   for (size_t i = 0; i < reply.records.size(); ++i)
     fuzz::Require(reply.records[i].offset - from == static_cast<int64_t>(i),
-                  "offsets rise by one");
+                  "offsets are consecutive");
   return 0;
 }
--- a/testing/fuzz/rpc_frames_fuzzer.cc
+++ b/testing/fuzz/rpc_frames_fuzzer.cc
@@ -1,6 +1,6 @@
-// Frames of calls between nodes: any body is read as a call and as an answer,
-// or refused, and what is written is read and written the same. The first
-// writing replaces bytes that are no UTF-8.
+// Fuzzes RPC frames between nodes: any body is parsed as a call and as a
+// response, or refused, and an encoded frame survives a round trip. Only the
+// first encoding replaces bytes that are not UTF-8.
 
 #include "keelbridge/transport/rpc_frames.h"
 #include "testing/fuzz/fuzz_check.h"
@@ -16,7 +16,7 @@
   fuzz::Require(decoded_again.valid &&
                     keelbridge::SerializeRpcCall(1, decoded_again.method,
                                                  decoded_again.params) == text,
-                "a call reads the same");
+                "a call survives a round trip");
 }
 
 void CheckAnswer(const std::string& body) {
@@ -30,7 +30,7 @@
   fuzz::Require(
       decoded_again.answered && keelbridge::SerializeRpcResponse(
                                     1, {decoded_again.result, 0, ""}) == text,
-      "an answer reads the same");
+      "a response survives a round trip");
 }
 
 }  // namespace
--- a/testing/fuzz/worker_record_fuzzer.cc
+++ b/testing/fuzz/worker_record_fuzzer.cc
@@ -1,5 +1,5 @@
-// A worker's record, as it stands in the workers' stream: any text is read or
-// refused.
+// Fuzzes a worker's record from the stream of workers: any text is parsed, or
+// refused with a reason.
 
 #include "keelbridge/protocol/worker_incarnation.h"
 #include "platform/dialect.h"
@@ -18,6 +18,6 @@
   fuzz::Require(incarnation.name == "w-1", "the record keeps its name");
   fuzz::Require(
       keelbridge::WorkerIncarnationId(incarnation) == record.value().id,
-      "an id gives back its life");
+      "the id of an incarnation survives a round trip");
   return 0;
 }
