--- a/keelbridge/base/log_rate_limiter.h
+++ b/keelbridge/base/log_rate_limiter.h
@@ -35,18 +35,18 @@
       written_ = 0;
     }
     if (written_ >= options_.max_lines) {
-      ++left_out_;
+      ++suppressed_;
       return std::nullopt;
     }
     ++written_;
-    return std::exchange(left_out_, 0);
+    return std::exchange(suppressed_, 0);
   }
 
  private:
   const Options options_;
   absl::Time period_start_ = absl::InfinitePast();
   int written_ = 0;
-  int64_t left_out_ = 0;
+  int64_t suppressed_ = 0;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/cli/plan_commands.cc
+++ b/keelbridge/cli/plan_commands.cc
@@ -20,7 +20,7 @@
                                  "intent", "tasks", "starts in", "detail");
   for (const PlanStep& step : plan.steps) {
     context.out << absl::StrFormat(
-        "  %-12s %-22s %7d %9.1fs  %s\n", step.what, step.intent, step.tasks,
+        "  %-12s %-22s %7d %9.1fs  %s\n", step.action, step.intent, step.tasks,
         static_cast<double>(step.start_in_ms) / 1000, step.detail);
   }
   for (const std::string& line : plan.risks)
--- a/keelbridge/coordination/crash_verdict_test.cc
+++ b/keelbridge/coordination/crash_verdict_test.cc
@@ -6,12 +6,12 @@
 namespace {
 
 std::vector<CrashedRun> Crashes(int count, absl::Duration ran,
-                                const CrashContext& around = {}) {
+                                const CrashContext& context = {}) {
   std::vector<CrashedRun> out;
   out.reserve(static_cast<size_t>(count));
   for (int i = 0; i < count; ++i) {
     out.push_back({i + 1, absl::ToInt64Milliseconds(ran),
-                   ChanceCrashProbability(ran, around), /*begun=*/true});
+                   ChanceCrashProbability(ran, context), /*begun=*/true});
   }
   return out;
 }
--- a/keelbridge/coordination/decider.cc
+++ b/keelbridge/coordination/decider.cc
@@ -88,7 +88,7 @@
       .first->second;
 }
 
-TaskId Decider::AddRow(const TaskSpec& spec, int64_t now_ms) {
+TaskHandle Decider::AddRow(const TaskSpec& spec, int64_t now_ms) {
   TaskRow row;
   row.need = spec.need;
   row.group = spec.group;
@@ -114,15 +114,15 @@
   return tasks_.Add(row);
 }
 
-TaskId Decider::Submit(const TaskSpec& spec, int64_t now_ms) {
-  const TaskId id = AddRow(spec, now_ms);
+TaskHandle Decider::Submit(const TaskSpec& spec, int64_t now_ms) {
+  const TaskHandle id = AddRow(spec, now_ms);
   queue_.Push(id, tasks_[id], now_ms);
   return id;
 }
 
-TaskId Decider::Adopt(const TaskSpec& spec, WorkerId worker, int64_t started_ms,
-                      int64_t now_ms) {
-  const TaskId id = AddRow(spec, now_ms);
+TaskHandle Decider::Adopt(const TaskSpec& spec, WorkerId worker,
+                          int64_t started_ms, int64_t now_ms) {
+  const TaskHandle id = AddRow(spec, now_ms);
   AllocateCapacity(id, worker, started_ms);
   Decision record;
   record.task = id;
@@ -157,7 +157,7 @@
   shares_[team] = ShareOf(team) / std::max(teams_[team].quota, kMinQuota);
 }
 
-void Decider::AllocateCapacity(TaskId id, WorkerId worker, int64_t now_ms) {
+void Decider::AllocateCapacity(TaskHandle id, WorkerId worker, int64_t now_ms) {
   TaskRow& row = tasks_[id];
   // A preemptor has counted towards its team's usage since the preemption
   // began.
@@ -174,7 +174,7 @@
   ++racks[cell_.Rack(worker)];
 }
 
-void Decider::ReleaseCapacity(TaskId id) {
+void Decider::ReleaseCapacity(TaskHandle id) {
   TaskRow& row = tasks_[id];
   cell_.Release(row.worker, row.need);
   Erase(on_worker_[row.worker], id);
@@ -187,7 +187,7 @@
 
 // Events reported by the caller.
 
-void Decider::Detach(TaskId id, int64_t now_ms) {
+void Decider::Detach(TaskHandle id, int64_t now_ms) {
   TaskRow& row = tasks_[id];
   switch (row.state) {
     case TaskState::kWaiting:
@@ -226,14 +226,14 @@
   for (const Preemption& preemption : preemptions_) {
     if (preemption.worker != worker) continue;
     Resources releasing;
-    for (const TaskId victim : preemption.victims)
+    for (const TaskHandle victim : preemption.victims)
       releasing += tasks_[victim].need;
     reserved += Shortfall(preemption.need, releasing);
   }
   reserved_[worker] = reserved;
 }
 
-void Decider::OnVictimStopped(TaskId victim, int64_t now_ms) {
+void Decider::OnVictimStopped(TaskHandle victim, int64_t now_ms) {
   const auto it = std::find_if(
       preemptions_.begin(), preemptions_.end(),
       [victim](const Preemption& preemption) {
@@ -244,7 +244,7 @@
   const WorkerId worker = it->worker;
   Erase(it->victims, victim);
   if (!it->victims.empty()) return UpdateReserved(worker);
-  const TaskId id = it->preemptor;
+  const TaskHandle id = it->preemptor;
   preemptions_.erase(it);
   UpdateReserved(worker);
   OnCapacityFreed(worker);
@@ -268,11 +268,12 @@
   pending_orders_.push_back({Order::Kind::kStart, id, worker, false, kNoTask});
 }
 
-void Decider::OnStartFailed(TaskId id, int64_t now_ms) {
+void Decider::OnStartFailed(TaskHandle id, int64_t now_ms) {
   OnStopped(id, tasks_[id].saved_progress_ms, now_ms);
 }
 
-void Decider::OnStopped(TaskId id, int64_t saved_progress_ms, int64_t now_ms) {
+void Decider::OnStopped(TaskHandle id, int64_t saved_progress_ms,
+                        int64_t now_ms) {
   Detach(id, now_ms);
   TaskRow& row = tasks_[id];
   const int64_t saved =
@@ -291,7 +292,7 @@
   queue_.Push(id, row, now_ms);
 }
 
-void Decider::OnEnded(TaskId id, int64_t now_ms) {
+void Decider::OnEnded(TaskHandle id, int64_t now_ms) {
   Detach(id, now_ms);
   const TaskRow& row = tasks_[id];
   if (row.group >= 0 && --group_size_[row.group] == 0) {
@@ -301,7 +302,7 @@
   tasks_.Remove(id);
 }
 
-void Decider::SetClass(TaskId id, WorkClass work_class, int64_t now_ms) {
+void Decider::SetClass(TaskHandle id, WorkClass work_class, int64_t now_ms) {
   TaskRow& row = tasks_[id];
   if (row.state == TaskState::kWaiting) {
     queue_.Remove(id, row);
@@ -347,12 +348,12 @@
 Decider::PlacementOutcome Decider::TryPlace(const TaskQueue::Offer& offer,
                                             int64_t now_ms,
                                             std::vector<Order>& orders) {
-  const TaskId id = offer.task;
+  const TaskHandle id = offer.task;
   TaskRow& row = tasks_[id];
   const bool headroom = ViolatesHeadroom(row);
   SearchResult found;
   found.record.rule = Rule::kWaitsForHeadroom;
-  if (!headroom) found = FindWorker(id, offer.only, now_ms);
+  if (!headroom) found = FindWorker(id, offer.candidate_workers, now_ms);
   found.record.task = id;
   found.record.at_ms = now_ms;
   counts_.examined += found.record.examined;
@@ -362,7 +363,8 @@
   }
   // If freed capacity turned out to be too small, nothing else has changed
   // since the task was blocked.
-  if (!offer.only.empty()) return PlacementOutcome::kWaitsForCapacity;
+  if (!offer.candidate_workers.empty())
+    return PlacementOutcome::kWaitsForCapacity;
   Record(found.record);
   if (MayPreempt(row) && PreemptFor(id, now_ms, orders)) {
     return PlacementOutcome::kDone;
@@ -475,14 +477,14 @@
          record.examined < options_.max_examined;
 }
 
-Decider::SearchResult Decider::FindWorker(TaskId id,
-                                          const std::vector<WorkerId>& only,
-                                          int64_t now_ms) const {
+Decider::SearchResult Decider::FindWorker(
+    TaskHandle id, const std::vector<WorkerId>& candidate_workers,
+    int64_t now_ms) const {
   const TaskRow& row = tasks_[id];
   SearchResult found;
   const bool tightest = UsesBestFit(row);
-  if (!only.empty()) {
-    for (const WorkerId worker : only) {
+  if (!candidate_workers.empty()) {
+    for (const WorkerId worker : candidate_workers) {
       if (cell_.Schedulable(worker)) EvaluateWorker(row, worker, now_ms, found);
     }
   } else {
@@ -501,7 +503,7 @@
   return found;
 }
 
-void Decider::Start(TaskId id, const SearchResult& found, int64_t now_ms,
+void Decider::Start(TaskHandle id, const SearchResult& found, int64_t now_ms,
                     std::vector<Order>& orders) {
   TaskRow& row = tasks_[id];
   queue_.Remove(id, row);
@@ -529,7 +531,7 @@
     decisions_.pop_front();
 }
 
-std::optional<Decision> Decider::LastDecision(TaskId task) const {
+std::optional<Decision> Decider::LastDecision(TaskHandle task) const {
   for (auto it = decisions_.rbegin(); it != decisions_.rend(); ++it) {
     if (it->task == task) return *it;
   }
--- a/keelbridge/coordination/decider.h
+++ b/keelbridge/coordination/decider.h
@@ -7,7 +7,7 @@
 // lost, or failed to start).
 //
 //   Decider decider(options);
-//   TaskId id = decider.Submit(spec, now_ms);
+//   TaskHandle id = decider.Submit(spec, now_ms);
 //   for (const Order& order : decider.Decide(now_ms, 100)) CarryOut(order);
 //   decider.OnEnded(id, now_ms);
 
@@ -94,18 +94,18 @@
 struct Order {
   enum class Kind { kStart, kPreempt };
   Kind kind = Kind::kStart;
-  TaskId task = kNoTask;
+  TaskHandle task = kNoTask;
   WorkerId worker = kNoWorker;
   // For `kPreempt`: the task saves a checkpoint before it stops.
   bool checkpoint = false;
   // For `kPreempt`: the task for which capacity is freed.
-  TaskId preemptor = kNoTask;
+  TaskHandle preemptor = kNoTask;
 };
 
 struct DeciderCounts {
   int64_t placements = 0;
   int64_t examined = 0;
-  int64_t yields = 0;
+  int64_t preempted = 0;
   double preemption_cost_s = 0;
   int64_t decisions = 0;
 };
@@ -123,28 +123,28 @@
   void SetSchedulable(WorkerId worker, bool schedulable);
   void SetTotal(WorkerId worker, const Resources& total);
 
-  TaskId Submit(const TaskSpec& spec, int64_t now_ms);
+  TaskHandle Submit(const TaskSpec& spec, int64_t now_ms);
   // Adds a task that was found running on `worker`, where it already holds a
   // lease.
-  TaskId Adopt(const TaskSpec& spec, WorkerId worker, int64_t started_ms,
-               int64_t now_ms);
+  TaskHandle Adopt(const TaskSpec& spec, WorkerId worker, int64_t started_ms,
+                   int64_t now_ms);
 
   // Tries at most `budget` placements. Returns the orders to carry out.
   std::vector<Order> Decide(int64_t now_ms, int budget);
 
   // Requeues a task whose start was refused or certainly did not happen.
-  void OnStartFailed(TaskId task, int64_t now_ms);
+  void OnStartFailed(TaskHandle task, int64_t now_ms);
   // Requeues a task that has certainly stopped, after it saved the given
   // progress.
-  void OnStopped(TaskId task, int64_t saved_progress_ms, int64_t now_ms);
+  void OnStopped(TaskHandle task, int64_t saved_progress_ms, int64_t now_ms);
   // Removes a task that has certainly ended: it finished, failed, or was
   // cancelled while waiting.
-  void OnEnded(TaskId task, int64_t now_ms);
-  void SetClass(TaskId task, WorkClass work_class, int64_t now_ms);
+  void OnEnded(TaskHandle task, int64_t now_ms);
+  void SetClass(TaskHandle task, WorkClass work_class, int64_t now_ms);
 
   const Cell& cell() const { return cell_; }
-  const TaskRow& task(TaskId id) const { return tasks_[id]; }
-  const std::vector<TaskId>& TasksOn(WorkerId worker) const {
+  const TaskRow& task(TaskHandle id) const { return tasks_[id]; }
+  const std::vector<TaskHandle>& TasksOn(WorkerId worker) const {
     return on_worker_[worker];
   }
   size_t waiting() const { return queue_.size(); }
@@ -152,12 +152,12 @@
   const DeciderCounts& counts() const { return counts_; }
   // Returns the team's dominant share of the cell, from 0 to 1.
   double ShareOf(int16_t team) const;
-  double ComputeWorkerQuota(int16_t team) const { return teams_[team].quota; }
+  double QuotaOf(int16_t team) const { return teams_[team].quota; }
   const std::string& TeamName(int16_t team) const { return teams_[team].name; }
   int Teams() const { return static_cast<int>(teams_.size()); }
   // Returns the most recent decision about `task`, or nullopt if it is no
   // longer kept.
-  std::optional<Decision> LastDecision(TaskId task) const;
+  std::optional<Decision> LastDecision(TaskHandle task) const;
   const std::deque<Decision>& decisions() const { return decisions_; }
 
  private:
@@ -169,7 +169,7 @@
   // Capacity that is reserved on a worker for a task that fits nowhere at
   // present.
   struct Reservation {
-    TaskId task = kNoTask;
+    TaskHandle task = kNoTask;
     WorkerId worker = kNoWorker;
     int64_t start_ms = 0;
     // Capacity that remains beside the task at `start_ms`, for work that does
@@ -179,12 +179,12 @@
   // Tasks on one worker that are being preempted for one other task.
   struct Preemption {
     // `kNoTask` if the preemptor ended or was cancelled meanwhile.
-    TaskId preemptor = kNoTask;
+    TaskHandle preemptor = kNoTask;
     WorkerId worker = kNoWorker;
     // Resources that the preemptor needs.
     Resources need;
     // Victims that have not stopped yet.
-    std::vector<TaskId> victims;
+    std::vector<TaskHandle> victims;
   };
   struct SearchResult {
     WorkerId worker = kNoWorker;
@@ -192,15 +192,15 @@
     Decision record;
   };
 
-  TaskId AddRow(const TaskSpec& spec, int64_t now_ms);
+  TaskHandle AddRow(const TaskSpec& spec, int64_t now_ms);
   int32_t ShapeOf(const TaskRow& row);
-  void AllocateCapacity(TaskId id, WorkerId worker, int64_t now_ms);
-  void ReleaseCapacity(TaskId id);
+  void AllocateCapacity(TaskHandle id, WorkerId worker, int64_t now_ms);
+  void ReleaseCapacity(TaskHandle id);
   void AddUsage(const TaskRow& row, int sign);
   void UpdateShare(int16_t team);
   void OnCapacityFreed(WorkerId worker);
-  void Detach(TaskId id, int64_t now_ms);
-  void OnVictimStopped(TaskId victim, int64_t now_ms);
+  void Detach(TaskHandle id, int64_t now_ms);
+  void OnVictimStopped(TaskHandle victim, int64_t now_ms);
   void UpdateReserved(WorkerId worker);
   // Returns the capacity that is neither allocated nor reserved for preemptors.
   Resources UnreservedCapacity(WorkerId worker) const {
@@ -210,7 +210,8 @@
   enum class PlacementOutcome { kDone, kWaitsForCapacity, kWaitsForOtherCause };
   PlacementOutcome TryPlace(const TaskQueue::Offer& offer, int64_t now_ms,
                             std::vector<Order>& orders);
-  SearchResult FindWorker(TaskId id, const std::vector<WorkerId>& only,
+  SearchResult FindWorker(TaskHandle id,
+                          const std::vector<WorkerId>& candidate_workers,
                           int64_t now_ms) const;
   // Scores one worker for a task. Returns false when the search can end.
   bool EvaluateWorker(const TaskRow& row, WorkerId worker, int64_t now_ms,
@@ -223,18 +224,18 @@
   bool UsesBestFit(const TaskRow& row) const;
   bool ViolatesHeadroom(const TaskRow& row) const;
   bool ViolatesSpread(const TaskRow& row, WorkerId worker) const;
-  void Start(TaskId id, const SearchResult& found, int64_t now_ms,
+  void Start(TaskHandle id, const SearchResult& found, int64_t now_ms,
              std::vector<Order>& orders);
 
   bool MayPreempt(const TaskRow& row) const;
   bool IsPreemptibleBy(const TaskRow& victim, const TaskRow& row) const;
   double PreemptionCost(const TaskRow& victim, int64_t now_ms) const;
-  bool PreemptFor(TaskId id, int64_t now_ms, std::vector<Order>& orders);
+  bool PreemptFor(TaskHandle id, int64_t now_ms, std::vector<Order>& orders);
   VictimSet FindVictimsOn(WorkerId worker, const TaskRow& row,
                           bool include_protected, int64_t now_ms) const;
 
-  void Reserve(TaskId id, int64_t now_ms);
-  void DropReservation(TaskId id);
+  void Reserve(TaskHandle id, int64_t now_ms);
+  void DropReservation(TaskHandle id);
   int64_t EarliestStart(WorkerId worker, const Resources& need, int64_t now_ms,
                         Resources* spare) const;
   void Record(const Decision& decision);
@@ -247,7 +248,7 @@
   // Indexed by team: dominant share divided by quota.
   std::vector<double> shares_;
   absl::flat_hash_map<std::string, int16_t> team_by_name_;
-  std::vector<std::vector<TaskId>> on_worker_;
+  std::vector<std::vector<TaskHandle>> on_worker_;
   absl::flat_hash_map<Resources, int32_t> shapes_;
   // Number of tasks of each group, indexed by rack.
   absl::flat_hash_map<int32_t, std::vector<int32_t>> group_by_rack_;
--- a/keelbridge/coordination/decider_benchmark.cc
+++ b/keelbridge/coordination/decider_benchmark.cc
@@ -58,7 +58,7 @@
   std::mt19937_64 random(7);
   const size_t before = HeapBytes();
   Decider decider = MakeCell(workers);
-  std::vector<TaskId> running;
+  std::vector<TaskHandle> running;
   int64_t now = 0;
   const auto decide = [&] {
     for (const Order& order : decider.Decide(now, 50)) {
@@ -79,7 +79,7 @@
     now += 3;
     const size_t i =
         std::uniform_int_distribution<size_t>(0, running.size() - 1)(random);
-    const TaskId ended = running[i];
+    const TaskHandle ended = running[i];
     running[i] = running.back();
     running.pop_back();
     decider.OnEnded(ended, now);
@@ -115,7 +115,7 @@
   std::mt19937_64 random(7);
   testing::NaiveDecider naive;
   for (int w = 0; w < workers; ++w) naive.AddWorker({64000, 131072, 2});
-  std::vector<TaskId> running;
+  std::vector<TaskHandle> running;
   while (naive.waiting() == 0) {
     naive.Submit(RandomTask(random));
     for (const auto& [task, worker] : naive.Decide()) running.push_back(task);
@@ -168,7 +168,7 @@
     spec.work_class = WorkClass::kUrgent;
     spec.duration_ms = 1000;
     const auto start = std::chrono::steady_clock::now();
-    const TaskId urgent = decider.Submit(spec, now);
+    const TaskHandle urgent = decider.Submit(spec, now);
     const std::vector<Order> orders = decider.Decide(now, 1);
     times.push_back(std::chrono::duration<double, std::micro>(
                         std::chrono::steady_clock::now() - start)
@@ -183,7 +183,7 @@
     now += 40;
   }
   std::sort(times.begin(), times.end());
-  state.counters["yields"] = static_cast<double>(decider.counts().yields);
+  state.counters["yields"] = static_cast<double>(decider.counts().preempted);
   state.counters["p99_us"] = times[times.size() * 99 / 100];
 }
 BENCHMARK(BM_Yield)->Arg(50)->Arg(1100)->Iterations(2000)->Unit(
--- a/keelbridge/coordination/decider_preemption.cc
+++ b/keelbridge/coordination/decider_preemption.cc
@@ -20,7 +20,7 @@
 
 bool Decider::MayPreempt(const TaskRow& row) const {
   if (row.rank == kUrgentRank) return true;
-  if (row.yields > 0) return false;
+  if (row.preempted > 0) return false;
   if (row.rank == kInteractiveRank && options_.interactive_preempts)
     return true;
   return options_.reclaim && row.rank <= kStandardRank && shares_[row.team] < 1;
@@ -49,14 +49,14 @@
                                  ? options_.interactive_cost_factor
                                  : 1;
   return (lost_s + options_.preemption_base_cost_s) * cost_factor *
-         (1 + options_.repeat_preemption_factor * victim.yields);
+         (1 + options_.repeat_preemption_factor * victim.preempted);
 }
 
 VictimSet Decider::FindVictimsOn(WorkerId worker, const TaskRow& row,
                                  bool include_protected, int64_t now_ms) const {
   std::vector<VictimCandidate> candidates;
   Resources capacity = UnreservedCapacity(worker);
-  for (const TaskId id : on_worker_[worker]) {
+  for (const TaskHandle id : on_worker_[worker]) {
     const TaskRow& victim = tasks_[id];
     if (!IsPreemptibleBy(victim, row)) continue;
     if (!include_protected &&
@@ -70,7 +70,7 @@
                      Shortfall(row.need, UnreservedCapacity(worker)));
 }
 
-bool Decider::PreemptFor(TaskId id, int64_t now_ms,
+bool Decider::PreemptFor(TaskHandle id, int64_t now_ms,
                          std::vector<Order>& orders) {
   TaskRow& row = tasks_[id];
   VictimSet best;
@@ -109,14 +109,14 @@
   AddUsage(row, 1);
   preemptions_.push_back({id, best_worker, row.need, best.tasks});
   UpdateReserved(best_worker);
-  for (const TaskId victim : best.tasks) {
+  for (const TaskHandle victim : best.tasks) {
     tasks_[victim].state = TaskState::kBeingPreempted;
     AddUsage(tasks_[victim], -1);
-    if (tasks_[victim].yields < UINT8_MAX) ++tasks_[victim].yields;
+    if (tasks_[victim].preempted < UINT8_MAX) ++tasks_[victim].preempted;
     orders.push_back({Order::Kind::kPreempt, victim, best_worker,
                       tasks_[victim].checkpoints, id});
   }
-  counts_.yields += static_cast<int64_t>(best.tasks.size());
+  counts_.preempted += static_cast<int64_t>(best.tasks.size());
   counts_.preemption_cost_s += best.cost;
   Decision record;
   record.task = id;
@@ -136,7 +136,7 @@
 int64_t Decider::EarliestStart(WorkerId worker, const Resources& need,
                                int64_t now_ms, Resources* spare) const {
   std::vector<std::pair<int64_t, Resources>> ends;
-  for (const TaskId id : on_worker_[worker]) {
+  for (const TaskHandle id : on_worker_[worker]) {
     const TaskRow& row = tasks_[id];
     if (!row.service)
       ends.emplace_back(
@@ -155,7 +155,7 @@
   return at;
 }
 
-void Decider::Reserve(TaskId id, int64_t now_ms) {
+void Decider::Reserve(TaskHandle id, int64_t now_ms) {
   const TaskRow& row = tasks_[id];
   DropReservation(id);
   if (reservations_.size() >= static_cast<size_t>(options_.max_reservations) ||
@@ -184,7 +184,7 @@
   if (best.worker != kNoWorker) reservations_.push_back(best);
 }
 
-void Decider::DropReservation(TaskId id) {
+void Decider::DropReservation(TaskHandle id) {
   const auto it = std::find_if(
       reservations_.begin(), reservations_.end(),
       [id](const Reservation& reservation) { return reservation.task == id; });
--- a/keelbridge/coordination/decider_test.cc
+++ b/keelbridge/coordination/decider_test.cc
@@ -53,7 +53,7 @@
       return std::uniform_int_distribution<int>(a, b)(random);
     };
     Decider decider = MakeDecider(NoPreemptionOptions(), 8);
-    std::vector<TaskId> running;
+    std::vector<TaskHandle> running;
     int64_t now = 0;
     for (int step = 0; step < 60; ++step) {
       now += 10;
@@ -68,7 +68,7 @@
       bool fits = false;
       for (WorkerId w = 0; w < 8; ++w)
         fits = fits || spec.need.FitsIn(decider.cell().Free(w));
-      const TaskId id = decider.Submit(spec, now);
+      const TaskHandle id = decider.Submit(spec, now);
       const std::vector<Order> orders = decider.Decide(now, 10);
       ++decisions;
       const bool started =
@@ -144,9 +144,9 @@
 void CheckInvariants(const std::vector<uint32_t>& steps,
                      const DeciderOptions& options) {
   Decider decider = MakeDecider(options, 6);
-  std::set<TaskId> live;
-  std::set<TaskId> running;
-  std::set<TaskId> being_preempted;
+  std::set<TaskHandle> live;
+  std::set<TaskHandle> running;
+  std::set<TaskHandle> being_preempted;
   int64_t now = 0;
   int64_t submitted = 0;
   int64_t ended = 0;
@@ -173,7 +173,7 @@
         if (!running.empty()) {
           auto it = running.begin();
           std::advance(it, static_cast<ptrdiff_t>(step / 7 % running.size()));
-          const TaskId id = *it;
+          const TaskHandle id = *it;
           running.erase(it);
           const bool stops = being_preempted.erase(id) > 0 || step % 2 == 0;
           if (stops) {
@@ -199,7 +199,8 @@
         // A task that was preempted never preempts others unless it is urgent,
         // so that preemptions do not cascade.
         const TaskRow& cause = decider.task(order.preemptor);
-        RC_ASSERT(cause.work_class == WorkClass::kUrgent || cause.yields == 0);
+        RC_ASSERT(cause.work_class == WorkClass::kUrgent ||
+                  cause.preempted == 0);
         being_preempted.insert(order.task);
         continue;
       }
@@ -209,7 +210,7 @@
     // The accounting matches the running tasks: no capacity is allocated twice
     // or lost.
     std::map<WorkerId, Resources> used;
-    for (const TaskId id : running)
+    for (const TaskHandle id : running)
       used[decider.task(id).worker] += decider.task(id).need;
     for (WorkerId w = 0; w < 6; ++w) {
       RC_ASSERT(decider.cell().Used(w) == used[w]);
@@ -261,9 +262,9 @@
       return std::uniform_int_distribution<int>(a, b)(random);
     };
     Decider decider = MakeDecider(NoPreemptionOptions(), 3);
-    std::multimap<int64_t, TaskId> ends;
+    std::multimap<int64_t, TaskHandle> ends;
     int64_t now = 0;
-    const auto decide = [&](TaskId watched) {
+    const auto decide = [&](TaskHandle watched) {
       bool seen = false;
       for (const Order& order : decider.Decide(now, 200)) {
         ends.emplace(now + decider.task(order.task).duration_ms, order.task);
@@ -286,7 +287,7 @@
           std::max(empty_at[decider.task(id).worker], at);
     for (WorkerId w = 0; w < 3; ++w)
       latest = w == 0 ? empty_at[w] : std::min(latest, empty_at[w]);
-    const TaskId large =
+    const TaskHandle large =
         decider.Submit(MakeTask(16, 8, WorkClass::kStandard, 5000), now);
     bool started = decide(large);
     while (!started && !ends.empty()) {
@@ -311,8 +312,8 @@
   DeciderOptions options = NoPreemptionOptions();
   options.queue.promote_after_ms = 60000;
   Decider decider = MakeDecider(options, 2);
-  const TaskId bulk = decider.Submit(MakeTask(8, 8, WorkClass::kBulk), 0);
-  std::multimap<int64_t, TaskId> ends;
+  const TaskHandle bulk = decider.Submit(MakeTask(8, 8, WorkClass::kBulk), 0);
+  std::multimap<int64_t, TaskHandle> ends;
   int64_t started_at = -1;
   for (int64_t now = 0; now < 300000 && started_at < 0; now += 1000) {
     while (!ends.empty() && ends.begin()->first <= now) {
@@ -359,18 +360,18 @@
   }
   CHECK(decider.ShareOf(0) == doctest::Approx(0.5));
   CHECK(decider.ShareOf(1) == doctest::Approx(0.5));
-  CHECK(decider.counts().yields == 4);
+  CHECK(decider.counts().preempted == 4);
 }
 
 TEST_CASE("explanation: a task that preempted others says so once it runs") {
   Decider decider = MakeDecider(NoPreemptionOptions(), 1);
-  const TaskId bulk = decider.Submit(MakeTask(16, 8, WorkClass::kBulk), 0);
+  const TaskHandle bulk = decider.Submit(MakeTask(16, 8, WorkClass::kBulk), 0);
   (void)decider.Decide(0, 10);
-  const TaskId urgent =
+  const TaskHandle urgent =
       decider.Submit(MakeTask(16, 8, WorkClass::kUrgent), 1000);
-  const std::vector<Order> yields = decider.Decide(1000, 10);
-  REQUIRE(yields.size() == 1);
-  CHECK(yields[0].task == bulk);
+  const std::vector<Order> preempted = decider.Decide(1000, 10);
+  REQUIRE(preempted.size() == 1);
+  CHECK(preempted[0].task == bulk);
   decider.OnStopped(bulk, 0, 2000);
   const std::vector<Order> starts = decider.Decide(2000, 10);
   REQUIRE(starts.size() == 1);
@@ -383,9 +384,9 @@
     "explanation: states the placement rule, the search and what would let a "
     "task start") {
   Decider decider = MakeDecider(NoPreemptionOptions(), 4);
-  const TaskId first = decider.Submit(MakeTask(16, 8), 0);
+  const TaskHandle first = decider.Submit(MakeTask(16, 8), 0);
   for (int i = 0; i < 3; ++i) decider.Submit(MakeTask(16, 8), 0);
-  const TaskId waits = decider.Submit(MakeTask(16, 8), 0);
+  const TaskHandle waits = decider.Submit(MakeTask(16, 8), 0);
   decider.Decide(0, 100);
   const std::string placed =
       decider.LastDecision(first)->ToText(decider.cell());
--- a/keelbridge/coordination/decision.h
+++ b/keelbridge/coordination/decision.h
@@ -18,8 +18,8 @@
 
 namespace keelbridge {
 
-using TaskId = int32_t;
-constexpr TaskId kNoTask = -1;
+using TaskHandle = int32_t;
+constexpr TaskHandle kNoTask = -1;
 
 // Why a worker cannot run a task.
 enum class Rejection {
@@ -48,7 +48,7 @@
 struct Decision {
   static constexpr int kMaxRunnersUp = 3;
 
-  TaskId task = kNoTask;
+  TaskHandle task = kNoTask;
   int64_t at_ms = 0;  // Monotonic clock.
   Rule rule = Rule::kWaitsForCapacity;
   WorkerId worker = kNoWorker;
--- a/keelbridge/coordination/earlier_leaders.h
+++ b/keelbridge/coordination/earlier_leaders.h
@@ -10,7 +10,7 @@
 //
 //   EarlierLeaders earlier({"10.0.0.2:7580"}, own_last_order);
 //   earlier.OnStopped("10.0.0.2:7580", absl::Seconds(4), now);
-//   if (earlier.AllStopped()) Use(earlier.LastOrder());
+//   if (earlier.AllStopped()) Use(earlier.LastOrderTime());
 
 #ifndef KEELBRIDGE_COORDINATION_EARLIER_LEADERS_H_
 #define KEELBRIDGE_COORDINATION_EARLIER_LEADERS_H_
@@ -42,7 +42,7 @@
   bool AllStopped() const { return unconfirmed_.empty(); }
   // Returns the latest time at which an earlier leader that has answered, or
   // this node, may have sent its last order.
-  absl::Time LastOrder() const { return last_order_; }
+  absl::Time LastOrderTime() const { return last_order_; }
 
  private:
   std::vector<std::string> unconfirmed_;
--- a/keelbridge/coordination/earlier_leaders_test.cc
+++ b/keelbridge/coordination/earlier_leaders_test.cc
@@ -14,17 +14,17 @@
   CHECK_FALSE(earlier.AllStopped());
   earlier.OnStopped("a", absl::Seconds(5), kBegin + absl::Seconds(20));
   CHECK_FALSE(earlier.AllStopped());
-  CHECK(earlier.LastOrder() == kBegin + absl::Milliseconds(15100));
+  CHECK(earlier.LastOrderTime() == kBegin + absl::Milliseconds(15100));
   earlier.OnStopped("b", absl::Seconds(10), kBegin + absl::Seconds(20));
   CHECK(earlier.AllStopped());
-  CHECK(earlier.LastOrder() == kBegin + absl::Milliseconds(15100));
+  CHECK(earlier.LastOrderTime() == kBegin + absl::Milliseconds(15100));
 }
 
 TEST_CASE("earlier leaders: only the first answer of a leader counts") {
   EarlierLeaders earlier({"a"}, kBegin);
   earlier.OnStopped("a", absl::Seconds(10), kBegin + absl::Seconds(10));
   earlier.OnStopped("a", absl::ZeroDuration(), kBegin + absl::Seconds(60));
-  CHECK(earlier.LastOrder() < kBegin + absl::Seconds(1));
+  CHECK(earlier.LastOrderTime() < kBegin + absl::Seconds(1));
 }
 
 // An answer without an idle time comes from a node of an older version and
@@ -34,13 +34,13 @@
     "now") {
   EarlierLeaders earlier({"a"}, kBegin);
   earlier.OnStopped("a", absl::ZeroDuration(), kBegin + absl::Seconds(9));
-  CHECK(earlier.LastOrder() == kBegin + absl::Seconds(9));
+  CHECK(earlier.LastOrderTime() == kBegin + absl::Seconds(9));
 }
 
 TEST_CASE("earlier leaders: no other node has led") {
   const EarlierLeaders earlier({}, kBegin);
   CHECK(earlier.AllStopped());
-  CHECK(earlier.LastOrder() == kBegin);
+  CHECK(earlier.LastOrderTime() == kBegin);
 }
 
 }  // namespace
--- a/keelbridge/coordination/idempotency.h
+++ b/keelbridge/coordination/idempotency.h
@@ -60,10 +60,10 @@
         lifetime_(lifetime) {}
 
   std::string Issue(absl::Time wall);
-  bool IssuedByThisRun(const Ticket& ticket) const {
+  bool IssuedByThisIncarnation(const Ticket& ticket) const {
     return ticket.incarnation == incarnation_;
   }
-  // Marks a ticket as used. Requires IssuedByThisRun(ticket).
+  // Marks a ticket as used. Requires IssuedByThisIncarnation(ticket).
   TicketUse Use(const Ticket& ticket, absl::Time wall);
   // Makes the ticket usable again, because its request did not run.
   void Release(const Ticket& ticket) {
--- a/keelbridge/coordination/idempotency_test.cc
+++ b/keelbridge/coordination/idempotency_test.cc
@@ -19,7 +19,7 @@
   TicketTable table("gw", 7, absl::Seconds(60));
   Result<Ticket> ticket = TicketFromText(table.Issue(kWall));
   REQUIRE(ticket.has_value());
-  CHECK(table.IssuedByThisRun(ticket.value()));
+  CHECK(table.IssuedByThisIncarnation(ticket.value()));
   CHECK(table.Use(ticket.value(), kWall) == TicketUse::kFirst);
   CHECK(table.Use(ticket.value(), kWall) == TicketUse::kUsed);
   table.Release(ticket.value());
@@ -29,8 +29,8 @@
   CHECK(table.Use(expired.value(), kWall + absl::Seconds(61)) ==
         TicketUse::kUsed);
 
-  TicketTable next_run("gw", 8);
-  CHECK_FALSE(next_run.IssuedByThisRun(ticket.value()));
+  TicketTable next_incarnation("gw", 8);
+  CHECK_FALSE(next_incarnation.IssuedByThisIncarnation(ticket.value()));
   Ticket forged = ticket.value();
   forged.number = 99;
   CHECK(table.Use(forged, kWall) == TicketUse::kUsed);
@@ -50,7 +50,7 @@
 LogWriter::Options WriterOptions(uint64_t id) {
   LogWriter::Options options;
   options.incarnation = id;
-  options.append_every = absl::ZeroDuration();
+  options.append_interval = absl::ZeroDuration();
   options.initial_backoff = absl::ZeroDuration();
   return options;
 }
--- a/keelbridge/coordination/job_scheduler.cc
+++ b/keelbridge/coordination/job_scheduler.cc
@@ -60,7 +60,7 @@
     worker.record_removed = true;
   }
   unpersisted_workers_.clear();
-  LoadExposedRuns();
+  LoadCrashSuspects();
   placement_wanted_ = true;
   LogRecoveryWait(now);
 }
@@ -207,7 +207,7 @@
   job.ended_ms = ToMillis(now.wall);
   job.ended_at = now.mono;
   job.end_batch = next_batch_;
-  job.failure = std::move(why);
+  job.end_reason = std::move(why);
   active_.erase(job.id);
   job_times_.erase(job.id);
   MarkDirty(job);
@@ -216,7 +216,7 @@
               {{"job", JobIdText(job.id)},
                {"queue", job.queue},
                {"end", JobStateName(end)},
-               {"why", job.failure},
+               {"why", job.end_reason},
                {"age_ms", absl::StrCat(job.ended_ms - job.accepted_ms)}});
   placement_wanted_ = true;
 }
@@ -253,7 +253,7 @@
 
 void JobScheduler::DropEnded(Now now) {
   // Uses the monotonic clock, since the wall clock may jump.
-  const absl::Time before = now.mono - options_.ended_kept;
+  const absl::Time before = now.mono - options_.ended_retention;
   for (auto it = jobs_.begin(); it != jobs_.end();) {
     const Job& job = *it->second;
     const bool drop =
--- a/keelbridge/coordination/job_scheduler.h
+++ b/keelbridge/coordination/job_scheduler.h
@@ -108,11 +108,11 @@
     // The longest lease that a worker grants.
     absl::Duration lease = absl::Seconds(6);
     // By which fraction a worker's clock may run slow.
-    double clock_error = 0.02;
+    double max_clock_drift = 0.02;
     // How long a worker lets a gang member wait for the other members.
     absl::Duration gang_wait = absl::Seconds(3);
     // How long the scheduler remembers an ended job.
-    absl::Duration ended_kept = absl::Seconds(130);
+    absl::Duration ended_retention = absl::Seconds(130);
     // How long a worker may delay its answer to an observation while it waits
     // for a run to end.
     absl::Duration max_observe_wait = absl::Milliseconds(1000);
@@ -400,7 +400,7 @@
     int gangs = 0;
     // Further gangs, which lack only tickets.
     int ready_gangs = 0;
-    int others = 0;
+    int single_task_steps = 0;
   };
   // A step that has tasks to place, with the keys that order it among the other
   // steps.
@@ -438,11 +438,12 @@
 
   // Limits how many distinct workers a step may use.
   struct WorkerQuota {
-    int32_t most = std::numeric_limits<int32_t>::max();
+    int32_t max_workers = std::numeric_limits<int32_t>::max();
     std::set<std::string> used;
 
     bool Allows(const std::string& worker) const {
-      return static_cast<int32_t>(used.size()) < most || used.count(worker) > 0;
+      return static_cast<int32_t>(used.size()) < max_workers ||
+             used.count(worker) > 0;
     }
   };
 
@@ -509,16 +510,16 @@
   void HandleWorkerLoss(Worker& worker, WorkerLoss loss, Worker* next, Now now);
   static absl::Duration RunDurationUntil(const Allocation& allocation,
                                          absl::Time lost);
-  struct Suspicion {
+  struct SuspectCriteria {
     // Those that had been at work for less.
-    absl::Duration within = absl::InfiniteDuration();
+    absl::Duration max_run_duration = absl::InfiniteDuration();
     bool begun_only = false;  // Only runs that are known to have begun.
   };
   // A worker that crashed.
   struct Crash {
     absl::Time lost;  // The first sign of it.
     int earlier_machine_crashes = 0;
-    Suspicion suspicion;
+    SuspectCriteria criteria;
   };
   // Returns whether a suspect task had been started on the worker shortly
   // before it was lost.
@@ -541,10 +542,10 @@
   int CountConcurrentLosses(const TaskId& step, const std::string& worker_id,
                             absl::Time lost) const;
   // Returns the criteria for the runs that may have crashed the worker.
-  static Suspicion FindSuspicion(const Allocations& runs, absl::Time lost,
-                                 Now now);
+  static SuspectCriteria FindSuspectCriteria(const Allocations& runs,
+                                             absl::Time lost, Now now);
   static bool IsSuspectRun(const Allocation& allocation, absl::Time lost,
-                           const Suspicion& suspicion, Now now);
+                           const SuspectCriteria& criteria, Now now);
   // Attributes the crash of a worker to a run that was lost with it, if the run
   // is a suspect.
   void AttributeCrash(const Worker& worker, const RunKey& key,
@@ -561,9 +562,9 @@
   // durable record of an earlier leader.
   void AttributeUnobservedCrash(const Worker& worker, Now now);
   // Loads the recorded suspects of crashes from the jobs of earlier leaders.
-  void LoadExposedRuns();
+  void LoadCrashSuspects();
   // Records on the task that the run may crash, or have crashed, its worker.
-  void RecordExposedRun(Job& job, const TaskId& id, ExposedRun run);
+  void RecordCrashSuspect(Job& job, const TaskId& id, CrashSuspect run);
   // Records the start of a recovered task that this leader had not observed.
   void RecordUnobservedStart(const ReadyStep& ready, const TaskId& task,
                              const StartAction& action, Now now);
@@ -763,8 +764,8 @@
   // Returns the capacity of each pool, by pool name.
   std::map<std::string, PoolCapacity> FindPoolCapacity() const;
   // Returns whether the step depends on a step that ended under this leader.
-  static bool FollowsStepEndedHere(const Job& job, const Round& round,
-                                   size_t step);
+  static bool DependsOnObservedStep(const Job& job, const Round& round,
+                                    size_t step);
   // Returns whether the task waits and no retry delay, earlier lease or
   // unanswered order forbids starting it now.
   bool MayStart(const ReadyStep& ready, const TaskState& task, Now now);
@@ -773,8 +774,8 @@
   bool IsDown(const ReadyStep& ready, Now now);
   // Returns the number of tasks of a long-running step that will start again
   // soon, when the lease of their unresponsive worker expires.
-  int32_t CountSoonLost(const StepSpec& spec, const StepState& step,
-                        Now now) const;
+  int32_t CountTasksOnExpiringLeases(const StepSpec& spec,
+                                     const StepState& step, Now now) const;
   // Returns the indices of the running tasks of a long-running step whose
   // workers are about to leave.
   std::vector<int32_t> FindTasksOnLeavingWorkers(const StepSpec& spec,
@@ -785,15 +786,15 @@
 
   // job_scheduler_waiting.cc
   // What there is for a step that waits. In tasks of it.
-  struct WaitingRoom {
-    int64_t fits = 0;           // On all workers of its pool.
-    int64_t fits_good = 0;      // On those known to be allowed to run it,
-    int64_t fits_unheld = 0;    // of that, what is not kept for others,
-    int64_t fits_ticketed = 0;  // and on those that it has a ticket of.
-    int32_t workers_good = 0;
-    int32_t workers_bad = 0;  // Known not to be allowed to.
+  struct WaitingCapacity {
+    int64_t fits = 0;             // On all workers of its pool.
+    int64_t fits_eligible = 0;    // On those known to be allowed to run it,
+    int64_t fits_unreserved = 0;  // of that, what is not kept for others,
+    int64_t fits_ticketed = 0;    // and on those that it has a ticket of.
+    int32_t eligible_workers = 0;
+    int32_t ineligible_workers = 0;  // Known not to be allowed to.
   };
-  WaitingRoom FindWaitingCapacity(const ReadyStep& ready, Now now) const;
+  WaitingCapacity FindWaitingCapacity(const ReadyStep& ready, Now now) const;
   // Logs some of the steps that have waited for long, at most once per
   // interval.
   void ExplainWaiting(const std::vector<ReadyStep>& ready, Now now);
@@ -888,9 +889,9 @@
   bool AskAdvice(ReadyStep& ready, const NamedWorker* named, size_t count,
                  Now now);
   // Makes as many concurrent advice calls as are needed to name all of `named`,
-  // at most `most_calls`.
+  // at most `max_calls`.
   void AskAdvice(ReadyStep& ready, const std::vector<NamedWorker>& named,
-                 size_t most_calls, Now now);
+                 size_t max_calls, Now now);
   // Returns the processors, in thousandths, that `tasks` tasks of the step are
   // expected to use on one worker. Counts at most the waiting tasks.
   static int32_t ExpectedMilli(const ReadyStep& ready, double tasks);
@@ -905,13 +906,13 @@
   static Resources UnclaimedCapacity(const Worker& worker);
   void EnsureSingleTaskAdvice(ReadyStep& ready, Now now);
   void EnsureGangAdvice(ReadyStep& ready, Now now);
-  struct GangCall;
+  struct GangAdviceWorkers;
   // Workers that a gang may be asked about, those with most room first.
   struct GangCandidates {
-    std::vector<AdviceCandidate> good;  // Known to be allowed to run it.
+    std::vector<AdviceCandidate> eligible;  // Known to be allowed to run it.
     std::vector<AdviceCandidate> unknown;
-    int32_t good_now = 0;    // Tasks that fit at the good ones now,
-    int32_t good_whole = 0;  // and when nothing else runs there.
+    int32_t eligible_fits = 0;  // Tasks that fit at the good ones now,
+    int32_t eligible_fits_when_empty = 0;  // and when nothing else runs there.
   };
   GangCandidates FindGangCandidates(const ReadyStep& ready, Now now);
   Adviser* FindFreeAdviser(double cost_ms, Now now);
@@ -938,7 +939,7 @@
   absl::flat_hash_map<JobId, JobTiming> job_times_;
   std::vector<Adviser> advisers_;
   // By queue: the learned share of workers that may run its steps.
-  absl::flat_hash_map<std::string, double> good_share_;
+  absl::flat_hash_map<std::string, double> eligible_share_;
   std::vector<Action> actions_;
 
   int64_t next_batch_ = 1;
@@ -959,13 +960,13 @@
     TaskId task;
     int32_t run;
     absl::Duration ran;
-    CrashContext around;
+    CrashContext context;
   };
   struct PastCrash {
     absl::Time lost;
     std::string worker;
     std::string machine;
-    bool explained;          // See IsCausedBySuspect.
+    bool caused_by_suspect;  // See IsCausedBySuspect.
     std::set<TaskId> steps;  // Steps that ran there; the task index is 0.
     std::vector<CrashAttribution> attributions;  // Made for this crash.
   };
@@ -983,7 +984,7 @@
   // Starts that were recorded because of such a crash.
   int unobserved_starts_recorded_ = 0;
   // By worker: recovered tasks whose run there may have crashed the worker.
-  std::map<std::string, std::vector<TaskId>> exposed_;
+  std::map<std::string, std::vector<TaskId>> crash_suspects_;
   bool placements_adopted_ = false;
 
   AnswerTimes answer_times_{AnswerTimes::Options()};
--- a/keelbridge/coordination/job_scheduler_advice.cc
+++ b/keelbridge/coordination/job_scheduler_advice.cc
@@ -145,8 +145,9 @@
 }
 
 double JobScheduler::EligibleShare(const Queue& queue) const {
-  const auto learnt = good_share_.find(queue.name);
-  return learnt == good_share_.end() ? kInitialEligibleShare : learnt->second;
+  const auto learned = eligible_share_.find(queue.name);
+  return learned == eligible_share_.end() ? kInitialEligibleShare
+                                          : learned->second;
 }
 
 bool JobScheduler::IsTicketValid(const StepAdvice::Ticket& ticket, Now now) {
@@ -244,9 +245,9 @@
 
 void JobScheduler::AskAdvice(ReadyStep& ready,
                              const std::vector<NamedWorker>& named,
-                             size_t most_calls, Now now) {
+                             size_t max_calls, Now now) {
   if (named.empty()) return;
-  const size_t count = std::min(named.size(), most_calls * kMaxNamedWorkers);
+  const size_t count = std::min(named.size(), max_calls * kMaxNamedWorkers);
   const size_t calls = (count + kMaxNamedWorkers - 1) / kMaxNamedWorkers;
   // All calls name about equally many workers, so that their answers arrive
   // together and their tickets are valid at the same time.
@@ -271,18 +272,19 @@
 
 struct JobScheduler::AdviceCandidate {
   Worker* worker;
-  int32_t fits;   // Number of tasks that fit now.
-  int32_t whole;  // Number of tasks that fit when nothing else runs there.
-  bool good;      // Known to be allowed to run the step.
-  size_t number;  // Rank in the order of worker ids.
-  bool reserved = false;  // Capacity is reserved there for the step.
+  int32_t fits;             // Number of tasks that fit now.
+  int32_t fits_when_empty;  // Number of tasks that fit when nothing else runs
+                            // there.
+  bool eligible;            // Known to be allowed to run the step.
+  size_t number;            // Rank in the order of worker ids.
+  bool reserved = false;    // Capacity is reserved there for the step.
 };
 
 void JobScheduler::EnsureSingleTaskAdvice(ReadyStep& ready, Now now) {
   if (!TryTakeAdviceSearch(ready, now)) return;
   StepAdvice& advice = ready.state->advice;
-  const bool by_cost =
-      options_.policy.name_by_cost && CheapNameCount(*ready.queue) > 0;
+  const bool names_extra =
+      options_.policy.name_extra_workers && CheapNameCount(*ready.queue) > 0;
   std::vector<AdviceCandidate> candidates;
   int32_t usable = 0;
   bool any_fits = false;
@@ -291,7 +293,7 @@
   for (auto& [id, worker] : workers_) {
     // Most workers of a busy site have no free capacity, so the cheapest test
     // comes first.
-    if (!by_cost && !need.FitsIn(worker->free)) continue;
+    if (!names_extra && !need.FitsIn(worker->free)) continue;
     if (!MayRun(*worker, ready, now)) continue;
     if (!advice.tickets.empty() && HasTicket(*worker, ready, now)) {
       usable += CountFittingTasks(*worker, ready, UnreservedCapacity(*worker));
@@ -299,20 +301,22 @@
     }
     const int32_t fits =
         CountFittingTasks(*worker, ready, UnclaimedCapacity(*worker));
-    if (fits < 1 && !by_cost) continue;
+    if (fits < 1 && !names_extra) continue;
     const auto known = advice.known.find(id);
     if (known != advice.known.end() && !known->second) continue;
-    const int32_t whole =
+    const int32_t fits_when_empty =
         CountFittingTasks(*worker, ready, worker->record.capacity);
-    if (whole < 1) continue;
-    const bool good = known != advice.known.end();
+    if (fits_when_empty < 1) continue;
+    const bool eligible = known != advice.known.end();
     any_fits = any_fits || fits > 0;
-    any_unknown = any_unknown || !good;
-    candidates.push_back({worker.get(), fits, whole, good, candidates.size()});
+    any_unknown = any_unknown || !eligible;
+    candidates.push_back(
+        {worker.get(), fits, fits_when_empty, eligible, candidates.size()});
   }
   // A blocked step learns which workers may run it before there is capacity,
   // and renews the tickets of workers on which capacity is reserved for it.
-  const bool asks_ahead = by_cost && options_.policy.hold_room &&
+  const bool asks_ahead = names_extra &&
+                          options_.policy.reserve_for_single_tasks &&
                           ready.may_reserve &&
                           ((any_unknown && ready.state->reserved.empty()) ||
                            ReservedTicketExpires(ready, now));
@@ -321,14 +325,16 @@
     advice.next_ask_at = now.mono + AdviceSearchInterval();
     return;
   }
-  const size_t cheap_count = by_cost ? CheapNameCount(*ready.queue) : 0;
+  const size_t cheap_count = names_extra ? CheapNameCount(*ready.queue) : 0;
   const size_t ordered = std::min(candidates.size(), kMaxNamedWorkers);
-  std::partial_sort(
-      candidates.begin(), candidates.begin() + ordered, candidates.end(),
-      [](const AdviceCandidate& a, const AdviceCandidate& b) {
-        return std::make_tuple(!a.good, -a.fits, -a.whole, a.number) <
-               std::make_tuple(!b.good, -b.fits, -b.whole, b.number);
-      });
+  std::partial_sort(candidates.begin(), candidates.begin() + ordered,
+                    candidates.end(),
+                    [](const AdviceCandidate& a, const AdviceCandidate& b) {
+                      return std::make_tuple(!a.eligible, -a.fits,
+                                             -a.fits_when_empty, a.number) <
+                             std::make_tuple(!b.eligible, -b.fits,
+                                             -b.fits_when_empty, b.number);
+                    });
   candidates.resize(ordered);
   const double share = EligibleShare(*ready.queue);
   double expected = usable;
@@ -338,7 +344,7 @@
                         named.size() >= kMinNamedWorkers;
     if (enough && named.size() >= cheap_count) break;
     const double expected_gain =
-        candidate.fits * (candidate.good ? 1.0 : share);
+        candidate.fits * (candidate.eligible ? 1.0 : share);
     expected += expected_gain;
     named.push_back(
         {candidate.worker, enough ? 0 : ExpectedMilli(ready, expected_gain)});
@@ -347,7 +353,7 @@
 }
 
 // The workers that advice calls for a gang name, in this order.
-struct JobScheduler::GangCall {
+struct JobScheduler::GangAdviceWorkers {
   std::vector<NamedWorker> named;
   double expected = 0;    // Tasks expected to fit on the named workers.
   double first_call = 0;  // The part of `expected` that one call covers.
@@ -375,23 +381,23 @@
     if (is_known && !known->second) continue;
     // Capacity that is reserved for this step is available to it.
     Resources available = UnreservedCapacity(*worker);
-    const auto kept = own_reserved.find(id);
-    const bool reserved = kept != own_reserved.end();
-    for (int32_t i = 0; reserved && i < kept->second; ++i) available += need;
+    const auto own = own_reserved.find(id);
+    const bool reserved = own != own_reserved.end();
+    for (int32_t i = 0; reserved && i < own->second; ++i) available += need;
     const AdviceCandidate candidate{
         worker.get(),
         CountFittingTasks(*worker, ready, available),
         CountFittingTasks(*worker, ready, worker->record.capacity),
         is_known,
-        out.good.size() + out.unknown.size(),
+        out.eligible.size() + out.unknown.size(),
         reserved};
-    if (candidate.whole < 1) continue;
+    if (candidate.fits_when_empty < 1) continue;
     if (!is_known) {
       out.unknown.push_back(candidate);
     } else {
-      out.good.push_back(candidate);
-      out.good_now += candidate.fits;
-      out.good_whole += candidate.whole;
+      out.eligible.push_back(candidate);
+      out.eligible_fits += candidate.fits;
+      out.eligible_fits_when_empty += candidate.fits_when_empty;
     }
   }
   // Reserved workers come first: other steps may use unreserved capacity while
@@ -406,7 +412,7 @@
     };
     return rank(a) < rank(b);
   };
-  std::sort(out.good.begin(), out.good.end(), by_capacity);
+  std::sort(out.eligible.begin(), out.eligible.end(), by_capacity);
   std::sort(out.unknown.begin(), out.unknown.end(), by_capacity);
   return out;
 }
@@ -414,45 +420,47 @@
 void JobScheduler::EnsureGangAdvice(ReadyStep& ready, Now now) {
   if (!TryTakeAdviceSearch(ready, now)) return;
   StepAdvice& advice = ready.state->advice;
-  const bool by_cost =
-      options_.policy.name_by_cost && CheapNameCount(*ready.queue) > 0;
+  const bool names_extra =
+      options_.policy.name_extra_workers && CheapNameCount(*ready.queue) > 0;
   const GangCandidates candidates = FindGangCandidates(ready, now);
   const double share = EligibleShare(*ready.queue);
   const double count = ready.spec->count;
-  double expected_now = candidates.good_now;
+  double expected_now = candidates.eligible_fits;
   for (const AdviceCandidate& candidate : candidates.unknown)
     expected_now += candidate.fits * share;
-  const bool fits_now = candidates.good_now >= ready.spec->count;
+  const bool fits_now = candidates.eligible_fits >= ready.spec->count;
   // Asks about workers of unknown eligibility when the eligible ones have no
   // capacity now but the unknown ones may have, or when too few workers are
   // known to be eligible.
   const bool ask_unknown =
       !fits_now && !candidates.unknown.empty() &&
-      (expected_now >= count || candidates.good_whole < count * kAdviceMargin);
+      (expected_now >= count ||
+       candidates.eligible_fits_when_empty < count * kAdviceMargin);
   const bool asks_ahead =
-      by_cost && ready.may_reserve && ReservedTicketExpires(ready, now);
+      names_extra && ready.may_reserve && ReservedTicketExpires(ready, now);
   if (!fits_now && !ask_unknown && !asks_ahead) {
     advice.next_ask_at = now.mono + AdviceSearchInterval();
     return;
   }
-  const size_t cheap_count = by_cost ? CheapNameCount(*ready.queue) : 0;
+  const size_t cheap_count = names_extra ? CheapNameCount(*ready.queue) : 0;
   // Renews the tickets of eligible workers with free capacity, with a margin:
   // other steps use capacity while the answer is in transit.
-  GangCall names;
-  for (const AdviceCandidate& candidate : candidates.good) {
+  GangAdviceWorkers names;
+  for (const AdviceCandidate& candidate : candidates.eligible) {
     const bool enough =
         candidate.fits < 1 || names.expected >= kGangMargin * count;
     if (enough && names.named.size() >= cheap_count) break;
     names.Add(candidate, candidate.fits,
               enough ? 0 : ExpectedMilli(ready, candidate.fits));
   }
-  const auto add_unknown = [&](GangCall& to) {
+  const auto add_unknown = [&](GangAdviceWorkers& to) {
     for (const AdviceCandidate& candidate : candidates.unknown) {
       const bool enough = to.expected >= kGangMargin * kAdviceMargin * count &&
                           to.named.size() >= kMinNamedWorkers;
       if (enough && to.named.size() >= cheap_count) break;
       to.Add(candidate,
-             share * (candidate.fits > 0 ? candidate.fits : candidate.whole),
+             share * (candidate.fits > 0 ? candidate.fits
+                                         : candidate.fits_when_empty),
              enough ? 0 : ExpectedMilli(ready, share * candidate.fits));
     }
   };
@@ -468,7 +476,7 @@
         ready.pool_mostly_idle) {
       calls = std::min(kMaxConcurrentCalls, 1 + concurrent_calls_left_);
     } else if (names.first_call < count) {
-      names = GangCall();
+      names = GangAdviceWorkers();
       if (ask_unknown) add_unknown(names);
     }
   }
@@ -501,17 +509,17 @@
                {"adviser", action.adviser},
                {"answered", reply.answered ? "yes" : "no"},
                {"named", absl::StrCat(action.request.workers.size())},
-               {"good", absl::StrCat(reply.good.size())}});
+               {"good", absl::StrCat(reply.eligible.size())}});
   if (!reply.answered) {
     advice.next_ask_at = now.mono + kAdviceRetry;
     return;
   }
   const Queue* queue = configuration_->FindQueueByName(found->second->queue);
   if (queue == nullptr) return;
-  int64_t fresh = 0;
-  int64_t fresh_good = 0;
+  int64_t newly_known = 0;
+  int64_t newly_eligible = 0;
   for (const std::string& worker : action.request.workers) {
-    if (advice.known.try_emplace(worker, false).second) ++fresh;
+    if (advice.known.try_emplace(worker, false).second) ++newly_known;
   }
   absl::erase_if(advice.tickets, [&](const auto& one) {
     return !IsTicketValid(one.second, now);
@@ -519,18 +527,19 @@
   const absl::Time expires = now.mono +
                              absl::Milliseconds(queue->advice.validity_ms) -
                              kTicketTransitTime;
-  for (const AdviceTicket& ticket : reply.good) {
-    bool& good = advice.known[ticket.worker];
-    if (!good) ++fresh_good;
-    good = true;
+  for (const AdviceTicket& ticket : reply.eligible) {
+    bool& eligible = advice.known[ticket.worker];
+    if (!eligible) ++newly_eligible;
+    eligible = true;
     advice.tickets[ticket.worker] = {ticket.ticket, expires};
   }
-  if (fresh > 0) {
-    double& share = good_share_.try_emplace(queue->name, kInitialEligibleShare)
-                        .first->second;
-    const double seen =
-        static_cast<double>(fresh_good) / static_cast<double>(fresh);
-    share += kEligibleShareWeight * (seen - share);
+  if (newly_known > 0) {
+    double& share =
+        eligible_share_.try_emplace(queue->name, kInitialEligibleShare)
+            .first->second;
+    const double sample_share =
+        static_cast<double>(newly_eligible) / static_cast<double>(newly_known);
+    share += kEligibleShareWeight * (sample_share - share);
     share = std::max(share, kMinEligibleShare);
   }
 }
--- a/keelbridge/coordination/job_scheduler_advice_test.cc
+++ b/keelbridge/coordination/job_scheduler_advice_test.cc
@@ -22,7 +22,7 @@
     site.AddWorker(id);
     site.reports[id];
   }
-  site.good = {"a", "b", "z"};
+  site.eligible = {"a", "b", "z"};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec gang;
   gang.steps.push_back(OneTask(8000));
@@ -99,7 +99,7 @@
   // Disables naming additional workers: if each call named all workers, only
   // the expected use would differ.
   SchedulerPolicy few_named;
-  few_named.name_by_cost = false;
+  few_named.name_extra_workers = false;
   SchedulerDriver site(1, 2, few_named);
   site.UseAdvice();
   site.UseAdvisers(40);
@@ -151,7 +151,7 @@
   site.UseAdvisers(9);
   site.AddWorker("a");
   site.reports["a"];
-  site.good = {"a", "b"};
+  site.eligible = {"a", "b"};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps.push_back(OneTask());
@@ -307,16 +307,16 @@
   other.pool = "other";
   site.scheduler().OnWorkerRecord(other, site.now());
   for (const char* worker : {"a", "w"}) site.reports[worker];
-  site.good = {"w"};
+  site.eligible = {"w"};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec many;
   many.steps = {OneTask()};
   many.steps[0].count = 4;
   for (JobId job = 100; job < 160; ++job)
     site.scheduler().Submit(job, "restore", many, site.now());
-  JobSpec wide;
-  wide.steps = {OneTask(6000)};
-  site.scheduler().Submit(kJob, "render", wide, site.now());
+  JobSpec large_task_job;
+  large_task_job.steps = {OneTask(6000)};
+  site.scheduler().Submit(kJob, "render", large_task_job, site.now());
   site.RunUntil(absl::Seconds(3));
   CHECK(site.start_workers == std::vector<std::string>{"w"});
 }
--- a/keelbridge/coordination/job_scheduler_capacity_test.cc
+++ b/keelbridge/coordination/job_scheduler_capacity_test.cc
@@ -28,9 +28,9 @@
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
   site.reports["a"];
-  StepSpec four = OneTask(2000);
-  four.count = 4;
-  Submit(site, kJob, four);
+  StepSpec four_tasks = OneTask(2000);
+  four_tasks.count = 4;
+  Submit(site, kJob, four_tasks);
   site.RunUntil(absl::Milliseconds(200));
   REQUIRE(site.starts.size() == 4);
   SetCapacity(site, "a", 4000);
@@ -53,9 +53,9 @@
   SchedulerDriver site(1);
   site.AddWorker("a", 8000);
   site.reports["a"];
-  StepSpec four = OneTask(2000);
-  four.count = 4;
-  Submit(site, kJob, four);
+  StepSpec four_tasks = OneTask(2000);
+  four_tasks.count = 4;
+  Submit(site, kJob, four_tasks);
   site.RunUntil(absl::Milliseconds(200));
   SetCapacity(site, "a", 6000);
   site.scheduler().Cancel(kJob, site.now());
--- a/keelbridge/coordination/job_scheduler_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_gangs_test.cc
@@ -66,17 +66,17 @@
 // Only the few gangs that reserve capacity make concurrent calls.
 TEST_CASE("job scheduler: wide gangs leave advisers to other steps") {
   WideSite site;
-  size_t most = 0;
+  size_t max_calls = 0;
   for (JobId job = 1; job <= 60; ++job)
     site.Submit(job, "restore", 180, kHalfMilli, true);
   for (int i = 2; i <= 40; ++i) {
     const size_t before = site.driver().advice_calls.size();
     site.RunUntil(absl::Milliseconds(i * 500));
-    most = std::max(most, site.driver().advice_calls.size() - before);
+    max_calls = std::max(max_calls, site.driver().advice_calls.size() - before);
   }
-  MESSAGE("calls in half a second, at most: ", most);
-  CHECK(most > 0);
-  CHECK(most <= 76);  // 4 gangs make 4 calls each, 60 gangs one each.
+  MESSAGE("calls in half a second, at most: ", max_calls);
+  CHECK(max_calls > 0);
+  CHECK(max_calls <= 76);  // 4 gangs make 4 calls each, 60 gangs one each.
 }
 
 // The gangs with reservations reserve at most 4 x 90 of 1,100 workers.
@@ -103,19 +103,19 @@
 
 // Gangs wait on a full site, and no adviser is available from `unadvised` on.
 // Returns how many times a worker was tried in one second after that.
-int64_t WorkersTriedInOneSecond(absl::Duration unadvised) {
+int64_t WorkersTriedInOneSecond(absl::Duration advised_for) {
   WideSite site;
   for (JobId job = 100; job < 122; ++job)
     site.Submit(job, "plain", {100, {kHalfMilli, 1, 0}, false, 60000, 60000});
   site.RunUntil(absl::Seconds(2));
-  if (unadvised == absl::ZeroDuration()) site.driver().UseAdvisers(0);
+  if (advised_for == absl::ZeroDuration()) site.driver().UseAdvisers(0);
   for (JobId job = 1; job <= 60; ++job)
     site.Submit(job, "restore", 40, kHalfMilli, true);
-  site.RunUntil(absl::Seconds(2) + unadvised);
+  site.RunUntil(absl::Seconds(2) + advised_for);
   site.driver().UseAdvisers(0);
-  site.RunUntil(absl::Seconds(4) + unadvised);  // All tickets have expired.
+  site.RunUntil(absl::Seconds(4) + advised_for);  // All tickets have expired.
   const auto before = site.driver().scheduler().figures();
-  site.RunUntil(absl::Seconds(5) + unadvised);
+  site.RunUntil(absl::Seconds(5) + advised_for);
   const auto after = site.driver().scheduler().figures();
   CHECK(after.placement_passes > before.placement_passes);
   CHECK(after.steps_examined > before.steps_examined);
--- a/keelbridge/coordination/job_scheduler_incarnations.cc
+++ b/keelbridge/coordination/job_scheduler_incarnations.cc
@@ -171,15 +171,15 @@
       for (StepState& step : round.steps) {
         for (TaskState& task : step.tasks) {
           if (task.worker == name) task.worker = id;
-          if (task.exposed.worker != name) continue;
-          task.exposed.worker = id;
+          if (task.crash_suspect.worker != name) continue;
+          task.crash_suspect.worker = id;
           MarkDirty(*job);
         }
       }
     }
   }
-  const auto exposed = exposed_.extract(name);
-  if (!exposed.empty()) exposed_[id] = exposed.mapped();
+  const auto crash_suspect = crash_suspects_.extract(name);
+  if (!crash_suspect.empty()) crash_suspects_[id] = crash_suspect.mapped();
   keys_to_drop_.push_back(KnownWorkerKey(name));
   PersistWorker(worker);
   actions_.push_back(ForgetWorkerAction{name});
--- a/keelbridge/coordination/job_scheduler_late_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_late_gangs_test.cc
@@ -48,15 +48,15 @@
 };
 
 double DrawLognormal(std::mt19937_64& random, double mean, double spread,
-                     double most) {
+                     double max_value) {
   std::lognormal_distribution<double> draw(std::log(mean) - spread * spread / 2,
                                            spread);
-  return std::min(most, draw(random));
+  return std::min(max_value, draw(random));
 }
 
 int32_t DrawLognormalInteger(std::mt19937_64& random, double mean,
-                             double spread, double most) {
-  return static_cast<int32_t>(DrawLognormal(random, mean, spread, most));
+                             double spread, double max_value) {
+  return static_cast<int32_t>(DrawLognormal(random, mean, spread, max_value));
 }
 
 WideSite::Work DrawGang(std::mt19937_64& random, const GangMix& mix) {
@@ -68,8 +68,9 @@
       DrawLognormalInteger(random, mix.mean_cpu_milli, 0.4, 30000);
   work.need.memory_mib = DrawLognormalInteger(random, 52000, 0.5, 100000);
   work.work_ms = DrawLognormalInteger(random, 6200, 0.5, 16000);
-  std::uniform_real_distribution<double> off(0.5, 1.5);
-  work.estimated_ms = static_cast<int32_t>(work.work_ms * off(random));
+  std::uniform_real_distribution<double> estimate_factor(0.5, 1.5);
+  work.estimated_ms =
+      static_cast<int32_t>(work.work_ms * estimate_factor(random));
   return work;
 }
 
--- a/keelbridge/coordination/job_scheduler_leases_test.cc
+++ b/keelbridge/coordination/job_scheduler_leases_test.cc
@@ -25,11 +25,11 @@
   // Each worker answers one observation, then "a" stops responding.
   site.scheduler().Tick(site.now());
   for (const Action& action : site.scheduler().TakeActions()) {
-    if (const auto* look = std::get_if<ObserveAction>(&action)) {
-      ObserveReply reply = site.reports[look->worker.id];
+    if (const auto* observe_action = std::get_if<ObserveAction>(&action)) {
+      ObserveReply reply = site.reports[observe_action->worker.id];
       reply.order.result = OrderResult::kDone;
       reply.order.clock_ms = 1000;
-      site.scheduler().OnObserveReply(*look, reply, site.now().mono,
+      site.scheduler().OnObserveReply(*observe_action, reply, site.now().mono,
                                       site.now());
     }
   }
@@ -275,11 +275,11 @@
     const Now now{kBegin + after, kBegin + after};
     scheduler.Tick(now);
     for (const Action& action : scheduler.TakeActions()) {
-      const auto* look = std::get_if<ObserveAction>(&action);
-      if (look == nullptr) continue;
+      const auto* observe_action = std::get_if<ObserveAction>(&action);
+      if (observe_action == nullptr) continue;
       reply.order.clock_ms = absl::ToInt64Milliseconds(after);
-      scheduler.OnObserveReply(*look, reply, now.mono, now);
-      return look->order.lease_until_ms > 0;
+      scheduler.OnObserveReply(*observe_action, reply, now.mono, now);
+      return observe_action->order.lease_until_ms > 0;
     }
     return false;
   };
--- a/keelbridge/coordination/job_scheduler_left_worker_test.cc
+++ b/keelbridge/coordination/job_scheduler_left_worker_test.cc
@@ -15,7 +15,7 @@
 // Users consider a job lost if it could run but does not for this long.
 constexpr absl::Duration kMaxRestartDelay = absl::Seconds(3);
 
-JobSpec TwoSteps() {
+JobSpec TwoStepJob() {
   JobSpec spec;
   spec.steps = {OneTask(), OneTask()};
   spec.steps[1].after = {0};
@@ -28,7 +28,7 @@
   first.AddWorker("a", 2000);
   first.reports["a"];
   first.RunUntil(absl::Milliseconds(100));
-  first.scheduler().Submit(kJob, "restore", TwoSteps(), first.now());
+  first.scheduler().Submit(kJob, "restore", TwoStepJob(), first.now());
   first.RunUntil(absl::Milliseconds(300));
   first.AddWorker("left");
   first.reports["left"];
--- a/keelbridge/coordination/job_scheduler_losses.cc
+++ b/keelbridge/coordination/job_scheduler_losses.cc
@@ -114,7 +114,7 @@
     ReviseAttributions(crash.lost);
   }
   if (worker.allocations.empty()) return;
-  crash.suspicion = FindSuspicion(worker.allocations, crash.lost, now);
+  crash.criteria = FindSuspectCriteria(worker.allocations, crash.lost, now);
   LogDecision(
       "runs_lost",
       {{"worker", worker.record.id},
@@ -159,7 +159,7 @@
   for (const auto& [key, allocation] : runs) {
     const absl::Duration ran = RunDurationUntil(allocation, crash.lost);
     if (allocation.adopted || ran >= kSuspectCrashWindow ||
-        !IsSuspectRun(allocation, crash.lost, crash.suspicion, now))
+        !IsSuspectRun(allocation, crash.lost, crash.criteria, now))
       continue;
     loss.runs.push_back({key.first,
                          {key.second, absl::ToInt64Milliseconds(ran),
@@ -200,22 +200,22 @@
 
 int JobScheduler::RecordCrash(const Worker& worker, const Allocations& runs,
                               absl::Time lost) {
-  const bool explained = IsCausedBySuspect(worker, lost);
+  const bool caused_by_suspect = IsCausedBySuspect(worker, lost);
   while (!recent_crashes_.empty() &&
          recent_crashes_.front().lost < lost - kMachineCrashWindow)
     recent_crashes_.pop_front();
   const auto earlier = std::count_if(
       recent_crashes_.begin(), recent_crashes_.end(),
       [&](const PastCrash& past) {
-        return past.machine == worker.record.machine && !past.explained;
+        return past.machine == worker.record.machine && !past.caused_by_suspect;
       });
-  PastCrash past{lost, worker.record.id, worker.record.machine, explained, {},
-                 {}};
+  PastCrash past{
+      lost, worker.record.id, worker.record.machine, caused_by_suspect, {}, {}};
   for (const auto& [key, allocation] : runs)
     past.steps.insert(StepIdOf(key.first));
-  const auto exposed = exposed_.find(worker.record.id);
-  if (exposed != exposed_.end()) {
-    for (const TaskId& task : exposed->second)
+  const auto crash_suspect = crash_suspects_.find(worker.record.id);
+  if (crash_suspect != crash_suspects_.end()) {
+    for (const TaskId& task : crash_suspect->second)
       past.steps.insert(StepIdOf(task));
   }
   recent_crashes_.push_back(std::move(past));
@@ -232,7 +232,7 @@
   };
   std::set<std::string> others;
   for (const PastCrash& past : recent_crashes_) {
-    if (is_concurrent(past.lost) && !past.explained &&
+    if (is_concurrent(past.lost) && !past.caused_by_suspect &&
         past.steps.count(step) == 0)
       others.insert(past.worker);
   }
@@ -253,29 +253,29 @@
 // A run that began just before the crash is by far the likelier cause, so runs
 // that began earlier are not blamed. Otherwise sound long-running tasks that
 // share workers with crashing tasks would accumulate crashes.
-JobScheduler::Suspicion JobScheduler::FindSuspicion(const Allocations& runs,
-                                                    absl::Time lost, Now now) {
+JobScheduler::SuspectCriteria JobScheduler::FindSuspectCriteria(
+    const Allocations& runs, absl::Time lost, Now now) {
   absl::Duration latest = absl::InfiniteDuration();
   for (const auto& [key, run] : runs) {
     if (run.start_answered <= now.mono && !run.adopted)
       latest = std::min(latest, RunDurationUntil(run, lost));
   }
-  Suspicion out;
+  SuspectCriteria out;
   if (latest >= kSuspectCrashWindow) return out;
   out.begun_only = true;
-  out.within = latest + kProbationTime;
+  out.max_run_duration = latest + kProbationTime;
   return out;
 }
 
 bool JobScheduler::IsSuspectRun(const Allocation& allocation, absl::Time lost,
-                                const Suspicion& suspicion, Now now) {
+                                const SuspectCriteria& criteria, Now now) {
   const bool begun = allocation.start_answered <= now.mono;
   // A run that was ordered after the worker was lost never began. If another
   // run is a better suspect, a run whose start is unconfirmed most likely did
   // not begin either.
-  if (!begun && (allocation.placed >= lost || suspicion.begun_only))
+  if (!begun && (allocation.placed >= lost || criteria.begun_only))
     return false;
-  return RunDurationUntil(allocation, lost) < suspicion.within;
+  return RunDurationUntil(allocation, lost) < criteria.max_run_duration;
 }
 
 void JobScheduler::AttributeCrash(const Worker& worker, const RunKey& key,
@@ -290,57 +290,58 @@
                        task->phase != TaskPhase::kDone;
   if (!current) return;
   const Allocation& allocation = runs.at(key);
-  const ExposedRun& exposed = task->exposed;
-  const bool recorded_before =
-      exposed.worker == worker.record.id && exposed.run == key.second;
+  const CrashSuspect& crash_suspect = task->crash_suspect;
+  const bool recorded_before = crash_suspect.worker == worker.record.id &&
+                               crash_suspect.run == key.second;
   // The run has outlived a change of leader, so its running time is unknown.
   if (allocation.adopted && !recorded_before) return;
   CrashedRun crashed_run;
   crashed_run.run = key.second;
   crashed_run.begun = allocation.start_answered <= now.mono;
-  if (!IsSuspectRun(allocation, crash.lost, crash.suspicion, now)) return;
+  if (!IsSuspectRun(allocation, crash.lost, crash.criteria, now)) return;
   crashed_run.ran_ms =
       allocation.adopted
-          ? std::max<int64_t>(0, ToMillis(now.wall) - exposed.since_ms)
+          ? std::max<int64_t>(0, ToMillis(now.wall) - crash_suspect.since_ms)
           : absl::ToInt64Milliseconds(RunDurationUntil(allocation, crash.lost));
   const TaskId step = StepIdOf(key.first);
-  CrashContext around;
-  around.earlier_machine_crashes = crash.earlier_machine_crashes;
-  around.recent_other_crashes = static_cast<int>(std::count_if(
+  CrashContext context;
+  context.earlier_machine_crashes = crash.earlier_machine_crashes;
+  context.recent_other_crashes = static_cast<int>(std::count_if(
       recent_crashes_.begin(), recent_crashes_.end(),
       [&](const PastCrash& past) {
-        return past.lost > crash.lost - kSiteCrashWindow && !past.explained &&
-               past.worker != worker.record.id && past.steps.count(step) == 0;
+        return past.lost > crash.lost - kSiteCrashWindow &&
+               !past.caused_by_suspect && past.worker != worker.record.id &&
+               past.steps.count(step) == 0;
       }));
-  around.concurrent_other_losses =
+  context.concurrent_other_losses =
       CountConcurrentLosses(step, worker.record.id, crash.lost);
-  around.site_workers = static_cast<int>(workers_.size());
+  context.site_workers = static_cast<int>(workers_.size());
   crashed_run.chance =
-      ChanceCrashProbability(absl::Milliseconds(crashed_run.ran_ms), around);
+      ChanceCrashProbability(absl::Milliseconds(crashed_run.ran_ms), context);
   recent_crashes_.back().attributions.push_back(
       {key.first, crashed_run.run, absl::Milliseconds(crashed_run.ran_ms),
-       around});
+       context});
   AddTaskCrash(job, key.first, crashed_run, worker.record.id, now);
 }
 
 void JobScheduler::ReviseAttributions(absl::Time lost) {
   for (const PastCrash& past : recent_crashes_) {
     if (absl::AbsDuration(past.lost - lost) >= kConcurrentLossWindow) continue;
-    for (const CrashAttribution& charge : past.attributions) {
-      const auto job = jobs_.find(charge.task.job);
+    for (const CrashAttribution& attribution : past.attributions) {
+      const auto job = jobs_.find(attribution.task.job);
       if (job == jobs_.end() || job->second->Ended()) continue;
-      StepState& step = *job->second->FindStep(charge.task);
+      StepState& step = *job->second->FindStep(attribution.task);
       const StepSpec& spec =
-          job->second->spec.steps[static_cast<size_t>(charge.task.step)];
-      std::vector<CrashedRun>& account =
+          job->second->spec.steps[static_cast<size_t>(attribution.task.step)];
+      std::vector<CrashedRun>& history =
           spec.gang ? step.tasks.front().crashes
-                    : job->second->FindTask(charge.task)->crashes;
-      CrashContext around = charge.around;
-      around.concurrent_other_losses =
-          CountConcurrentLosses(StepIdOf(charge.task), past.worker, past.lost);
-      const double chance = ChanceCrashProbability(charge.ran, around);
-      for (CrashedRun& crash : account) {
-        if (crash.run != charge.run || crash.chance >= chance) continue;
+                    : job->second->FindTask(attribution.task)->crashes;
+      CrashContext context = attribution.context;
+      context.concurrent_other_losses = CountConcurrentLosses(
+          StepIdOf(attribution.task), past.worker, past.lost);
+      const double chance = ChanceCrashProbability(attribution.ran, context);
+      for (CrashedRun& crash : history) {
+        if (crash.run != attribution.run || crash.chance >= chance) continue;
         crash.chance = chance;
         MarkDirty(*job->second);
       }
@@ -353,81 +354,81 @@
   StepState& step = *job.FindStep(id);
   TaskState& task = *job.FindTask(id);
   const StepSpec& spec = job.spec.steps[static_cast<size_t>(id.step)];
-  TaskState& account = spec.gang ? step.tasks.front() : task;
-  if (task.exposed.run == crash.run) task.exposed = ExposedRun();
+  TaskState& history = spec.gang ? step.tasks.front() : task;
+  if (task.crash_suspect.run == crash.run) task.crash_suspect = CrashSuspect();
   MarkDirty(job);
   if (absl::Milliseconds(crash.ran_ms) >= kSoundRunDuration) {
-    account.crashes.clear();
+    history.crashes.clear();
     return;
   }
   const auto same_run =
-      std::find_if(account.crashes.begin(), account.crashes.end(),
+      std::find_if(history.crashes.begin(), history.crashes.end(),
                    [&](const CrashedRun& c) { return c.run == crash.run; });
-  if (same_run != account.crashes.end()) {
+  if (same_run != history.crashes.end()) {
     // The losses of several workers during one run of a gang count as one
     // crash, since a single other gang may have run on all of them.
     same_run->begun = same_run->begun || crash.begun;
-  } else if (!account.crashes.empty() ||
+  } else if (!history.crashes.empty() ||
              !CrashRecordsFull(
                  step, [](const TaskState& t) { return !t.crashes.empty(); })) {
-    account.crashes.push_back(crash);
+    history.crashes.push_back(crash);
     step.crashed = true;
   }
   if (absl::Milliseconds(crash.ran_ms) < kSuspectCrashWindow) {
     step.suspected = true;
     step.proven = false;
   }
-  const bool given_up = ShouldGiveUp(account.crashes);
+  const bool given_up = ShouldGiveUp(history.crashes);
   LogDecision("crash_held_against_task",
               {{"task", TaskIdText(id)},
                {"run", absl::StrCat(crash.run)},
                {"worker", worker},
                {"ran_ms", absl::StrCat(crash.ran_ms)},
-               {"evidence", DescribeCrashes(account.crashes)},
+               {"evidence", DescribeCrashes(history.crashes)},
                {"verdict", given_up ? "given up" : "to be tried again"}},
               Severity::kWarning);
   if (!given_up) return;
   EndJob(job, JobState::kFailed,
          absl::StrCat("task ", TaskIdText(id),
                       " crashes the workers that start it: ",
-                      DescribeCrashes(account.crashes), ", last on ", worker),
+                      DescribeCrashes(history.crashes), ", last on ", worker),
          now);
 }
 
 // A leader that is replaced before another incarnation answers cannot attribute
 // the crash. Its successor does so from the durable record.
 void JobScheduler::AttributeUnobservedCrash(const Worker& worker, Now now) {
-  const auto exposed = exposed_.find(worker.record.id);
-  if (exposed == exposed_.end()) return;
-  const std::vector<TaskId> tasks = std::move(exposed->second);
-  exposed_.erase(exposed);
+  const auto crash_suspect = crash_suspects_.find(worker.record.id);
+  if (crash_suspect == crash_suspects_.end()) return;
+  const std::vector<TaskId> tasks = std::move(crash_suspect->second);
+  crash_suspects_.erase(crash_suspect);
   for (const TaskId& id : tasks) {
     const auto found = jobs_.find(id.job);
     if (found == jobs_.end() || found->second->Ended()) continue;
     TaskState* task = found->second->FindTask(id);
     if (task == nullptr || task->phase != TaskPhase::kWaiting ||
-        task->observed || task->exposed.worker != worker.record.id)
+        task->observed || task->crash_suspect.worker != worker.record.id)
       continue;
-    const ExposedRun& run = task->exposed;
+    const CrashSuspect& run = task->crash_suspect;
     CrashedRun crash;
     crash.run = run.run;
     crash.begun = run.begun;
     crash.ran_ms = run.ran_ms >= 0 ? run.ran_ms
                                    : std::max<int64_t>(
                                          0, ToMillis(now.wall) - run.since_ms);
-    CrashContext around;
-    around.site_workers = static_cast<int>(workers_.size());
-    around.concurrent_other_losses = CountConcurrentLosses(
+    CrashContext context;
+    context.site_workers = static_cast<int>(workers_.size());
+    context.concurrent_other_losses = CountConcurrentLosses(
         StepIdOf(id), worker.record.id, recent_crashes_.back().lost);
     crash.chance =
-        ChanceCrashProbability(absl::Milliseconds(crash.ran_ms), around);
+        ChanceCrashProbability(absl::Milliseconds(crash.ran_ms), context);
     recent_crashes_.back().attributions.push_back(
-        {id, crash.run, absl::Milliseconds(crash.ran_ms), around});
+        {id, crash.run, absl::Milliseconds(crash.ran_ms), context});
     AddTaskCrash(*found->second, id, crash, worker.record.id, now);
   }
 }
 
-void JobScheduler::LoadExposedRuns() {
+void JobScheduler::LoadCrashSuspects() {
   for (const auto& [id, job] : active_) {
     for (Round& round : job->rounds) {
       for (size_t s = 0; s < round.steps.size(); ++s) {
@@ -436,25 +437,25 @@
           const TaskState& task = step.tasks[i];
           step.crashed = step.crashed || !task.crashes.empty();
           step.suspected = step.crashed;
-          if (task.exposed.worker.empty()) continue;
-          exposed_[task.exposed.worker].push_back({id, round.number,
-                                                   static_cast<int32_t>(s),
-                                                   static_cast<int32_t>(i)});
+          if (task.crash_suspect.worker.empty()) continue;
+          crash_suspects_[task.crash_suspect.worker].push_back(
+              {id, round.number, static_cast<int32_t>(s),
+               static_cast<int32_t>(i)});
         }
       }
     }
   }
 }
 
-void JobScheduler::RecordExposedRun(Job& job, const TaskId& id,
-                                    ExposedRun run) {
+void JobScheduler::RecordCrashSuspect(Job& job, const TaskId& id,
+                                      CrashSuspect run) {
   TaskState& task = *job.FindTask(id);
-  const bool full = task.exposed.worker.empty() &&
+  const bool full = task.crash_suspect.worker.empty() &&
                     CrashRecordsFull(*job.FindStep(id), [](const TaskState& t) {
-                      return !t.exposed.worker.empty();
+                      return !t.crash_suspect.worker.empty();
                     });
   if (full) return;
-  task.exposed = std::move(run);
+  task.crash_suspect = std::move(run);
   MarkDirty(job);
 }
 
@@ -469,7 +470,7 @@
       unobserved_starts_recorded_ >= kMaxUnobservedStartRecords)
     return;
   ++unobserved_starts_recorded_;
-  RecordExposedRun(
+  RecordCrashSuspect(
       *ready.job, task,
       {action.worker.id, action.order.run, ToMillis(now.wall), -1, false});
 }
@@ -479,31 +480,32 @@
 void JobScheduler::RecordUnresponsiveness(Worker& worker, Now now) {
   if (worker.record.draining) return;
   const absl::Time lost = LostSince(worker, now);
-  const Suspicion suspicion = FindSuspicion(worker.allocations, lost, now);
+  const SuspectCriteria criteria =
+      FindSuspectCriteria(worker.allocations, lost, now);
   for (const auto& [key, allocation] : worker.allocations) {
     const auto job = jobs_.find(key.first.job);
     const absl::Duration ran = RunDurationUntil(allocation, lost);
     if (job == jobs_.end() || job->second->Ended() || allocation.adopted ||
         ran >= kSuspectCrashWindow ||
-        !IsSuspectRun(allocation, lost, suspicion, now))
+        !IsSuspectRun(allocation, lost, criteria, now))
       continue;
     const TaskState* task = job->second->FindTask(key.first);
     if (task == nullptr || task->run != key.second ||
         task->worker != worker.record.id)
       continue;
     const bool begun = allocation.start_answered <= now.mono;
-    RecordExposedRun(*job->second, key.first,
-                     {worker.record.id, key.second,
-                      ToMillis(now.wall - (now.mono - allocation.placed)),
-                      absl::ToInt64Milliseconds(ran), begun});
+    RecordCrashSuspect(*job->second, key.first,
+                       {worker.record.id, key.second,
+                        ToMillis(now.wall - (now.mono - allocation.placed)),
+                        absl::ToInt64Milliseconds(ran), begun});
   }
 }
 
 bool JobScheduler::IsSuspectTask(const ReadyStep& ready,
                                  const TaskState& task) {
-  const TaskState& account =
+  const TaskState& history =
       ready.spec->gang ? ready.state->tasks.front() : task;
-  return !account.crashes.empty();
+  return !history.crashes.empty();
 }
 
 // While the store is unavailable, a leader that started tasks from its
@@ -511,9 +513,9 @@
 // older record.
 bool JobScheduler::MustBeDurable(const ReadyStep& ready,
                                  const TaskState& task) {
-  const TaskState& account =
+  const TaskState& history =
       ready.spec->gang ? ready.state->tasks.front() : task;
-  return account.crashes.size() >= kCrashesBeforeDurableStart;
+  return history.crashes.size() >= kCrashesBeforeDurableStart;
 }
 
 // A worker that crashed without closing its connections is noticed only when an
@@ -569,10 +571,10 @@
                                                            Now now) {
   StepState& step = *ready.state;
   WorkerQuota quota;
-  const int32_t most = std::max(
+  const int32_t max_workers = std::max(
       kMinUnprovenWorkers,
       static_cast<int32_t>(kMaxUnprovenWorkerShare * ready.pool_workers));
-  if (step.proven || ready.spec->count <= most) return quota;
+  if (step.proven || ready.spec->count <= max_workers) return quota;
   for (size_t i = 0; i < step.tasks.size() && !step.proven; ++i) {
     const TaskId id{ready.job->id, ready.round->number, ready.number,
                     static_cast<int32_t>(i)};
@@ -580,7 +582,7 @@
     if (!step.tasks[i].worker.empty()) quota.used.insert(step.tasks[i].worker);
   }
   if (step.proven) return WorkerQuota();
-  quota.most = most;
+  quota.max_workers = max_workers;
   return quota;
 }
 
@@ -617,8 +619,9 @@
     ready.state->probe_task = index;
     ready.state->probe_ends_at = worker.probation_until;
   }
-  RecordExposedRun(*ready.job, id,
-                   {worker.record.id, task.run, ToMillis(now.wall), -1, false});
+  RecordCrashSuspect(
+      *ready.job, id,
+      {worker.record.id, task.run, ToMillis(now.wall), -1, false});
   LogDecision("start_on_probation",
               {{"task", TaskIdText(id)},
                {"run", absl::StrCat(task.run)},
@@ -633,10 +636,10 @@
     const auto job = jobs_.find(key.first.job);
     if (job == jobs_.end()) continue;
     TaskState* task = job->second->FindTask(key.first);
-    if (task == nullptr || task->exposed.worker != worker.record.id ||
-        task->exposed.ran_ms < 0)
+    if (task == nullptr || task->crash_suspect.worker != worker.record.id ||
+        task->crash_suspect.ran_ms < 0)
       continue;
-    task->exposed.ran_ms = -1;
+    task->crash_suspect.ran_ms = -1;
     MarkDirty(*job->second);
   }
 }
--- a/keelbridge/coordination/job_scheduler_losses_test.cc
+++ b/keelbridge/coordination/job_scheduler_losses_test.cc
@@ -16,15 +16,15 @@
 constexpr int kMaxStartsOfCrashingTask = 5;
 constexpr int kMinCrashes = 2;
 
-const LogAction* LineOf(const SchedulerDriver& driver,
-                        const std::string& event) {
+const LogAction* FindLogLine(const SchedulerDriver& driver,
+                             const std::string& event) {
   for (const LogAction& line : driver.log_lines) {
     if (line.event == event) return &line;
   }
   return nullptr;
 }
 
-std::string FieldOf(const LogAction& line, const std::string& name) {
+std::string LogField(const LogAction& line, const std::string& name) {
   for (const auto& [field, value] : line.fields) {
     if (field == name) return value;
   }
@@ -40,14 +40,14 @@
   site.Submit(7, OneTask());
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(6));
-  const LogAction* worker = LineOf(site.driver, "runs_lost");
+  const LogAction* worker = FindLogLine(site.driver, "runs_lost");
   REQUIRE(worker != nullptr);
-  CHECK(FieldOf(*worker, "why") == "it crashed: another life answered");
-  const LogAction* run = LineOf(site.driver, "run_lost");
+  CHECK(LogField(*worker, "why") == "it crashed: another life answered");
+  const LogAction* run = FindLogLine(site.driver, "run_lost");
   REQUIRE(run != nullptr);
-  CHECK(FieldOf(*run, "task") == "0000000000000007.0.0.0");
-  CHECK(FieldOf(*run, "beside") == "1");
-  CHECK(std::stoi(FieldOf(*run, "ran_ms")) <= 200);
+  CHECK(LogField(*run, "task") == "0000000000000007.0.0.0");
+  CHECK(LogField(*run, "beside") == "1");
+  CHECK(std::stoi(LogField(*run, "ran_ms")) <= 200);
 }
 
 TEST_CASE("job scheduler: a worker that leaves is distinguished from a crash") {
@@ -57,9 +57,9 @@
   site.Run(absl::Seconds(2));
   site.Leave(site.WorkerAt("m0"));
   site.Run(absl::Seconds(9));
-  const LogAction* worker = LineOf(site.driver, "runs_lost");
+  const LogAction* worker = FindLogLine(site.driver, "runs_lost");
   REQUIRE(worker != nullptr);
-  CHECK(FieldOf(*worker, "why") == "it left: another life answered");
+  CHECK(LogField(*worker, "why") == "it left: another life answered");
 }
 
 // Guards against endless restarts of a task that crashes its workers. Two jobs
@@ -210,7 +210,7 @@
   };
   leaving.Run(absl::Seconds(40));
   CHECK(leaving.Status(7) == JobState::kRunning);
-  CHECK(LineOf(leaving.driver, "crash_held_against_task") == nullptr);
+  CHECK(FindLogLine(leaving.driver, "crash_held_against_task") == nullptr);
 }
 
 TEST_CASE("job scheduler: a gang that crashes its workers is given up") {
--- a/keelbridge/coordination/job_scheduler_placement.cc
+++ b/keelbridge/coordination/job_scheduler_placement.cc
@@ -95,8 +95,8 @@
 
 }  // namespace
 
-bool JobScheduler::FollowsStepEndedHere(const Job& job, const Round& round,
-                                        size_t step) {
+bool JobScheduler::DependsOnObservedStep(const Job& job, const Round& round,
+                                         size_t step) {
   const std::vector<int32_t>& after = job.spec.steps[step].after;
   return std::any_of(after.begin(), after.end(), [&](int32_t before) {
     return round.steps[static_cast<size_t>(before)].observed_before_end;
@@ -137,7 +137,7 @@
         ready.queue = queue;
         ready.number = static_cast<int32_t>(s);
         ready.may_run_unobserved = job->recovered && unobserved_.Any() &&
-                                   !FollowsStepEndedHere(*job, round, s);
+                                   !DependsOnObservedStep(*job, round, s);
         ready.placements_incomplete = placements_incomplete;
         for (const TaskState& task : step.tasks)
           ready.waiting += MayStart(ready, task, now) ? 1 : 0;
@@ -146,7 +146,7 @@
           ready.waiting = static_cast<int32_t>(
               FindTasksOnLeavingWorkers(spec, step).size());
           if (queue->advice.needed)
-            ready.waiting += CountSoonLost(spec, step, now);
+            ready.waiting += CountTasksOnExpiringLeases(spec, step, now);
           ready.asks_ahead = ready.waiting > 0;
         }
         const int32_t waiting = ready.waiting;
@@ -194,8 +194,9 @@
   });
 }
 
-int32_t JobScheduler::CountSoonLost(const StepSpec& spec, const StepState& step,
-                                    Now now) const {
+int32_t JobScheduler::CountTasksOnExpiringLeases(const StepSpec& spec,
+                                                 const StepState& step,
+                                                 Now now) const {
   if (!spec.long_running || spec.gang) return 0;
   int32_t soon = 0;
   for (const TaskState& task : step.tasks) {
@@ -309,7 +310,7 @@
   concurrent_calls_left_ = ExtraGangCallsLeft(ready);
   short_advisers_busy_ = false;
   long_advisers_busy_ = false;
-  const Resources most_free = MaxFreeResources();
+  const Resources max_free = MaxFreeResources();
   // Steps ordered after those that will fill all free capacity of their pool do
   // not request advice: the answers would be stale before there is capacity for
   // them.
@@ -343,7 +344,7 @@
     if (step.spec->gang) {
       if (CompleteGang(step, now)) continue;
       PlaceGang(step, now);
-    } else if (need.FitsIn(most_free)) {
+    } else if (need.FitsIn(max_free)) {
       PlaceSingleTasks(step, now);
     } else {
       RecordBlocked(step, "no worker has room");
@@ -367,12 +368,12 @@
                                         Now now) {
   const bool gang = step.spec->gang;
   const bool singles_may_reserve =
-      options_.policy.hold_room && (!backlogged_ || step.down);
-  int& reserving = gang ? kept.gangs : kept.others;
-  const int most = gang                  ? kMaxReservingGangs
-                   : singles_may_reserve ? kMaxReservingSingleSteps
-                                         : 0;
-  step.may_reserve = reserving < most;
+      options_.policy.reserve_for_single_tasks && (!backlogged_ || step.down);
+  int& reserving = gang ? kept.gangs : kept.single_task_steps;
+  const int maximum = gang                  ? kMaxReservingGangs
+                      : singles_may_reserve ? kMaxReservingSingleSteps
+                                            : 0;
+  step.may_reserve = reserving < maximum;
   if (step.may_reserve) {
     ReserveCapacity(step, now);
     ++reserving;
@@ -399,14 +400,14 @@
 }
 
 Resources JobScheduler::MaxFreeResources() const {
-  Resources most;
+  Resources maximum;
   for (const auto& [id, worker] : workers_) {
     const Resources& free = worker->free;
-    most.cpu_milli = std::max(most.cpu_milli, free.cpu_milli);
-    most.memory_mib = std::max(most.memory_mib, free.memory_mib);
-    most.accelerators = std::max(most.accelerators, free.accelerators);
+    maximum.cpu_milli = std::max(maximum.cpu_milli, free.cpu_milli);
+    maximum.memory_mib = std::max(maximum.memory_mib, free.memory_mib);
+    maximum.accelerators = std::max(maximum.accelerators, free.accelerators);
   }
-  return most;
+  return maximum;
 }
 
 std::map<std::string, JobScheduler::PoolCapacity>
@@ -445,7 +446,8 @@
   if (worker.runs_of_unknown_size > 0 || IsOnProbation(worker)) return false;
   // The worker may have just been disconnected. A run that is started there now
   // would be unobserved until the worker's lease expires.
-  if (options_.policy.settle_soon && worker.unanswered_since <= now.mono)
+  if (options_.policy.resolve_unanswered_orders &&
+      worker.unanswered_since <= now.mono)
     return false;
   if (worker.suspect_until > now.mono || !IsReachable(worker, now))
     return false;
@@ -487,7 +489,7 @@
   const TaskId id{ready.job->id, ready.round->number, ready.number, index};
   Allocation& allocation =
       Allocate(worker, id, run, CapacityNeeded(*ready.spec), now);
-  const bool unseen = ready.job->recovered && !task.observed;
+  const bool unobserved = ready.job->recovered && !task.observed;
   task.phase = TaskPhase::kStarting;
   task.run = run;
   task.observed = true;
@@ -500,7 +502,7 @@
   action.order.checkpoint = task.checkpoint;
   action.order.fence = worker.fence;
   action.order.lease_until_ms = GrantLease(worker, now.mono);
-  if (options_.policy.settle_soon)
+  if (options_.policy.resolve_unanswered_orders)
     action.order.timeout = answer_times_.AnswerTimeout();
   const auto ticket = ready.state->advice.tickets.find(worker.record.id);
   if (ready.queue->advice.needed && ticket != ready.state->advice.tickets.end())
@@ -510,11 +512,11 @@
   --starts_left_;
   --ready.waiting;
   --figures_.ready_tasks;
-  if (!task.exposed.worker.empty()) MarkDirty(*ready.job);
-  task.exposed = ExposedRun();
+  if (!task.crash_suspect.worker.empty()) MarkDirty(*ready.job);
+  task.crash_suspect = CrashSuspect();
   if (!WaitsForUnansweredStart(task, now))
     ClearUnansweredStart(*ready.job, task, task.unanswered.run);
-  if (unseen) RecordUnobservedStart(ready, id, action, now);
+  if (unobserved) RecordUnobservedStart(ready, id, action, now);
   const bool kept =
       ready.job->HasPersistedPlacements(static_cast<size_t>(ready.number)) ||
       MustBeDurable(ready, task);
--- a/keelbridge/coordination/job_scheduler_recovery.cc
+++ b/keelbridge/coordination/job_scheduler_recovery.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 absl::Duration JobScheduler::MaxLeaseDuration() const {
-  return options_.lease / (1.0 - options_.clock_error) + kLeaseExpiryMargin;
+  return options_.lease / (1.0 - options_.max_clock_drift) + kLeaseExpiryMargin;
 }
 
 // A leader that a worker never answered has not extended its lease. So the
@@ -68,16 +68,16 @@
 // that may still run there. Without these names, 14 workers that had left with
 // 26 tasks delayed 8,508 recovered tasks by 10 s.
 JobScheduler::Unobserved JobScheduler::FindUnobserved(Now now) const {
-  Unobserved unseen;
+  Unobserved unobserved;
   if (now.mono > earlier_leaders_active_until_ + MaxLeaseDuration())
-    return unseen;
+    return unobserved;
   for (const auto& [id, worker] : workers_) {
     if (IsAccountedFor(*worker, now)) continue;
     const std::vector<TaskId>& tasks = worker->last_tasks_of_earlier;
     if (tasks.empty()) return {true, {}};
-    unseen.tasks.insert(tasks.begin(), tasks.end());
+    unobserved.tasks.insert(tasks.begin(), tasks.end());
   }
-  return unseen;
+  return unobserved;
 }
 
 // If a job records its placements, a task waits only for the worker that it was
--- a/keelbridge/coordination/job_scheduler_reservations.cc
+++ b/keelbridge/coordination/job_scheduler_reservations.cc
@@ -47,7 +47,7 @@
   Worker* worker;
   CapacityCandidate candidate;
   std::vector<RunKey> runs;  // Keys of `candidate.runs`, in the same order.
-  int32_t whole;             // Tasks that fit if no other run were there.
+  int32_t fits_when_empty;   // Tasks that fit if no other run were there.
   bool reserved;             // The last pass reserved capacity there.
 };
 
@@ -60,8 +60,8 @@
     }
     return out;
   }
-  for (const auto& [id, good] : ready.state->advice.known) {
-    if (!good) continue;
+  for (const auto& [id, eligible] : ready.state->advice.known) {
+    if (!eligible) continue;
     const auto found = workers_.find(id);
     if (found != workers_.end() && MayRun(*found->second, ready, now))
       out.push_back(found->second.get());
@@ -78,12 +78,12 @@
   for (Worker* worker : FindWorkersToReserve(ready, now)) {
     ReservationOption option;
     option.worker = worker;
-    option.whole = CountFittingTasks(
+    option.fits_when_empty = CountFittingTasks(
         *worker, ready, worker->record.capacity - worker->reserved);
-    if (option.whole < 1) continue;
+    if (option.fits_when_empty < 1) continue;
     option.candidate.free_capacity =
         UnreservedCapacity(*worker) + worker->stopping;
-    option.candidate.max_tasks = option.whole;
+    option.candidate.max_tasks = option.fits_when_empty;
     const auto& reserved = ready.state->reserved;
     option.reserved = std::any_of(
         reserved.begin(), reserved.end(),
@@ -177,11 +177,12 @@
 
 int32_t JobScheduler::ReserveUpcomingCapacity(
     ReadyStep& ready, std::vector<ReservationOption>& options, Now now) {
-  const bool make_room = options_.policy.make_room && !backlogged_ &&
-                         ready.tier == 0 && ready.slack_left < kPreemptionSlack;
+  const bool preempt_runs = options_.policy.preempt_runs && !backlogged_ &&
+                            ready.tier == 0 &&
+                            ready.slack_left < kPreemptionSlack;
   std::vector<CapacityCandidate> candidates;
   for (ReservationOption& option : options) {
-    if (make_room) AddPreemptibleRuns(ready, option, now);
+    if (preempt_runs) AddPreemptibleRuns(ready, option, now);
     candidates.push_back(option.candidate);
   }
   const absl::Duration work = absl::Milliseconds(ready.spec->estimated_ms) *
@@ -195,7 +196,7 @@
   for (const CapacityChoice& choice : choices) {
     ReservationOption& option = options[choice.candidate];
     ReserveOnWorker(*option.worker, choice.tasks, ready);
-    option.whole -= choice.tasks;
+    option.fits_when_empty -= choice.tasks;
     for (const size_t run : choice.preempted)
       Preempt(*option.worker, option.runs[run], ready);
   }
@@ -212,12 +213,13 @@
                                      b.worker->record.id);
             });
   int32_t possible = 0;
-  for (const ReservationOption& option : options) possible += option.whole;
+  for (const ReservationOption& option : options)
+    possible += option.fits_when_empty;
   // Nothing is reserved for a gang that the workers could not run even if they
   // were empty.
   if (ready.spec->gang && possible < tasks) return;
   for (const ReservationOption& option : options) {
-    const int32_t here = std::min(option.whole, tasks);
+    const int32_t here = std::min(option.fits_when_empty, tasks);
     if (here < 1) continue;
     ReserveOnWorker(*option.worker, here, ready);
     tasks -= here;
--- a/keelbridge/coordination/job_scheduler_runs.cc
+++ b/keelbridge/coordination/job_scheduler_runs.cc
@@ -67,8 +67,8 @@
   TaskState* task = job.FindTask(end.task);
   if (step == nullptr || task == nullptr) return;
   const StepSpec& spec = job.spec.steps[static_cast<size_t>(end.task.step)];
-  TaskState& account = spec.gang ? step->tasks.front() : *task;
-  std::vector<int32_t>& failed = account.failed_runs;
+  TaskState& history = spec.gang ? step->tasks.front() : *task;
+  std::vector<int32_t>& failed = history.failed_runs;
   if (std::find(failed.begin(), failed.end(), end.run) != failed.end()) return;
   task->failed_on = worker.record.id;
   if (!spec.long_running) failed.push_back(end.run);
--- a/keelbridge/coordination/job_scheduler_test.cc
+++ b/keelbridge/coordination/job_scheduler_test.cc
@@ -41,11 +41,11 @@
   JobRecords records;
   first.scheduler().Tick(first.now());
   for (const Action& action : first.scheduler().TakeActions()) {
-    if (const auto* look = std::get_if<ObserveAction>(&action)) {
+    if (const auto* observe_action = std::get_if<ObserveAction>(&action)) {
       ObserveReply reply = first.reports["a"];
       reply.order.result = OrderResult::kDone;
       reply.order.clock_ms = 1000;
-      first.scheduler().OnObserveReply(*look, reply, first.now().mono,
+      first.scheduler().OnObserveReply(*observe_action, reply, first.now().mono,
                                        first.now());
     }
   }
--- a/keelbridge/coordination/job_scheduler_waiting.cc
+++ b/keelbridge/coordination/job_scheduler_waiting.cc
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-JobScheduler::WaitingRoom JobScheduler::FindWaitingCapacity(
+JobScheduler::WaitingCapacity JobScheduler::FindWaitingCapacity(
     const ReadyStep& ready, Now now) const {
   const StepAdvice& advice = ready.state->advice;
-  WaitingRoom capacity;
+  WaitingCapacity capacity;
   for (const auto& [id, worker] : workers_) {
     if (worker->record.pool != ready.queue->pool || !worker->reported ||
         worker->record.draining || worker->record_removed)
@@ -32,12 +32,12 @@
     const bool needed = ready.queue->advice.needed;
     if (needed && known == advice.known.end()) continue;
     if (needed && !known->second) {
-      ++capacity.workers_bad;
+      ++capacity.ineligible_workers;
       continue;
     }
-    ++capacity.workers_good;
-    capacity.fits_good += fits;
-    capacity.fits_unheld +=
+    ++capacity.eligible_workers;
+    capacity.fits_eligible += fits;
+    capacity.fits_unreserved +=
         CountFittingTasks(*worker, ready, UnreservedCapacity(*worker));
     if (HasTicket(*worker, ready, now)) capacity.fits_ticketed += fits;
   }
@@ -65,7 +65,7 @@
       });
   for (size_t i = 0; i < logged; ++i) {
     const ReadyStep& step = *waiting[i];
-    const WaitingRoom capacity = FindWaitingCapacity(step, now);
+    const WaitingCapacity capacity = FindWaitingCapacity(step, now);
     LogDecision(
         "step_waits",
         {{"job", JobIdText(step.job->id)},
@@ -78,10 +78,10 @@
          {"why", step.state->blocked_reason},
          {"cpu_milli", absl::StrCat(CapacityNeeded(*step.spec).cpu_milli)},
          {"fits", absl::StrCat(capacity.fits)},
-         {"workers_good", absl::StrCat(capacity.workers_good)},
-         {"workers_bad", absl::StrCat(capacity.workers_bad)},
-         {"fits_good", absl::StrCat(capacity.fits_good)},
-         {"fits_unheld", absl::StrCat(capacity.fits_unheld)},
+         {"workers_good", absl::StrCat(capacity.eligible_workers)},
+         {"workers_bad", absl::StrCat(capacity.ineligible_workers)},
+         {"fits_good", absl::StrCat(capacity.fits_eligible)},
+         {"fits_unheld", absl::StrCat(capacity.fits_unreserved)},
          {"fits_ticketed", absl::StrCat(capacity.fits_ticketed)},
          {"asks", absl::StrCat(step.state->advice.ask_count)},
          {"asks_open", absl::StrCat(step.state->advice.calls_in_flight)},
--- a/keelbridge/coordination/job_scheduler_waiting_test.cc
+++ b/keelbridge/coordination/job_scheduler_waiting_test.cc
@@ -31,7 +31,7 @@
     site.AddWorker(worker, 8000);
     site.reports[worker];
   }
-  site.good = {"a"};
+  site.eligible = {"a"};
   site.RunUntil(absl::Milliseconds(100));
   JobSpec spec;
   spec.steps = {OneTask(2000)};
--- a/keelbridge/coordination/job_scheduler_workers.cc
+++ b/keelbridge/coordination/job_scheduler_workers.cc
@@ -172,7 +172,7 @@
   const int64_t until = worker.clock_ms + since + lease;
   const absl::Duration longest =
       absl::Milliseconds(static_cast<double>(since + lease) /
-                         (1.0 - options_.clock_error)) +
+                         (1.0 - options_.max_clock_drift)) +
       kLeaseExpiryMargin;
   worker.lease_expires_at =
       std::max(worker.lease_expires_at, worker.clock_at + longest);
@@ -217,8 +217,8 @@
   task->phase = TaskPhase::kWaiting;
   task->worker.clear();
   task->retry_at = retry_at;
-  if (!task->exposed.worker.empty()) MarkDirty(*job->second);
-  task->exposed = ExposedRun();
+  if (!task->crash_suspect.worker.empty()) MarkDirty(*job->second);
+  task->crash_suspect = CrashSuspect();
   RecordPlacement(*job->second, task_id, "");
   placement_wanted_ = true;
 }
@@ -265,7 +265,7 @@
       if (current) task->phase = TaskPhase::kUncertain;
       RecordUnansweredStart(worker, key, allocation->second, now);
       worker.next_observe = now.mono;
-      worker.observe_now = options_.policy.settle_soon;
+      worker.observe_now = options_.policy.resolve_unanswered_orders;
       ScheduleCheck(worker);
       return;
     case OrderResult::kOtherIncarnation:
@@ -330,7 +330,7 @@
     // A report that was requested after the start timed out does not contain
     // the run, but the order may still be carried out.
     const bool not_reported =
-        options_.policy.settle_soon &&
+        options_.policy.resolve_unanswered_orders &&
         worker.report_requested_at >= allocation.uncertain_since;
     const bool overdue =
         now.mono - allocation.placed > kUncertainTimeout &&
@@ -343,7 +343,7 @@
     allocation.stop_sent = now.mono;
     allocation.stop_in_flight = true;
     StopAction action{worker.record, {key.first, key.second, worker.fence}};
-    if (options_.policy.settle_soon)
+    if (options_.policy.resolve_unanswered_orders)
       action.order.timeout = answer_times_.AnswerTimeout();
     actions_.push_back(std::move(action));
     LogDecision("stop_sent", {{"task", TaskIdText(key.first)},
@@ -373,7 +373,8 @@
     worker.next_observe = now.mono;
     // If the run is there, it ends soon, and an observation that waits for ends
     // reports that.
-    worker.observe_now = options_.policy.settle_soon && it->second.uncertain;
+    worker.observe_now =
+        options_.policy.resolve_unanswered_orders && it->second.uncertain;
     ScheduleCheck(worker);
   }
 }
@@ -564,7 +565,7 @@
                          ? WorkerLoss::kCrash
                          : WorkerLoss::kUnresponsive,
                      nullptr, now);
-  if (options_.policy.settle_soon) CheckOverdueRuns(worker, now);
+  if (options_.policy.resolve_unanswered_orders) CheckOverdueRuns(worker, now);
   if (IsOnProbation(worker)) AnsweredSince(worker, worker.probation_until, now);
   SendStops(worker, now);
   if (ObservationIsDue(worker, now)) SendObservation(worker, now);
@@ -576,7 +577,8 @@
   if (worker.observations_in_flight == 0)
     return now.mono >= worker.next_observe;
   // The answer to the observation in flight may be lost.
-  return options_.policy.settle_soon && worker.observations_in_flight == 1 &&
+  return options_.policy.resolve_unanswered_orders &&
+         worker.observations_in_flight == 1 &&
          worker.failed_observations == 0 &&
          answer_times_.AnswersAreLossy(now.mono) &&
          now.mono - worker.last_observation_sent >
@@ -616,8 +618,8 @@
 }
 
 void JobScheduler::SendObservation(Worker& worker, Now now) {
-  const bool lossy =
-      options_.policy.settle_soon && answer_times_.AnswersAreLossy(now.mono);
+  const bool lossy = options_.policy.resolve_unanswered_orders &&
+                     answer_times_.AnswersAreLossy(now.mono);
   ++worker.observations_in_flight;
   worker.last_observation_sent = now.mono;
   ObserveAction action;
--- a/keelbridge/coordination/leadership.cc
+++ b/keelbridge/coordination/leadership.cc
@@ -42,7 +42,7 @@
   switch (role_) {
     case Role::kStandby: {
       if (now < next_poll_) return {};
-      next_poll_ = now + options_.poll_every;
+      next_poll_ = now + options_.poll_interval;
       const auto index =
           std::uniform_int_distribution<size_t>(0, votes_.size() - 1)(random_);
       return {{std::next(votes_.begin(), static_cast<ptrdiff_t>(index))->first,
@@ -85,7 +85,7 @@
   std::vector<HoldOrder> out;
   for (auto& [name, vote] : votes_) {
     if (now < vote.next_renewal) continue;
-    vote.next_renewal = now + options_.renew_every;
+    vote.next_renewal = now + options_.renew_interval;
     out.push_back({name, HoldMode::kAcquire, epoch_});
   }
   return out;
@@ -115,7 +115,7 @@
               reply.uptime >= options_.hold_ttl + options_.margin;
   if (role_ == Role::kStandby) {
     if (!vote.free) {
-      next_poll_ = now + std::min(options_.poll_every,
+      next_poll_ = now + std::min(options_.poll_interval,
                                   reply.hold_remaining + Jitter(0.01, 0.05));
       return;
     }
@@ -137,7 +137,7 @@
   epoch_ = std::max(highest_seen_ + 1, absl::ToUnixSeconds(now.wall));
   campaign_ends_ = now.mono + options_.hold_ttl;
   for (auto& [name, vote] : votes_)
-    vote.next_renewal = now.mono + options_.renew_every;
+    vote.next_renewal = now.mono + options_.renew_interval;
 }
 
 void Leadership::OnReply(const std::string& worker, HoldMode mode,
--- a/keelbridge/coordination/leadership.h
+++ b/keelbridge/coordination/leadership.h
@@ -54,9 +54,9 @@
     // holder.
     std::string holder;
     absl::Duration hold_ttl = absl::Seconds(3);
-    absl::Duration renew_every = absl::Seconds(1);
+    absl::Duration renew_interval = absl::Seconds(1);
     // A standby queries one worker at this interval.
-    absl::Duration poll_every = absl::Milliseconds(750);
+    absl::Duration poll_interval = absl::Milliseconds(750);
     // How long a standby that found one free worker queries all workers.
     absl::Duration query_timeout = absl::Milliseconds(800);
     // Covers differences in clock rate and the time taken to act on a reply.
--- a/keelbridge/coordination/log_writer.cc
+++ b/keelbridge/coordination/log_writer.cc
@@ -54,7 +54,7 @@
   if (offset) {
     in_flight_.reset();
     failures_ = 0;
-    next_send_at_ = now + options_.append_every;
+    next_send_at_ = now + options_.append_interval;
     return;
   }
   ++failures_;
@@ -65,7 +65,7 @@
   if (!unacknowledged()) return;
   in_flight_.reset();
   failures_ = 0;
-  next_send_at_ = now + options_.append_every;
+  next_send_at_ = now + options_.append_interval;
 }
 
 absl::Duration LogWriter::NextBackoff() {
--- a/keelbridge/coordination/log_writer.h
+++ b/keelbridge/coordination/log_writer.h
@@ -34,7 +34,7 @@
     size_t max_envelope_entries = 2000;
     size_t max_envelope_bytes = 256 << 10;
     // Minimum time between appends.
-    absl::Duration append_every = absl::Milliseconds(100);
+    absl::Duration append_interval = absl::Milliseconds(100);
     absl::Duration initial_backoff = absl::Milliseconds(200);
     absl::Duration max_backoff = absl::Seconds(5);
   };
--- a/keelbridge/coordination/planner.cc
+++ b/keelbridge/coordination/planner.cc
@@ -90,7 +90,7 @@
       : decider_(decider), start_ms_(MonoMillis(now)), now_ms_(start_ms_) {
     for (WorkerId w = 0; w < static_cast<WorkerId>(decider_.cell().size());
          ++w) {
-      for (const TaskId id : decider_.TasksOn(w)) ScheduleEnd(id);
+      for (const TaskHandle id : decider_.TasksOn(w)) ScheduleEnd(id);
     }
   }
 
@@ -106,8 +106,8 @@
     if (id == kNoWorker) return;
     decider_.SetSchedulable(id, false);
     drained_ += static_cast<int64_t>(decider_.TasksOn(id).size());
-    const std::vector<TaskId> tasks = decider_.TasksOn(id);
-    for (const TaskId task : tasks)
+    const std::vector<TaskHandle> tasks = decider_.TasksOn(id);
+    for (const TaskHandle task : tasks)
       decider_.OnStopped(task, decider_.task(task).saved_progress_ms, now_ms_);
   }
 
@@ -122,7 +122,7 @@
       if (!more) break;
       now_ms_ = std::max(now_ms_, ends_.top().first);
       while (!ends_.empty() && ends_.top().first <= now_ms_) {
-        const TaskId id = ends_.top().second;
+        const TaskHandle id = ends_.top().second;
         ends_.pop();
         ++events;
         EndTask(id);
@@ -138,15 +138,15 @@
     return waiting;
   }
   int64_t drained() const { return drained_; }
-  const std::vector<TaskId>& preempted() const { return preempted_; }
+  const std::vector<TaskHandle>& preempted() const { return preempted_; }
   double preemption_cost_s() const {
     return decider_.counts().preemption_cost_s;
   }
 
  private:
-  using EndEvent = std::pair<int64_t, TaskId>;
+  using EndEvent = std::pair<int64_t, TaskHandle>;
 
-  void ScheduleEnd(TaskId id) {
+  void ScheduleEnd(TaskHandle id) {
     const TaskRow& row = decider_.task(id);
     if (row.state == TaskState::kBeingPreempted) {
       ends_.emplace(now_ms_ + absl::ToInt64Milliseconds(kForecastStopTime), id);
@@ -176,7 +176,7 @@
     ++summary.workers[decider_.cell().Name(order.worker)];
   }
 
-  void EndTask(TaskId id) {
+  void EndTask(TaskHandle id) {
     const TaskRow& row = decider_.task(id);
     if (row.state == TaskState::kBeingPreempted) {
       decider_.OnStopped(
@@ -193,10 +193,10 @@
   Decider decider_;
   const int64_t start_ms_;
   int64_t now_ms_;
-  std::map<TaskId, int32_t> submitted_;
+  std::map<TaskHandle, int32_t> submitted_;
   std::map<int32_t, ForecastSummary> summaries_;
   std::priority_queue<EndEvent, std::vector<EndEvent>, std::greater<>> ends_;
-  std::vector<TaskId> preempted_;
+  std::vector<TaskHandle> preempted_;
   int64_t drained_ = 0;
 };
 
@@ -253,7 +253,7 @@
 void DescribePreemptions(const Forecast& forecast, const PlanContext& context,
                          Plan& plan) {
   std::map<std::string, int64_t> by_intent;
-  for (const TaskId id : forecast.preempted()) {
+  for (const TaskHandle id : forecast.preempted()) {
     const std::string name = context.name_of(id);
     ++by_intent[name.substr(0, name.rfind('/'))];
   }
@@ -280,7 +280,7 @@
         absl::StrFormat("%s: %.1f%% -> %.1f%% of the zone at the end of the "
                         "forecast (quota %.1f%%)",
                         before.TeamName(team), 100 * from, 100 * to,
-                        100 * before.ComputeWorkerQuota(team)));
+                        100 * before.QuotaOf(team)));
   }
 }
 
--- a/keelbridge/coordination/planner.h
+++ b/keelbridge/coordination/planner.h
@@ -23,7 +23,7 @@
   const ZoneState& state;
   const Decider& decider;
   // Returns the task's human-readable name.
-  std::function<std::string(TaskId)> name_of;
+  std::function<std::string(TaskHandle)> name_of;
   std::string plan_id;
 };
 
--- a/keelbridge/coordination/router.cc
+++ b/keelbridge/coordination/router.cc
@@ -67,7 +67,7 @@
                      options_.retry_after);
   }
   const auto usable = [&](const std::string& name) {
-    return leaving_.count(name) == 0 && tried.count(name) == 0;
+    return draining_targets_.count(name) == 0 && tried.count(name) == 0;
   };
   std::vector<Target*> free;
   size_t usable_count = 0;
--- a/keelbridge/coordination/router.h
+++ b/keelbridge/coordination/router.h
@@ -92,7 +92,9 @@
   void SetShare(int index, int count);
   // Sets the targets that receive no new requests: the platform's list or an
   // operator drains them, or they reported so themselves.
-  void SetLeaving(const std::set<std::string>& names) { leaving_ = names; }
+  void SetDrainingTargets(const std::set<std::string>& names) {
+    draining_targets_ = names;
+  }
 
   const ServiceConfig* FindService(const std::string& name) const;
 
@@ -129,7 +131,7 @@
   std::map<std::string, Target> targets_;
   std::map<std::string, std::vector<std::string>> by_service_;
   std::map<std::string, ServiceConfig> services_;
-  std::set<std::string> leaving_;
+  std::set<std::string> draining_targets_;
   int index_ = 0;
   int count_ = 1;
 };
--- a/keelbridge/coordination/router_test.cc
+++ b/keelbridge/coordination/router_test.cc
@@ -53,7 +53,7 @@
 TEST_CASE("draining targets and targets already tried receive no requests") {
   Router router({});
   router.SetConfiguration(MakeConfiguration(3, 100), "z");
-  router.SetLeaving({"t0"});
+  router.SetDrainingTargets({"t0"});
   for (int i = 0; i < 50; ++i) {
     CHECK(router.Choose("licence", {"t1"}, kNow).value().target == "t2");
   }
--- a/keelbridge/coordination/scheduler_policy.h
+++ b/keelbridge/coordination/scheduler_policy.h
@@ -16,27 +16,27 @@
 struct SchedulerPolicy {
   // Determines the outcome of an unanswered order within milliseconds by
   // further observations.
-  bool settle_soon = true;
+  bool resolve_unanswered_orders = true;
   // An advice call names all workers whose naming costs little compared with
   // the call itself.
-  bool name_by_cost = true;
+  bool name_extra_workers = true;
   // Blocked single tasks, like gangs, reserve capacity ahead of work that is
   // ordered after them.
-  bool hold_room = true;
+  bool reserve_for_single_tasks = true;
   // Less urgent runs that save their progress are preempted for blocked steps.
-  bool make_room = true;
+  bool preempt_runs = true;
 };
 
 struct PolicySwitch {
   const char* name;  // Name in the settings.
-  bool SchedulerPolicy::*on;
+  bool SchedulerPolicy::*enabled;
 };
 
 inline std::vector<PolicySwitch> PolicySwitches() {
-  return {{"settle_soon", &SchedulerPolicy::settle_soon},
-          {"name_by_cost", &SchedulerPolicy::name_by_cost},
-          {"hold_room", &SchedulerPolicy::hold_room},
-          {"make_room", &SchedulerPolicy::make_room}};
+  return {{"settle_soon", &SchedulerPolicy::resolve_unanswered_orders},
+          {"name_by_cost", &SchedulerPolicy::name_extra_workers},
+          {"hold_room", &SchedulerPolicy::reserve_for_single_tasks},
+          {"make_room", &SchedulerPolicy::preempt_runs}};
 }
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/task_queue.cc
+++ b/keelbridge/coordination/task_queue.cc
@@ -29,7 +29,7 @@
   return std::min(by_age, row.latest_start_ms - options_.promotion_slack_ms);
 }
 
-TaskQueue::Key TaskQueue::KeyOf(TaskId id, const TaskRow& row) const {
+TaskQueue::Key TaskQueue::KeyOf(TaskHandle id, const TaskRow& row) const {
   int64_t first = row.latest_start_ms;
   if (options_.largest_first && row.latest_start_ms == kNever) {
     // After all tasks with a deadline, larger needs before smaller ones.
@@ -44,7 +44,7 @@
   return teams[row.team];
 }
 
-void TaskQueue::Push(TaskId id, TaskRow& row, int64_t now_ms) {
+void TaskQueue::Push(TaskHandle id, TaskRow& row, int64_t now_ms) {
   row.rank = static_cast<uint8_t>(RankOf(row, now_ms));
   row.state = TaskState::kWaiting;
   ShapeQueue& queue = QueuesOf(row)[row.shape];
@@ -55,7 +55,7 @@
   ++size_;
 }
 
-void TaskQueue::Remove(TaskId id, const TaskRow& row) {
+void TaskQueue::Remove(TaskHandle id, const TaskRow& row) {
   ShapeQueues& queues = QueuesOf(row);
   const auto it = queues.find(row.shape);
   if (it == queues.end() || it->second.tasks.erase(KeyOf(id, row)) == 0) return;
@@ -68,7 +68,7 @@
 void TaskQueue::Promote(TaskTable& tasks, int64_t now_ms, int max_promotions) {
   while (max_promotions-- > 0 && !promotions_.empty() &&
          promotions_.begin()->first <= now_ms) {
-    const TaskId id = promotions_.begin()->second;
+    const TaskHandle id = promotions_.begin()->second;
     Remove(id, tasks[id]);
     Push(id, tasks[id], now_ms);
   }
@@ -105,7 +105,7 @@
   if (!best->blocked || !best->waits_for_capacity) return offer;
   for (size_t i = best->freed_seen; i < freed_.size(); ++i) {
     if (best->need.FitsIn(freed_[i].free)) {
-      offer.only.push_back(freed_[i].worker);
+      offer.candidate_workers.push_back(freed_[i].worker);
     }
   }
   return offer;
--- a/keelbridge/coordination/task_queue.h
+++ b/keelbridge/coordination/task_queue.h
@@ -51,8 +51,8 @@
 
   explicit TaskQueue(Options options) : options_(options) {}
 
-  void Push(TaskId id, TaskRow& row, int64_t now_ms);
-  void Remove(TaskId id, const TaskRow& row);
+  void Push(TaskHandle id, TaskRow& row, int64_t now_ms);
+  void Remove(TaskHandle id, const TaskRow& row);
 
   // Moves tasks whose promotion time has come to the promoted rank, at most
   // `max_promotions` per call.
@@ -61,10 +61,10 @@
   // The task to try next.
   struct Offer {
     // `kNoTask` if all waiting tasks are blocked.
-    TaskId task = kNoTask;
+    TaskHandle task = kNoTask;
     // Workers on which capacity was freed since the task's shape was blocked.
     // If empty, any worker may be tried.
-    std::vector<WorkerId> only;
+    std::vector<WorkerId> candidate_workers;
   };
   // Returns the task to try next. `shares` is each team's share divided by its
   // quota.
@@ -87,7 +87,7 @@
 
  private:
   // Latest start (or size), sequence number, task.
-  using Key = std::tuple<int64_t, int32_t, TaskId>;
+  using Key = std::tuple<int64_t, int32_t, TaskHandle>;
   struct ShapeQueue {
     absl::btree_set<Key> tasks;
     Resources need;
@@ -102,7 +102,7 @@
   };
   using ShapeQueues = absl::btree_map<int32_t, ShapeQueue>;  // Keyed by shape.
 
-  Key KeyOf(TaskId id, const TaskRow& row) const;
+  Key KeyOf(TaskHandle id, const TaskRow& row) const;
   int RankOf(const TaskRow& row, int64_t now_ms) const;
   int64_t PromotionTime(const TaskRow& row) const;
   ShapeQueues& QueuesOf(const TaskRow& row);
@@ -112,7 +112,7 @@
   // Indexed by rank, then by team.
   std::array<std::vector<ShapeQueues>, kRanks> ranks_;
   std::array<size_t, kRanks> waiting_by_rank_{};
-  absl::btree_set<std::pair<int64_t, TaskId>> promotions_;
+  absl::btree_set<std::pair<int64_t, TaskHandle>> promotions_;
   // Capacity freed since the last `UnblockAll` or `ClearFreedCapacity`.
   std::vector<FreedCapacity> freed_;
   size_t size_ = 0;
--- a/keelbridge/coordination/task_table.h
+++ b/keelbridge/coordination/task_table.h
@@ -1,7 +1,7 @@
 // The tasks of a zone as the decision core sees them, in compact rows. The row
 // of a removed task is reused.
 //
-//   TaskId id = table.Add(row);
+//   TaskHandle id = table.Add(row);
 //   table[id].state = TaskState::kPlaced;
 
 #ifndef KEELBRIDGE_COORDINATION_TASK_TABLE_H_
@@ -38,8 +38,8 @@
   int16_t team = 0;
   WorkClass work_class = WorkClass::kStandard;
   TaskState state = TaskState::kGone;
-  uint8_t rank = 0;    // Rank in the queue.
-  uint8_t yields = 0;  // Number of times it was preempted.
+  uint8_t rank = 0;       // Rank in the queue.
+  uint8_t preempted = 0;  // Number of times it was preempted.
   bool checkpoints = false;
   bool spread = false;
   bool service = false;
@@ -58,28 +58,28 @@
 
 class TaskTable {
  public:
-  TaskId Add(const TaskRow& row) {
+  TaskHandle Add(const TaskRow& row) {
     if (free_.empty()) {
       rows_.push_back(row);
-      return static_cast<TaskId>(rows_.size() - 1);
+      return static_cast<TaskHandle>(rows_.size() - 1);
     }
-    const TaskId id = free_.back();
+    const TaskHandle id = free_.back();
     free_.pop_back();
     rows_[id] = row;
     return id;
   }
-  void Remove(TaskId id) {
+  void Remove(TaskHandle id) {
     rows_[id].state = TaskState::kGone;
     free_.push_back(id);
   }
-  TaskRow& operator[](TaskId id) { return rows_[id]; }
-  const TaskRow& operator[](TaskId id) const { return rows_[id]; }
+  TaskRow& operator[](TaskHandle id) { return rows_[id]; }
+  const TaskRow& operator[](TaskHandle id) const { return rows_[id]; }
   size_t capacity() const { return rows_.size(); }
   size_t live() const { return rows_.size() - free_.size(); }
 
  private:
   std::vector<TaskRow> rows_;
-  std::vector<TaskId> free_;
+  std::vector<TaskHandle> free_;
 };
 
 }  // namespace keelbridge
--- a/keelbridge/coordination/victim_search.h
+++ b/keelbridge/coordination/victim_search.h
@@ -6,7 +6,7 @@
 // bound is reached, the best set found so far is returned.
 //
 //   VictimSet set = FindVictims(candidates, shortfall);
-//   if (set.found) for (TaskId id : set.tasks) Preempt(id);
+//   if (set.found) for (TaskHandle id : set.tasks) Preempt(id);
 
 #ifndef KEELBRIDGE_COORDINATION_VICTIM_SEARCH_H_
 #define KEELBRIDGE_COORDINATION_VICTIM_SEARCH_H_
@@ -19,7 +19,7 @@
 namespace keelbridge {
 
 struct VictimCandidate {
-  TaskId task = kNoTask;
+  TaskHandle task = kNoTask;
   Resources freed_resources;
   // Cost of preempting the task, which must be positive.
   double cost = 0;
@@ -27,7 +27,7 @@
 
 struct VictimSet {
   bool found = false;
-  std::vector<TaskId> tasks;
+  std::vector<TaskHandle> tasks;
   double cost = 0;
 };
 
--- a/keelbridge/coordination/worker_list.cc
+++ b/keelbridge/coordination/worker_list.cc
@@ -37,9 +37,9 @@
     return;
   }
   it->second.record.reset();
-  const std::string what = entry.error().message.substr(0, kMaxReasonLength);
-  if (what != it->second.what) unused_.push_back({id, what});
-  it->second.what = what;
+  const std::string reason = entry.error().message.substr(0, kMaxReasonLength);
+  if (reason != it->second.reason) unused_.push_back({id, reason});
+  it->second.reason = reason;
   Classify(id, &it->second);
 }
 
@@ -84,16 +84,17 @@
     entry->status = EntryStatus::kRefused;
   } else if (services_.count(entry->record->pool) > 0) {
     entry->status = EntryStatus::kUsed;
-    entry->what.clear();
+    entry->reason.clear();
   } else {
     entry->status = EntryStatus::kUnknownService;
-    const std::string what =
+    const std::string reason =
         configured_
             ? absl::StrCat("no configuration names the service ",
                            entry->record->pool.substr(0, kMaxReasonLength))
             : "";
-    if (!what.empty() && what != entry->what) unused_.push_back({id, what});
-    entry->what = what;
+    if (!reason.empty() && reason != entry->reason)
+      unused_.push_back({id, reason});
+    entry->reason = reason;
   }
   --CountOf(before);
   ++CountOf(entry->status);
--- a/keelbridge/coordination/worker_list.h
+++ b/keelbridge/coordination/worker_list.h
@@ -42,7 +42,7 @@
   // changes.
   struct Unused {
     std::string id;
-    std::string what;
+    std::string reason;
   };
   struct Figures {
     int64_t used = 0;
@@ -72,7 +72,7 @@
   struct Entry {
     EntryStatus status = EntryStatus::kRefused;
     std::optional<WorkerRecord> record;  // nullopt: the entry cannot be read.
-    std::string what;                    // Why the entry is not used.
+    std::string reason;                  // Why the entry is not used.
     bool seen = true;  // Whether the current full read contained it.
   };
 
--- a/keelbridge/coordination/worker_list_test.cc
+++ b/keelbridge/coordination/worker_list_test.cc
@@ -15,8 +15,8 @@
   return record;
 }
 
-Result<WorkerRecord> MalformedEntry(const std::string& what) {
-  return MakeError(ErrorCode::kInvalid, what);
+Result<WorkerRecord> MalformedEntry(const std::string& reason) {
+  return MakeError(ErrorCode::kInvalid, reason);
 }
 
 SiteConfiguration ConfigurationWithPool(const std::string& service) {
@@ -91,7 +91,7 @@
   const auto unused = list.TakeUnused();
   REQUIRE(unused.size() == 1);
   CHECK(unused[0].id == "a");
-  CHECK(unused[0].what == "state");
+  CHECK(unused[0].reason == "state");
   // A configuration does not make a malformed entry valid.
   list.SetConfiguration(ConfigurationWithPool("desk"));
   CHECK(LastChangeUses(list, "a") == false);
@@ -123,7 +123,7 @@
   list.OnEntry("a", MalformedEntry(std::string(100000, 'x')));
   const auto unused = list.TakeUnused();
   REQUIRE(unused.size() == 1);
-  CHECK(unused[0].what.size() == 300);
+  CHECK(unused[0].reason.size() == 300);
 }
 
 }  // namespace
--- a/keelbridge/coordination/zone_scheduler.cc
+++ b/keelbridge/coordination/zone_scheduler.cc
@@ -299,7 +299,7 @@
   const bool overdue =
       now.mono - snapshot_seen_at_ >= options_.snapshot_interval;
   const bool many_records =
-      replica_.OffsetsSinceSnapshot() > options_.snapshot_every;
+      replica_.OffsetsSinceSnapshot() > options_.records_per_snapshot;
   if (!overdue && !many_records) return;
   // Prevents another snapshot before this one can have been read back.
   snapshot_seen_at_ = now.mono;
@@ -385,7 +385,7 @@
   std::vector<std::string> to_stop;
   for (WorkerId id = 0; id < static_cast<WorkerId>(cell.size()); ++id) {
     if (decider_->TasksOn(id).empty() || !IsLeaving(cell.Name(id))) continue;
-    for (const TaskId task : decider_->TasksOn(id)) {
+    for (const TaskHandle task : decider_->TasksOn(id)) {
       const TaskRow& row = decider_->task(task);
       if (row.state != TaskState::kPlaced || row.non_preemptible) continue;
       const int64_t left_ms =
--- a/keelbridge/coordination/zone_scheduler.h
+++ b/keelbridge/coordination/zone_scheduler.h
@@ -82,7 +82,7 @@
     absl::Duration drain_grace = absl::Seconds(30);
     int decide_budget = 400;  // Maximum number of placements tried per tick.
     // A snapshot is taken after this many records.
-    int64_t snapshot_every = 2000;
+    int64_t records_per_snapshot = 2000;
     // Must be well under half of the log's retention time.
     absl::Duration snapshot_interval = absl::Minutes(10);
     size_t snapshot_piece_bytes = 64 << 10;
@@ -157,7 +157,7 @@
     std::string intent;
     int64_t index = 0;
     Stage stage = Stage::kUnobserved;
-    TaskId id = kNoTask;
+    TaskHandle id = kNoTask;
     WorkerId worker = kNoWorker;
     int64_t attempt = 0;
     int starts = 0;
@@ -221,7 +221,7 @@
   void PushHold(const std::string& worker, HoldMode mode, int64_t epoch,
                 Now now, std::vector<Action>& actions);
   int64_t NotAfter(Now now) const;
-  std::string DecisionText(TaskId id) const;
+  std::string DecisionText(TaskHandle id) const;
   const WorkRecord* FindWorkRecord(const std::string& intent) const;
 
   // No plan has this offset; -1 means that no plan has been confirmed.
@@ -235,7 +235,7 @@
   ZoneReplica replica_;
   std::unique_ptr<Decider> decider_;
   std::map<std::string, TaskEntry> tasks_;
-  absl::flat_hash_map<TaskId, std::string> names_;
+  absl::flat_hash_map<TaskHandle, std::string> names_;
   // Numbers of the current intents, used by the decision core.
   absl::flat_hash_map<std::string, int32_t> groups_;
   int32_t next_group_ = 0;
--- a/keelbridge/coordination/zone_scheduler_operators.cc
+++ b/keelbridge/coordination/zone_scheduler_operators.cc
@@ -10,7 +10,7 @@
 
 namespace keelbridge {
 
-std::string ZoneScheduler::DecisionText(TaskId id) const {
+std::string ZoneScheduler::DecisionText(TaskHandle id) const {
   const std::optional<Decision> decision = decider_->LastDecision(id);
   return decision ? decision->ToText(decider_->cell())
                   : "the record of this decision is no longer kept";
@@ -25,7 +25,7 @@
   if (synced_plan_ != replica_.state().last_plan()) SyncWork(now);
   if (std::exchange(workers_changed_, false)) RefreshSchedulable();
   PlanContext context{options_.zone, replica_.state(), *decider_,
-                      [this](TaskId id) {
+                      [this](TaskHandle id) {
                         const auto it = names_.find(id);
                         return it == names_.end() ? std::string("new")
                                                   : it->second;
--- a/keelbridge/coordination/zone_scheduler_test.cc
+++ b/keelbridge/coordination/zone_scheduler_test.cc
@@ -255,7 +255,7 @@
     longest = std::max(longest, zone.now() - killed);
     zone.RunFor(absl::Seconds(20));
     CHECK(zone.Running() == 20);
-    restarts += static_cast<int64_t>(zone.facts().size()) - 20;
+    restarts += static_cast<int64_t>(zone.run_events().size()) - 20;
     CHECK(zone.FindViolations().empty());
   }
   const double holds = absl::FDivDuration(longest, absl::Seconds(3));
@@ -300,7 +300,7 @@
       longest = std::max(longest, zone.now() - stopped);
       zone.RunFor(absl::Milliseconds(2500));
     }
-    CHECK(zone.facts().size() == 14);
+    CHECK(zone.run_events().size() == 14);
   }
   const double holds = absl::FDivDuration(longest, absl::Seconds(3));
   MESSAGE("longest time without a leader: ", holds, " hold times");
@@ -341,11 +341,11 @@
   REQUIRE(zone.Confirm({ZoneHarness::Service("b", 10)}));
   zone.RunFor(absl::Seconds(3));
   CHECK(zone.Running() == 20);
-  CHECK(zone.facts().size() == 20);
+  CHECK(zone.run_events().size() == 20);
   CHECK(zone.FindViolations().empty());
   // No attempt number is used twice.
   std::set<int64_t> attempts;
-  for (const RunEvent& fact : zone.facts()) attempts.insert(fact.attempt);
+  for (const RunEvent& fact : zone.run_events()) attempts.insert(fact.attempt);
   CHECK(attempts.size() == 20);
 }
 
@@ -371,7 +371,7 @@
   CHECK(zone.Confirm({ZoneHarness::Batch("scans", 9, absl::Seconds(2))}));
   zone.RunFor(absl::Seconds(20));
   CHECK(zone.scheduler(0).replica().state().work().empty());
-  CHECK(zone.facts().size() == 18);
+  CHECK(zone.run_events().size() == 18);
 }
 
 TEST_CASE(
@@ -379,7 +379,7 @@
   ZoneHarness::Options options;
   options.schedulers = 2;
   options.seed = 31;
-  options.snapshot_every = 20;
+  options.records_per_snapshot = 20;
   ZoneHarness zone(options);
   REQUIRE(zone.Confirm({ZoneHarness::Service("index", 4)}));
   for (int i = 0; i < 30; ++i) {
@@ -448,7 +448,7 @@
   zone.RunFor(absl::Seconds(10));
   CHECK(zone.worker(1).running() == 0);
   CHECK(zone.Running() == 10);
-  CHECK(CheckRuns(zone.facts(), rules).empty());
+  CHECK(CheckRuns(zone.run_events(), rules).empty());
 }
 
 TEST_CASE("a worker that the platform lists as leaving gets no new work") {
@@ -463,7 +463,7 @@
   zone.RunFor(absl::Seconds(10));
   CHECK(zone.worker(3).running() == 0);
   CHECK(zone.Running() == 15);
-  CHECK(CheckRuns(zone.facts(), rules).empty());
+  CHECK(CheckRuns(zone.run_events(), rules).empty());
 }
 
 }  // namespace
--- a/keelbridge/daemon/claim_service.cc
+++ b/keelbridge/daemon/claim_service.cc
@@ -16,11 +16,11 @@
 constexpr absl::Duration kRoundInterval = absl::Milliseconds(10);
 
 LogWriter::Options WriterOptions(uint64_t incarnation,
-                                 absl::Duration append_every) {
+                                 absl::Duration append_interval) {
   LogWriter::Options options;
   options.incarnation = incarnation;
   options.seed = incarnation;
-  options.append_every = append_every;
+  options.append_interval = append_interval;
   return options;
 }
 
@@ -28,11 +28,11 @@
 
 ClaimService::ClaimService(LogClient& log, uint64_t incarnation,
                            absl::Duration log_timeout,
-                           absl::Duration append_every)
+                           absl::Duration append_interval)
     : log_(log),
       incarnation_(incarnation),
       log_timeout_(log_timeout),
-      writer_(WriterOptions(incarnation, append_every)),
+      writer_(WriterOptions(incarnation, append_interval)),
       table_(incarnation) {}
 
 ClaimService::Answer ClaimService::Claim(const std::string& key,
--- a/keelbridge/daemon/claim_service.h
+++ b/keelbridge/daemon/claim_service.h
@@ -1,7 +1,7 @@
 // Claims idempotency keys in the log on behalf of waiting callers. Many claims
 // share one append.
 //
-//   ClaimService claims(log, incarnation, log_timeout, append_every);
+//   ClaimService claims(log, incarnation, log_timeout, append_interval);
 //   // On a caller's thread:
 //   ClaimService::Answer answer = claims.Claim(key, wait);
 //   // On the thread of a periodic task:
@@ -36,7 +36,7 @@
   };
 
   ClaimService(LogClient& log, uint64_t incarnation, absl::Duration log_timeout,
-               absl::Duration append_every);
+               absl::Duration append_interval);
 
   // Claims `key` and blocks for the result, at most for `wait`.
   Answer Claim(const std::string& key, absl::Duration wait);
--- a/keelbridge/daemon/configuration_follower.cc
+++ b/keelbridge/daemon/configuration_follower.cc
@@ -20,10 +20,10 @@
     log_answers_ = batch.has_value();
     if (!batch) return changed;
     const int64_t previous_version = state_.current().version;
-    const int64_t previous_carried_at = state_.carried_at();
+    const int64_t previous_carried_at = state_.newest_record_offset();
     state_.OnBatch(batch.value());
-    if (state_.carried_at() != previous_carried_at)
-      last_carried_at_ = SystemNow().mono;
+    if (state_.newest_record_offset() != previous_carried_at)
+      last_carried_time_ = SystemNow().mono;
     changed = changed || state_.current().version != previous_version;
     if (state_.CaughtUp() || batch.value().records.empty()) return changed;
   }
@@ -72,7 +72,7 @@
     absl::Time now, absl::Duration every) const {
   absl::MutexLock lock(&mutex_);
   const int64_t version = state_.current().version;
-  if (version < 0 || !state_.CaughtUp() || now - last_carried_at_ < every)
+  if (version < 0 || !state_.CaughtUp() || now - last_carried_time_ < every)
     return std::nullopt;
   return ConfigurationEntry{-1, version, state_.current().text};
 }
--- a/keelbridge/daemon/configuration_follower.h
+++ b/keelbridge/daemon/configuration_follower.h
@@ -49,7 +49,7 @@
   mutable absl::Mutex mutex_;
   ConfigurationState state_ ABSL_GUARDED_BY(mutex_);
   bool log_answers_ ABSL_GUARDED_BY(mutex_) = false;
-  absl::Time last_carried_at_ ABSL_GUARDED_BY(mutex_);
+  absl::Time last_carried_time_ ABSL_GUARDED_BY(mutex_);
 };
 
 }  // namespace keelbridge
--- a/keelbridge/daemon/gateway.cc
+++ b/keelbridge/daemon/gateway.cc
@@ -59,9 +59,9 @@
     if (!port) return port.error();
     port_ = port.value();
     StartMembership(absl::StrCat(listen.value().ip, ":", port_));
-    tasks_.Start("configuration", settings_.poll_every,
+    tasks_.Start("configuration", settings_.poll_interval,
                  [this] { FollowConfiguration(); });
-    tasks_.Start("hosts", settings_.poll_every, [this] { FollowHosts(); });
+    tasks_.Start("hosts", settings_.poll_interval, [this] { FollowHosts(); });
     tasks_.Start("membership", absl::Milliseconds(500),
                  [this] { StepMembership(); });
     PeriodicTask* claims = tasks_.Start("claims", absl::Seconds(1),
@@ -99,15 +99,15 @@
 
   void FollowConfiguration() {
     bool changed = configuration_.PollLog();
-    std::optional<std::string> newer_at;
+    std::optional<std::string> newer_peer;
     {
       absl::MutexLock lock(&mutex_);
-      newer_at =
+      newer_peer =
           membership_ ? membership_->NewerConfigurationAt() : std::nullopt;
     }
     // Asks a peer that reported a newer version, and all configured peers if
     // this gateway has no configuration yet and the log does not answer.
-    if (newer_at) changed = configuration_.PollPeer(*newer_at) || changed;
+    if (newer_peer) changed = configuration_.PollPeer(*newer_peer) || changed;
     if (configuration_.version() < 0 && !configuration_.log_answers()) {
       for (const std::string& peer : settings_.peers)
         changed = configuration_.PollPeer(peer) || changed;
@@ -135,7 +135,7 @@
     if (drained) drained_targets_ = std::move(*drained);
     std::set<std::string> leaving_targets = leaving_hosts_;
     leaving_targets.insert(drained_targets_.begin(), drained_targets_.end());
-    requests_.SetLeaving(leaving_targets);
+    requests_.SetDrainingTargets(leaving_targets);
   }
 
   std::optional<std::set<std::string>> DrainedTargets() {
--- a/keelbridge/daemon/leader_session.cc
+++ b/keelbridge/daemon/leader_session.cc
@@ -24,7 +24,7 @@
 // Other leaders assume that this leader starts no runs and extends no leases
 // once `earlier_leader_grace` has passed since its last confirmation. It stops
 // this much earlier.
-constexpr absl::Duration kBoundMargin = absl::Milliseconds(1500);
+constexpr absl::Duration kConfirmationMargin = absl::Milliseconds(1500);
 constexpr absl::Duration kRetryAfter = absl::Seconds(1);
 // Maximum waiting time and number of calls that arrive before the term is
 // active.
@@ -39,7 +39,7 @@
   return reply;
 }
 
-ClientReply NotTaken(std::string message) {
+ClientReply RetryLaterReply(std::string message) {
   ClientReply reply = Reply(ClientAnswer::kRejected, std::move(message));
   reply.retry_after = kRetryAfter;
   return reply;
@@ -142,10 +142,10 @@
     last_stall_end_ = now.mono;
   }
   last_tick_ = now.mono;
-  const bool bound_passed =
+  const bool confirmation_expired =
       now.mono - last_append_sent_ >
-      options_.scheduler.earlier_leader_grace - kBoundMargin;
-  scheduler_.SetSuspended(stalled_ || bound_passed);
+      options_.scheduler.earlier_leader_grace - kConfirmationMargin;
+  scheduler_.SetSuspended(stalled_ || confirmation_expired);
   scheduler_.Tick(now);
   const Now tick_end = SystemNow();
   scheduler_.OnTickFinished(tick_end.mono - now.mono, tick_end);
@@ -223,7 +223,8 @@
        {"store_lost", failing_since_ == absl::InfiniteFuture() ? "no" : "yes"},
        {"stood_still", stalled_ ? "yes" : "no"},
        {"jobs", absl::StrCat(scheduler_.figures().jobs)}});
-  if (!CanAccept()) return reply(NotTaken("the store confirms no leader now"));
+  if (!CanAccept())
+    return reply(RetryLaterReply("the store confirms no leader now"));
   // A successor unknown to this leader may know the job. The store accepts an
   // append of this term only while no other node leads, so a successful append
   // rules that out.
@@ -273,7 +274,7 @@
   // The job was accepted earlier, so it may have run.
   return call.kind == ClientCallKind::kSubmit
              ? Reply(ClientAnswer::kUnknown, why)
-             : NotTaken(why);
+             : RetryLaterReply(why);
 }
 
 bool LeaderSession::RefuseIfOverloaded(
@@ -291,7 +292,7 @@
             {"would_wait_ms", ms(verdict->wait)},
             {"retry_after_ms", ms(verdict->retry_after)}});
   metrics_.Count("jobs_refused_total", {{"queue", call.queue}});
-  ClientReply refused = NotTaken("more waits than can begin in time");
+  ClientReply refused = RetryLaterReply("more waits than can begin in time");
   refused.retry_after = verdict->retry_after;
   reply(std::move(refused));
   return true;
@@ -307,7 +308,8 @@
     case ClientCallKind::kSubmit: {
       const bool known = scheduler_.Status(call.job).has_value();
       if (!known && !CanAccept()) {
-        ClientReply refused = NotTaken("the store does not take records");
+        ClientReply refused =
+            RetryLaterReply("the store does not take records");
         LogEvent(Severity::kInfo, "job_refused",
                  {{"job", JobIdText(call.job)}, {"why", refused.message}});
         return reply(std::move(refused));
@@ -333,7 +335,7 @@
     }
     case ClientCallKind::kWaiting: {
       if (now.mono - last_append_sent_ > kMaxWaitingCountAge)
-        return reply(NotTaken("the count may be old"));
+        return reply(RetryLaterReply("the count may be old"));
       ClientReply answer = Reply(ClientAnswer::kWaiting);
       const auto waiting = scheduler_.QueuedJobs();
       const auto found = waiting.find(call.queue);
--- a/keelbridge/daemon/leader_session.h
+++ b/keelbridge/daemon/leader_session.h
@@ -208,7 +208,7 @@
   std::vector<KnownWorker> known_workers_;
   int64_t unreadable_workers_ = 0;  // Count within `known_workers_`.
   WorkerList worker_list_;
-  LogRateLimiter entry_log_limit_;
+  LogRateLimiter entry_log_limiter_;
   int stuck_pages_ = 0;  // Consecutive pages of workers that did not advance.
   // Next offset to read; -1: read the whole list again.
   int64_t next_worker_offset_ = -1;
--- a/keelbridge/daemon/leader_session_entries_test.cc
+++ b/keelbridge/daemon/leader_session_entries_test.cc
@@ -93,10 +93,9 @@
  public:
   using MemoryStoreConnection::MemoryStoreConnection;
   void Read(Stream stream, int64_t from, absl::Duration wait,
-            ReadTimeout patience,
-            std::function<void(ReadReply)> done) override {
+            ReadTimeout timeout, std::function<void(ReadReply)> done) override {
     if (stream != Stream::kWorkers || !std::exchange(history_lost, false))
-      return MemoryStoreConnection::Read(stream, from, wait, patience,
+      return MemoryStoreConnection::Read(stream, from, wait, timeout,
                                          std::move(done));
     ReadReply reply;
     reply.result = StoreResult::kGone;
--- a/keelbridge/daemon/leader_session_loading.cc
+++ b/keelbridge/daemon/leader_session_loading.cc
@@ -72,7 +72,7 @@
           LogEvent(Severity::kError, "job_record_unreadable",
                    {{"epoch", absl::StrCat(self->epoch_)},
                     {"key", item.key},
-                    {"what", item.what}});
+                    {"what", item.reason}});
           self->AddJobRecord({item.key, "", -1});
         }
         if (reply.more) return self->ContinueLoadingJobs(reply, after);
@@ -86,7 +86,7 @@
   known_workers_.push_back(*worker);
   if (!worker->unreadable) return;
   ++unreadable_workers_;
-  const auto suppressed = entry_log_limit_.Take(SystemNow().mono);
+  const auto suppressed = entry_log_limiter_.Take(SystemNow().mono);
   if (!suppressed) return;
   LogEvent(Severity::kError, "known_worker_unreadable",
            {{"worker", worker->worker.id},
@@ -150,8 +150,8 @@
         for (const Record& record : reply.records)
           self->ApplyWorkerRecord(record);
         for (const UnreadableItem& item : reply.unreadable)
-          self->worker_list_.OnEntry(item.key,
-                                     MakeError(ErrorCode::kInvalid, item.what));
+          self->worker_list_.OnEntry(
+              item.key, MakeError(ErrorCode::kInvalid, item.reason));
         self->ApplyWorkerList();
         // Changes are read from the end of the stream as of the first page.
         if (after.empty()) self->next_worker_offset_ = reply.end;
@@ -205,11 +205,11 @@
   }
   for (const WorkerList::Unused& unused : worker_list_.TakeUnused()) {
     metrics_.Count("worker_entries_refused_total", {});
-    const auto suppressed = entry_log_limit_.Take(now.mono);
+    const auto suppressed = entry_log_limiter_.Take(now.mono);
     if (!suppressed) continue;
     LogEvent(Severity::kWarning, "worker_entry_unused",
              {{"worker", unused.id},
-              {"what", unused.what},
+              {"what", unused.reason},
               {"lines_left_out", absl::StrCat(*suppressed)}});
   }
 }
--- a/keelbridge/daemon/leader_session_test.cc
+++ b/keelbridge/daemon/leader_session_test.cc
@@ -243,13 +243,12 @@
   explicit HangsWorkerReads(MemoryStore& store)
       : MemoryStoreConnection(store), store_(store) {}
   void Read(Stream stream, int64_t from, absl::Duration wait,
-            ReadTimeout patience,
-            std::function<void(ReadReply)> done) override {
+            ReadTimeout timeout, std::function<void(ReadReply)> done) override {
     if (stream != Stream::kWorkers || to_hang == 0)
-      return MemoryStoreConnection::Read(stream, from, wait, patience,
+      return MemoryStoreConnection::Read(stream, from, wait, timeout,
                                          std::move(done));
     --to_hang;
-    RunAfter(store_.loop(), std::min(patience.total, patience.progress_timeout),
+    RunAfter(store_.loop(), std::min(timeout.total, timeout.progress_timeout),
              [done] { done(ReadReply()); });
   }
   int to_hang = 0;
--- a/keelbridge/daemon/node_messages.cc
+++ b/keelbridge/daemon/node_messages.cc
@@ -42,7 +42,7 @@
   reply.answered = in["answered"].asBool();
   reply.overloaded = in["overloaded"].asBool();
   for (const Json::Value& row : in["good"])
-    reply.good.push_back({row[0].asString(), row[1].asString()});
+    reply.eligible.push_back({row[0].asString(), row[1].asString()});
   return reply;
 }
 
@@ -106,7 +106,7 @@
   out["answered"] = reply.answered;
   out["overloaded"] = reply.overloaded;
   out["good"] = Json::Value(Json::arrayValue);
-  for (const AdviceTicket& ticket : reply.good) {
+  for (const AdviceTicket& ticket : reply.eligible) {
     Json::Value row(Json::arrayValue);
     row.append(ticket.worker);
     row.append(ticket.ticket);
--- a/keelbridge/daemon/node_messages_test.cc
+++ b/keelbridge/daemon/node_messages_test.cc
@@ -71,7 +71,7 @@
     reply.answered = true;
     CHECK_NOTHROW(reply = AdviceReplyFromJson(Message(text)));
     CHECK_FALSE(reply.answered);
-    CHECK(reply.good.empty());
+    CHECK(reply.eligible.empty());
   }
 }
 
--- a/keelbridge/daemon/node_settings.cc
+++ b/keelbridge/daemon/node_settings.cc
@@ -31,7 +31,7 @@
     bool known = false;
     for (const PolicySwitch& policy_switch : PolicySwitches()) {
       if (name != policy_switch.name) continue;
-      policy->*policy_switch.on = false;
+      policy->*policy_switch.enabled = false;
       known = true;
     }
     if (!known)
@@ -84,9 +84,9 @@
   reader.OptionalNumber("link_mbps", 0.001, 1e7, &out.link_mbps);
   reader.OptionalMillis("lease_ms", 100, 600000, &out.lease);
   reader.OptionalMillis("gang_wait_ms", 1, 600000, &out.gang_wait);
-  double seconds = absl::ToDoubleSeconds(out.ended_kept);
+  double seconds = absl::ToDoubleSeconds(out.ended_retention);
   reader.OptionalNumber("ended_kept_s", 1, 1e6, &seconds);
-  out.ended_kept = absl::Seconds(seconds);
+  out.ended_retention = absl::Seconds(seconds);
   seconds = absl::ToDoubleSeconds(out.stop_grace);
   reader.OptionalNumber("stop_grace_s", 1, 1e6, &seconds);
   out.stop_grace = absl::Seconds(seconds);
--- a/keelbridge/daemon/node_settings.h
+++ b/keelbridge/daemon/node_settings.h
@@ -46,7 +46,7 @@
 
   absl::Duration lease = absl::Seconds(6);
   absl::Duration gang_wait = absl::Seconds(3);
-  absl::Duration ended_kept = absl::Seconds(120);
+  absl::Duration ended_retention = absl::Seconds(120);
   absl::Duration stop_grace = absl::Seconds(6);  // From SIGTERM to SIGKILL.
 
   // All mechanisms are on except those that the member "switched_off" names.
--- a/keelbridge/daemon/order_relay_server.cc
+++ b/keelbridge/daemon/order_relay_server.cc
@@ -48,7 +48,7 @@
 void OrderRelayServer::ForwardOrder(const RelayedOrder& order,
                                     const std::string& reply_to) {
   ++forwarded_;
-  last_order_[order.worker.id] = SystemNow().mono;
+  last_order_times_[order.worker.id] = SystemNow().mono;
   const auto answer = [this, reply_to,
                        number = order.number](OrderReply reply) {
     ObserveReply out;
@@ -108,12 +108,12 @@
   if (now < next_idle_check_) return;
   next_idle_check_ = now + kIdleCheckInterval;
   std::vector<std::string> idle;
-  for (const auto& [worker, last] : last_order_) {
+  for (const auto& [worker, last] : last_order_times_) {
     if (now - last > kIdleTimeout) idle.push_back(worker);
   }
   for (const std::string& worker : idle) {
     workers_.Forget(worker);
-    last_order_.erase(worker);
+    last_order_times_.erase(worker);
   }
 }
 
--- a/keelbridge/daemon/order_relay_server.h
+++ b/keelbridge/daemon/order_relay_server.h
@@ -51,7 +51,8 @@
   EventRpcClient& rpc_;
   // Encoded replies by the address of the leader that they are sent to.
   std::map<std::string, Json::Value> queued_replies_;
-  absl::flat_hash_map<std::string, absl::Time> last_order_;  // By worker id.
+  absl::flat_hash_map<std::string, absl::Time>
+      last_order_times_;  // By worker id.
   absl::Time next_idle_check_ = absl::InfinitePast();
   int64_t forwarded_ = 0;
 };
--- a/keelbridge/daemon/request_server.cc
+++ b/keelbridge/daemon/request_server.cc
@@ -71,7 +71,7 @@
     : name_(settings.name),
       zone_(settings.zone),
       metrics_(metrics),
-      claims_(log, incarnation, settings.log_timeout, settings.append_every),
+      claims_(log, incarnation, settings.log_timeout, settings.append_interval),
       router_(Router::Options()),
       tickets_(settings.name, incarnation) {}
 
@@ -97,9 +97,9 @@
   }
 }
 
-void RequestServer::SetLeaving(const std::set<std::string>& names) {
+void RequestServer::SetDrainingTargets(const std::set<std::string>& names) {
   absl::MutexLock lock(&mutex_);
-  router_.SetLeaving(names);
+  router_.SetDrainingTargets(names);
 }
 
 void RequestServer::SetShare(int index, int count) {
@@ -217,7 +217,7 @@
   {
     absl::MutexLock lock(&mutex_);
     const bool first =
-        tickets_.IssuedByThisRun(ticket.value()) &&
+        tickets_.IssuedByThisIncarnation(ticket.value()) &&
         tickets_.Use(ticket.value(), absl::Now()) == TicketUse::kFirst;
     if (!first) {
       return Refusal(409, Verdict::kMayHaveRun,
@@ -284,7 +284,7 @@
     separator = '&';
   }
   for (const auto& [name, value] : request.headers) {
-    if (!IsHopByHopHeader(name) && !IsPerHopHeader(name))
+    if (!IsHopByHopHeader(name) && !IsReplacedHeader(name))
       out.headers.emplace_back(name, value);
   }
   out.headers.emplace_back(kRequestIdHeader, context.request_id);
@@ -301,7 +301,7 @@
 }
 
 // Returns whether a header is set by this class on each hop.
-bool RequestServer::IsPerHopHeader(const std::string& name) {
+bool RequestServer::IsReplacedHeader(const std::string& name) {
   for (const char* own :
        {kRequestIdHeader, kAttemptHeader, kDeadlineHeader, kTicketHeader}) {
     if (absl::EqualsIgnoreCase(name, own)) return true;
--- a/keelbridge/daemon/request_server.h
+++ b/keelbridge/daemon/request_server.h
@@ -44,7 +44,7 @@
 
   void ApplyConfiguration(const Configuration& configuration);
   // Sets the targets that get no new requests.
-  void SetLeaving(const std::set<std::string>& names);
+  void SetDrainingTargets(const std::set<std::string>& names);
   // Sets the position of this gateway, `index`, among the `count` live gateways
   // of the zone.
   void SetShare(int index, int count);
@@ -78,7 +78,7 @@
   HttpRequest MakeForwardedRequest(const ServerRequest& request,
                                    const RequestContext& context,
                                    const Span& span, int attempt) const;
-  static bool IsPerHopHeader(const std::string& name);
+  static bool IsReplacedHeader(const std::string& name);
   static std::string UrlEncode(const std::string& text);
   ServerResponse Forward(const ServerRequest& request,
                          const RequestContext& context, Span& parent);
--- a/keelbridge/daemon/scheduler.cc
+++ b/keelbridge/daemon/scheduler.cc
@@ -48,17 +48,17 @@
   options.leadership.holder =
       absl::StrFormat("%s/%x", settings.name, incarnation);
   options.leadership.hold_ttl = settings.hold_ttl;
-  options.leadership.renew_every = settings.hold_ttl / 3;
-  options.leadership.poll_every = settings.hold_ttl / 4;
+  options.leadership.renew_interval = settings.hold_ttl / 3;
+  options.leadership.poll_interval = settings.hold_ttl / 4;
   options.leases.lease_ttl = settings.lease_ttl;
   options.leases.command_validity = settings.command_validity;
   options.leases.clock_error = settings.clock_error;
   // The log counts as down only after more than one or two failed polls.
   options.log_down_after =
-      std::max(options.log_down_after, 3 * settings.poll_every);
+      std::max(options.log_down_after, 3 * settings.poll_interval);
   options.log.incarnation = incarnation;
   options.log.seed = incarnation;
-  options.log.append_every = settings.append_every;
+  options.log.append_interval = settings.append_interval;
   return options;
 }
 
@@ -105,13 +105,13 @@
     if (!port) return port.error();
     port_ = port.value();
     decider_task_ = tasks_.Start("decider", settings_.tick, [this] { Step(); });
-    tasks_.Start("configuration", settings_.poll_every,
+    tasks_.Start("configuration", settings_.poll_interval,
                  [this] { FollowConfiguration(); });
     log_reader_task_ =
         tasks_.Start("log_reader", absl::Seconds(1), [this] { ReadLog(); });
     log_writer_task_ =
         tasks_.Start("log_writer", absl::Seconds(1), [this] { WriteLog(); });
-    tasks_.Start("hosts", settings_.poll_every, [this] { FollowHosts(); });
+    tasks_.Start("hosts", settings_.poll_interval, [this] { FollowHosts(); });
     if (!settings_.ready_file.empty())
       std::ofstream(settings_.ready_file) << port_ << "\n";
     LogEvent(Severity::kInfo, "scheduler_serves",
@@ -526,7 +526,7 @@
       Json::Value row;
       row["team"] = core.decider().TeamName(team);
       row["share"] = core.decider().ShareOf(team);
-      row["quota"] = core.decider().ComputeWorkerQuota(team);
+      row["quota"] = core.decider().QuotaOf(team);
       out["teams"].append(row);
     }
     return out;
--- a/keelbridge/daemon/settings.cc
+++ b/keelbridge/daemon/settings.cc
@@ -49,7 +49,7 @@
   reader.OptionalInteger("most_connections", 4, 4096, &out.max_connections);
   reader.OptionalInteger("most_body_bytes", 1024, 1 << 28, &out.max_body_bytes);
   reader.OptionalMillis("log_timeout_ms", 10, 60000, &out.log_timeout);
-  reader.OptionalMillis("poll_every_ms", 50, 4000, &out.poll_every);
+  reader.OptionalMillis("poll_every_ms", 50, 4000, &out.poll_interval);
   reader.OptionalMillis("drain_notice_ms", 0, 60000, &out.drain_notice);
   reader.OptionalMillis("drain_most_ms", 0, 600000, &out.drain_timeout);
   reader.OptionalMillis("tick_ms", 1, 1000, &out.tick);
@@ -58,7 +58,7 @@
   reader.OptionalMillis("command_validity_ms", 50, 10000,
                         &out.command_validity);
   reader.OptionalMillis("clock_error_ms", 0, 10000, &out.clock_error);
-  reader.OptionalMillis("append_every_ms", 10, 10000, &out.append_every);
+  reader.OptionalMillis("append_every_ms", 10, 10000, &out.append_interval);
   reader.OptionalInteger("worker_threads", 1, 64, &out.worker_threads);
   if (out.lease_ttl < 2 * out.hold_ttl) {
     reader.ReportFault(
--- a/keelbridge/daemon/settings.h
+++ b/keelbridge/daemon/settings.h
@@ -38,10 +38,10 @@
   int64_t max_body_bytes = 4 << 20;
   absl::Duration log_timeout = absl::Seconds(2);
   // Interval between polls of the log and the host list.
-  absl::Duration poll_every = absl::Seconds(2);
+  absl::Duration poll_interval = absl::Seconds(2);
   // Minimum time between two appends of this daemon to the log, which accepts
   // about a hundred appends a second from all its clients together.
-  absl::Duration append_every = absl::Milliseconds(200);
+  absl::Duration append_interval = absl::Milliseconds(200);
   // Time from the stop signal until no new requests are accepted. For a
   // scheduler, how long its queued entries have to reach the log.
   absl::Duration drain_notice = absl::Seconds(2);
--- a/keelbridge/daemon/site_node.h
+++ b/keelbridge/daemon/site_node.h
@@ -143,7 +143,7 @@
   // `term` until all have.
   void PollEarlierLeaders(const std::weak_ptr<LeaderSession>& term);
   // The latest time at which this process may have given an order as a leader.
-  absl::Time LastOrder() const;
+  absl::Time LastOrderTime() const;
   void OfferLeadership();
   void RequestTakeover(const Peer& peer);
 
@@ -201,7 +201,7 @@
   const NodePorts ports_;
   StoreFailover& store_failover_;
   EventRpcClient& rpc_;
-  const uint64_t boot_;
+  const uint64_t incarnation_;
   Metrics metrics_;
 
   std::unique_ptr<EventHttpServer> client_server_;
@@ -260,7 +260,7 @@
   bool claiming_ = false;
   // Number of times in this term that the store became reachable again, as of
   // the last reaffirmation.
-  int64_t reaffirmed_store_returns_ = 0;
+  int64_t reaffirmed_store_recoveries_ = 0;
   // A peer has stopped responding. If a network partition is the cause, a claim
   // of that peer may reach the store once the partition heals.
   bool peers_lost_ = false;
--- a/keelbridge/daemon/site_node_configuration.cc
+++ b/keelbridge/daemon/site_node_configuration.cc
@@ -193,7 +193,7 @@
     if (item.key != ports_.dialect->ConfigurationKey()) continue;
     if (!configuration_unreadable_)
       LogEvent(Severity::kError, "configuration_unreadable",
-               {{"source", "store"}, {"what", item.what}});
+               {{"source", "store"}, {"what", item.reason}});
     configuration_unreadable_ = true;
   }
 }
--- a/keelbridge/daemon/site_node_leading.cc
+++ b/keelbridge/daemon/site_node_leading.cc
@@ -15,7 +15,7 @@
 constexpr absl::Duration kReadTimeout = absl::Milliseconds(800);
 constexpr absl::Duration kFollowWait = absl::Seconds(20);
 constexpr absl::Duration kFollowTimeout = absl::Seconds(22);
-constexpr absl::Duration kFollowRetry = absl::Milliseconds(500);
+constexpr absl::Duration kFollowRetryDelay = absl::Milliseconds(500);
 constexpr absl::Duration kAskPeersTimeout = absl::Milliseconds(300);
 constexpr absl::Duration kEarlierLeaderPollInterval = absl::Milliseconds(300);
 constexpr absl::Duration kTakeOverTimeout = absl::Milliseconds(800);
@@ -41,7 +41,7 @@
   if (election_.Leads() && !serving) return BeginTerm();
   const bool delayed_claim_possible =
       peers_lost_ ||
-      (serving && session_->store_recoveries() > reaffirmed_store_returns_);
+      (serving && session_->store_recoveries() > reaffirmed_store_recoveries_);
   const bool should_reaffirm =
       delayed_claim_possible && !election_.control_unreadable();
   if (serving && session_->active() && should_reaffirm) Reaffirm();
@@ -105,7 +105,7 @@
           return FollowControl();
         }
         OnControlReadFailed("poll", reply.result, reply.message);
-        RunAfter(loop_, kFollowRetry, [this] {
+        RunAfter(loop_, kFollowRetryDelay, [this] {
           following_control_ = false;
           ReadControl();
           if (!following_control_ && control_read_offset_ >= 0) FollowControl();
@@ -190,7 +190,7 @@
 }
 
 void SiteNode::Reaffirm() {
-  reaffirmed_store_returns_ = session_->store_recoveries();
+  reaffirmed_store_recoveries_ = session_->store_recoveries();
   peers_lost_ = false;
   ports_.store->Append(election_.Reaffirm(), kReadTimeout,
                        [this](const AppendReply& reply) {
@@ -203,7 +203,7 @@
 
 void SiteNode::BeginTerm() {
   if (draining_) return;
-  reaffirmed_store_returns_ = 0;
+  reaffirmed_store_recoveries_ = 0;
   next_offer_at_ = SystemNow().mono + kOfferInterval;
   LeaderSession::Options options;
   options.node = settings_.name;
@@ -213,13 +213,14 @@
   options.scheduler.lease = settings_.lease;
   options.scheduler.policy = settings_.policy;
   options.scheduler.gang_wait = settings_.gang_wait;
-  options.scheduler.ended_kept = settings_.ended_kept + absl::Seconds(10);
+  options.scheduler.ended_retention =
+      settings_.ended_retention + absl::Seconds(10);
   options.ask_advice = [this](const AskAdviceAction& action,
                               std::function<void(AdviceReply)> done) {
     AskAdvice(action, std::move(done));
   };
   options.on_ended = [this](const std::string& why) { OnTermEnded(why); };
-  last_order_ = LastOrder();
+  last_order_ = LastOrderTime();
   std::vector<std::string> earlier;
   for (const EarlierLeader& earlier_leader : election_.leader().earlier)
     earlier.push_back(earlier_leader.address);
@@ -268,7 +269,7 @@
   RequestTakeover(peer->second);
 }
 
-absl::Time SiteNode::LastOrder() const {
+absl::Time SiteNode::LastOrderTime() const {
   if (session_ == nullptr) return last_order_;
   return std::max(last_order_, session_->last_order());
 }
@@ -281,7 +282,7 @@
   };
   if (!in_term()) return;
   if (earlier_leaders_.AllStopped()) {
-    session_->OnEarlierLeadersStopped(earlier_leaders_.LastOrder());
+    session_->OnEarlierLeadersStopped(earlier_leaders_.LastOrderTime());
     return;
   }
   Json::Value params(Json::objectValue);
--- a/keelbridge/daemon/site_node_peers.cc
+++ b/keelbridge/daemon/site_node_peers.cc
@@ -97,8 +97,8 @@
     StepElection();
     Json::Value out(Json::objectValue);
     out["leads"] = session_ != nullptr && !session_->ended();
-    out["idle_ms"] =
-        Json::Int64(absl::ToInt64Milliseconds(SystemNow().mono - LastOrder()));
+    out["idle_ms"] = Json::Int64(
+        absl::ToInt64Milliseconds(SystemNow().mono - LastOrderTime()));
     reply(Ok(out));
   });
   // Returns the time since the leader last answered this node, in milliseconds.
@@ -257,7 +257,7 @@
   if (version > configuration_version())
     CatchUpWithConfiguration(params["address"].asString(), version);
   Json::Value out(Json::objectValue);
-  out["boot"] = Json::UInt64(boot_);
+  out["boot"] = Json::UInt64(incarnation_);
   out["leads"] = session_ != nullptr && !session_->ended();
   out["accepts"] = session_ != nullptr && session_->CanAccept();
   out["draining"] = draining_;
--- a/keelbridge/daemon/store_failover_test.cc
+++ b/keelbridge/daemon/store_failover_test.cc
@@ -15,14 +15,14 @@
 // share a machine.
 const Address kAnyPort{"127.0.0.1", 0, ""};
 
-HttpOutcome CarryAndWait(boost::asio::io_context& loop,
-                         StoreFailover& carrier) {
+HttpOutcome CallAndWait(boost::asio::io_context& loop,
+                        StoreFailover& failover) {
   HttpRequest request;
   request.method = "POST";
   request.path = "/append";
   std::optional<HttpOutcome> result;
-  carrier.Carry(request, absl::Seconds(2),
-                [&](HttpOutcome outcome) { result = std::move(outcome); });
+  failover.Carry(request, absl::Seconds(2),
+                 [&](HttpOutcome outcome) { result = std::move(outcome); });
   for (int i = 0; i < 100 && !result; ++i) {
     loop.run_for(std::chrono::milliseconds(20));
     loop.restart();
@@ -77,19 +77,19 @@
   REQUIRE(port);
   Peer peer(loop);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
-  carrier.SetPeers({peer.address});
-  const HttpOutcome outcome = CarryAndWait(loop, carrier);
+  StoreFailover failover(loop, {"127.0.0.1", port.value(), ""}, rpc);
+  failover.SetPeers({peer.address});
+  const HttpOutcome outcome = CallAndWait(loop, failover);
   REQUIRE(outcome.response);
   CHECK(outcome.response->status == 200);
   CHECK(peer.forwarded == 1);
   CHECK(asked == 1);
-  CHECK(!carrier.direct());
+  CHECK(!failover.direct());
   // Any other status is the store's answer and is returned as is.
   status = 409;
   StoreFailover second(loop, {"127.0.0.1", port.value(), ""}, rpc);
   second.SetPeers({peer.address});
-  CHECK(CarryAndWait(loop, second).response->status == 409);
+  CHECK(CallAndWait(loop, second).response->status == 409);
   CHECK(peer.forwarded == 1);
 }
 
@@ -113,13 +113,13 @@
   REQUIRE(port);
   Peer peer(loop);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
-  carrier.SetPeers({peer.address});
-  CarryAndWait(loop, carrier);
-  CHECK(!carrier.direct());
+  StoreFailover failover(loop, {"127.0.0.1", port.value(), ""}, rpc);
+  failover.SetPeers({peer.address});
+  CallAndWait(loop, failover);
+  CHECK(!failover.direct());
   status = 200;
-  CarryAndWait(loop, carrier);
-  CHECK(carrier.direct());
+  CallAndWait(loop, failover);
+  CHECK(failover.direct());
   CHECK(peer.forwarded == 1);
 }
 
@@ -136,14 +136,14 @@
   REQUIRE(port);
   Peer peer(loop);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
-  carrier.SetPeers({peer.address});
+  StoreFailover failover(loop, {"127.0.0.1", port.value(), ""}, rpc);
+  failover.SetPeers({peer.address});
   HttpRequest request;
   request.method = "POST";
   request.path = "/append";
   std::optional<HttpOutcome> result;
-  carrier.Carry(request, absl::Milliseconds(300),
-                [&](HttpOutcome outcome) { result = std::move(outcome); });
+  failover.Carry(request, absl::Milliseconds(300),
+                 [&](HttpOutcome outcome) { result = std::move(outcome); });
   loop.run_for(std::chrono::seconds(1));
   REQUIRE(result);
   CHECK(!result->response);
@@ -169,15 +169,15 @@
   testing::FaultProxy proxy(loop, {"127.0.0.1", port.value(), ""});
   Peer peer(loop);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, proxy.address(), rpc);
-  carrier.SetPeers({peer.address});
-  const auto carry = [&](const std::string& method) {
+  StoreFailover failover(loop, proxy.address(), rpc);
+  failover.SetPeers({peer.address});
+  const auto send = [&](const std::string& method) {
     HttpRequest request;
     request.method = method;
     request.path = "/log";
     std::optional<HttpOutcome> result;
-    carrier.Carry(request, absl::Milliseconds(300),
-                  [&](HttpOutcome outcome) { result = std::move(outcome); });
+    failover.Carry(request, absl::Milliseconds(300),
+                   [&](HttpOutcome outcome) { result = std::move(outcome); });
     for (int i = 0; i < 100 && !result; ++i) {
       loop.run_for(std::chrono::milliseconds(10));
       loop.restart();
@@ -185,20 +185,20 @@
     REQUIRE(result);
     return result->response.has_value();
   };
-  CHECK(carry("GET"));
-  proxy.SilenceOpenConnections();
-  CHECK_FALSE(carry("POST"));
+  CHECK(send("GET"));
+  proxy.BlackholeOpenConnections();
+  CHECK_FALSE(send("POST"));
   // A writer's delay before it retries.
   loop.run_for(std::chrono::milliseconds(60));
   loop.restart();
-  CHECK(carrier.direct());
-  CHECK(carry("POST"));
+  CHECK(failover.direct());
+  CHECK(send("POST"));
   CHECK(peer.forwarded == 0);
   CHECK(appends == 1);
   // If the store does not answer on new connections either, a peer is used.
   proxy.SetMode(testing::FaultProxy::Mode::kDropAll);
-  CHECK_FALSE(carry("POST"));
-  CHECK(carry("POST"));
+  CHECK_FALSE(send("POST"));
+  CHECK(send("POST"));
   CHECK(peer.forwarded == 1);
 }
 
@@ -217,14 +217,14 @@
   REQUIRE(port);
   Peer peer(loop);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
-  carrier.SetPeers({peer.address});
+  StoreFailover failover(loop, {"127.0.0.1", port.value(), ""}, rpc);
+  failover.SetPeers({peer.address});
   HttpRequest request;
   request.path = "/log";
   request.progress_timeout = absl::Milliseconds(100);
   // The first call goes to the store, the second to the peer.
   for (int i = 0; i < 2; ++i) {
-    carrier.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
+    failover.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
     loop.run_for(std::chrono::milliseconds(300));
     loop.restart();
   }
@@ -238,7 +238,7 @@
   CHECK(answered);
   // Without such a limit the field is left out.
   request.progress_timeout = absl::InfiniteDuration();
-  carrier.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
+  failover.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
   loop.restart();
   loop.run_for(std::chrono::milliseconds(100));
   CHECK_FALSE(peer.last_params.isMember("silence_ms"));
@@ -270,29 +270,30 @@
   const auto peer_port = peer.Start();
   REQUIRE(peer_port);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
-  carrier.SetPeers({Address{"127.0.0.1", peer_port.value(), ""}.ToString()});
+  StoreFailover failover(loop, {"127.0.0.1", port.value(), ""}, rpc);
+  failover.SetPeers({Address{"127.0.0.1", peer_port.value(), ""}.ToString()});
   HttpRequest append;
   append.method = "POST";
   append.path = "/append";
   bool finished = false;
-  carrier.Carry(append, absl::Milliseconds(200),
-                [&](const HttpOutcome&) { finished = true; });
+  failover.Carry(append, absl::Milliseconds(200),
+                 [&](const HttpOutcome&) { finished = true; });
   loop.run_for(std::chrono::milliseconds(500));
   REQUIRE(finished);
-  REQUIRE_FALSE(carrier.direct());
+  REQUIRE_FALSE(failover.direct());
   HttpRequest read;
   read.path = "/read";
   std::string body;
   int answers = 0;
-  carrier.Carry(read, absl::Milliseconds(600), [&](const HttpOutcome& outcome) {
-    ++answers;
-    if (outcome.response) body = outcome.response->body;
-  });
+  failover.Carry(read, absl::Milliseconds(600),
+                 [&](const HttpOutcome& outcome) {
+                   ++answers;
+                   if (outcome.response) body = outcome.response->body;
+                 });
   loop.restart();
   loop.run_for(std::chrono::milliseconds(300));
   CHECK(body == "of the store");
-  CHECK(carrier.direct());
+  CHECK(failover.direct());
   // A later answer from the peer is ignored.
   loop.restart();
   loop.run_for(std::chrono::milliseconds(700));
@@ -313,24 +314,24 @@
   REQUIRE(port);
   testing::FaultProxy proxy(loop, {"127.0.0.1", port.value(), ""});
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, proxy.address(), rpc);
+  StoreFailover failover(loop, proxy.address(), rpc);
   HttpRequest read;
   read.path = "/read";
   int answered = 0;
-  const auto carry = [&] {
-    carrier.Carry(read, absl::Milliseconds(400),
-                  [&](const HttpOutcome& outcome) {
-                    answered += outcome.response.has_value() ? 1 : 0;
-                  });
+  const auto send = [&] {
+    failover.Carry(read, absl::Milliseconds(400),
+                   [&](const HttpOutcome& outcome) {
+                     answered += outcome.response.has_value() ? 1 : 0;
+                   });
     loop.restart();
     loop.run_for(std::chrono::milliseconds(200));
   };
-  carry();
+  send();
   REQUIRE(answered == 1);
   loop.restart();
   loop.run_for(std::chrono::milliseconds(2200));
-  proxy.SilenceOpenConnections();
-  carry();
+  proxy.BlackholeOpenConnections();
+  send();
   CHECK(answered == 2);
 }
 
@@ -350,14 +351,14 @@
   Peer peer(loop);
   peer.unresponsive = true;
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, proxy.address(), rpc);
-  carrier.SetPeers({peer.address});
+  StoreFailover failover(loop, proxy.address(), rpc);
+  failover.SetPeers({peer.address});
   HttpRequest request;
   request.path = "/log";
   int answers = 0;
   int calls = 0;
   const auto read = [&](absl::Duration timeout) {
-    carrier.Carry(request, timeout, [&](const HttpOutcome& outcome) {
+    failover.Carry(request, timeout, [&](const HttpOutcome& outcome) {
       ++calls;
       answers += outcome.response ? 1 : 0;
     });
@@ -369,7 +370,7 @@
   read(absl::Milliseconds(200));
   run(1000);
   CHECK(answers == 0);
-  CHECK(!carrier.direct());
+  CHECK(!failover.direct());
   proxy.ResumeForwarding();
   read(absl::Seconds(2));
   run(300);
@@ -403,21 +404,21 @@
   REQUIRE(port);
   Peer peer(loop);
   EventRpcClient rpc(loop);
-  StoreFailover carrier(loop, {"127.0.0.1", port.value(), ""}, rpc);
-  carrier.SetPeers({peer.address});
-  const auto carry = [&](const std::string& method, const std::string& path,
-                         absl::Duration timeout) {
+  StoreFailover failover(loop, {"127.0.0.1", port.value(), ""}, rpc);
+  failover.SetPeers({peer.address});
+  const auto send = [&](const std::string& method, const std::string& path,
+                        absl::Duration timeout) {
     HttpRequest request;
     request.method = method;
     request.path = path;
-    carrier.Carry(request, timeout, [](const HttpOutcome&) {});
+    failover.Carry(request, timeout, [](const HttpOutcome&) {});
     loop.restart();
     loop.run_for(std::chrono::milliseconds(300));
   };
-  carry("GET", "/configuration", absl::Milliseconds(2500));
-  carry("GET", "/leader", absl::Milliseconds(800));
+  send("GET", "/configuration", absl::Milliseconds(2500));
+  send("GET", "/leader", absl::Milliseconds(800));
   reads.clear();
-  carry("POST", "/append", absl::Milliseconds(200));
+  send("POST", "/append", absl::Milliseconds(200));
   CHECK(reads == std::vector<std::string>{"/leader"});
 }
 
--- a/keelbridge/daemon/worker_pool.cc
+++ b/keelbridge/daemon/worker_pool.cc
@@ -96,9 +96,9 @@
   return (unresponsive ? unresponsive_calls_ : calls_).Push(std::move(call));
 }
 
-void WorkerPool::Run(BoundedQueue<WorkerCall>& ring) {
-  while (!ring.ClosedAndEmpty()) {
-    for (WorkerCall& call : ring.WaitAndDrain(1, absl::Seconds(1))) {
+void WorkerPool::Run(BoundedQueue<WorkerCall>& queue) {
+  while (!queue.ClosedAndEmpty()) {
+    for (WorkerCall& call : queue.WaitAndDrain(1, absl::Seconds(1))) {
       const std::string worker = WorkerOf(call.command);
       const std::shared_ptr<WorkerClient> client = ClientFor(worker);
       WorkerAnswer answer;
--- a/keelbridge/daemon/worker_pool.h
+++ b/keelbridge/daemon/worker_pool.h
@@ -59,7 +59,7 @@
  private:
   static constexpr size_t kMaxQueuedCalls = 8192;
 
-  void Run(BoundedQueue<WorkerCall>& ring);
+  void Run(BoundedQueue<WorkerCall>& queue);
   std::shared_ptr<WorkerClient> ClientFor(const std::string& worker);
   void RecordAnswer(const std::string& worker, bool answered);
 
--- a/keelbridge/protocol/intent.cc
+++ b/keelbridge/protocol/intent.cc
@@ -188,7 +188,7 @@
       plan.intents, [](const Intent& intent) { return ToJson(intent); });
   out["steps"] = ListToJson(plan.steps, [](const PlanStep& step) {
     Json::Value row;
-    row["what"] = step.what;
+    row["what"] = step.action;
     row["intent"] = step.intent;
     row["worker"] = step.worker;
     row["tasks"] = static_cast<Json::Int64>(step.tasks);
--- a/keelbridge/protocol/intent.h
+++ b/keelbridge/protocol/intent.h
@@ -67,8 +67,8 @@
 
 // One step of a plan: what happens to a group of tasks.
 struct PlanStep {
-  std::string what;  // "start", "wait", "yield", "move", "drain", "cancel",
-                     // "resize" or "priority".
+  std::string action;  // "start", "wait", "yield", "move", "drain", "cancel",
+                       // "resize" or "priority".
   std::string intent;
   std::string worker;  // Empty if the step has no single worker.
   int64_t tasks = 0;
--- a/keelbridge/protocol/record_store.h
+++ b/keelbridge/protocol/record_store.h
@@ -84,7 +84,7 @@
 // An item of a page that cannot be read. The other items of the page are valid.
 struct UnreadableItem {
   std::string key;  // Empty if the key cannot be read either.
-  std::string what;
+  std::string reason;
 };
 
 struct NewestReply {
--- a/keelbridge/protocol/site_worker.h
+++ b/keelbridge/protocol/site_worker.h
@@ -149,7 +149,7 @@
 struct AdviceReply {
   bool answered = false;
   bool overloaded = false;
-  std::vector<AdviceTicket> good;
+  std::vector<AdviceTicket> eligible;
 };
 
 // Asks which workers may run a step. The service answers one call at a time for
--- a/keelbridge/state/configuration_state.cc
+++ b/keelbridge/state/configuration_state.cc
@@ -31,7 +31,7 @@
     // A renewal repeats a version that was accepted before, and it counts as
     // old as that version.
     if (entry.version == current_.version)
-      carried_at_ = std::max(carried_at_, offset);
+      newest_record_offset_ = std::max(newest_record_offset_, offset);
     if (entry.version > current_.version)
       Adopt(entry.version, entry.text, offset, Transition::kLaterVersion);
     return;
@@ -51,7 +51,8 @@
 }
 
 void ConfigurationState::Adopt(int64_t version, const std::string& text,
-                               int64_t carried_at, Transition transition) {
+                               int64_t newest_record_offset,
+                               Transition transition) {
   Result<Configuration> next = ParseConfiguration(text, "configuration");
   std::string why;
   const bool checked =
@@ -62,7 +63,7 @@
   }
   current_ = std::move(next.value());
   current_.version = version;
-  carried_at_ = carried_at;
+  newest_record_offset_ = newest_record_offset;
 }
 
 bool ConfigurationState::OnPeer(int64_t version, const std::string& text) {
--- a/keelbridge/state/configuration_state.h
+++ b/keelbridge/state/configuration_state.h
@@ -32,7 +32,7 @@
   // The configuration in force. Its version is -1 if there is none yet.
   const Configuration& current() const { return current_; }
   // Offset of the newest record that contains the version in force.
-  int64_t carried_at() const { return carried_at_; }
+  int64_t newest_record_offset() const { return newest_record_offset_; }
   int64_t first_retained() const { return first_retained_; }
   bool CaughtUp() const { return caught_up_; }
   int refused() const { return refused_; }
@@ -43,13 +43,13 @@
   enum class Transition { kDirectSuccessor, kLaterVersion };
 
   void Apply(int64_t offset, const ConfigurationEntry& entry);
-  void Adopt(int64_t version, const std::string& text, int64_t carried_at,
-             Transition transition);
+  void Adopt(int64_t version, const std::string& text,
+             int64_t newest_record_offset, Transition transition);
 
   Configuration current_;
   EnvelopeFilter writers_;
   int64_t next_ = 0;
-  int64_t carried_at_ = -1;
+  int64_t newest_record_offset_ = -1;
   int64_t first_retained_ = 0;
   bool caught_up_ = false;
   // No record of the stream was dropped before it was read.
--- a/keelbridge/state/configuration_state_test.cc
+++ b/keelbridge/state/configuration_state_test.cc
@@ -10,7 +10,7 @@
 namespace keelbridge {
 namespace {
 
-std::string Text(int n, int workers = 5) {
+std::string ConfigurationText(int n, int workers = 5) {
   std::string out =
       absl::StrCat("{\"deployment\": \"d", n,
                    "\", \"policy\": \"waiting-first\", \"zones\": "
@@ -25,8 +25,8 @@
   return out + "]}";
 }
 
-std::string SameWorkers(int n) {
-  std::string text = Text(0);
+std::string ConfigurationWithSameWorkers(int n) {
+  std::string text = ConfigurationText(0);
   return text.replace(text.find("d0"), 2, absl::StrCat("d", n));
 }
 
@@ -60,9 +60,9 @@
   testing::FakeLog log;
   Publisher publisher(log);
   ConfigurationState state;
-  publisher.Publish(-1, SameWorkers(1));
-  publisher.Publish(0, SameWorkers(2));
-  publisher.Publish(0, SameWorkers(3));
+  publisher.Publish(-1, ConfigurationWithSameWorkers(1));
+  publisher.Publish(0, ConfigurationWithSameWorkers(2));
+  publisher.Publish(0, ConfigurationWithSameWorkers(3));
   Read(log, state);
   CHECK(state.current().version == 1);
   CHECK(state.current().deployment == "d2");
@@ -73,9 +73,9 @@
   testing::FakeLog log;
   Publisher publisher(log);
   ConfigurationState state;
-  publisher.Publish(-1, SameWorkers(1));
-  publisher.Publish(0, SameWorkers(2));
-  publisher.Renew(0, SameWorkers(1));
+  publisher.Publish(-1, ConfigurationWithSameWorkers(1));
+  publisher.Publish(0, ConfigurationWithSameWorkers(2));
+  publisher.Renew(0, ConfigurationWithSameWorkers(1));
   Read(log, state);
   CHECK(state.current().deployment == "d2");
 }
@@ -83,20 +83,21 @@
 TEST_CASE("configuration: after a gap only a renewal or a peer is accepted") {
   testing::FakeLog log;
   Publisher publisher(log);
-  publisher.Publish(-1, SameWorkers(1));
-  publisher.Publish(0, SameWorkers(2));  // Wins the race; dropped below.
-  publisher.Publish(0, SameWorkers(3));  // Loses the race.
+  publisher.Publish(-1, ConfigurationWithSameWorkers(1));
+  publisher.Publish(
+      0, ConfigurationWithSameWorkers(2));  // Wins the race; dropped below.
+  publisher.Publish(0, ConfigurationWithSameWorkers(3));  // Loses the race.
   log.DropBefore(kConfigurationStream, 2);
   ConfigurationState fresh;
   Read(log, fresh);
   CHECK(fresh.current().version == -1);
-  publisher.Renew(1, SameWorkers(2));
+  publisher.Renew(1, ConfigurationWithSameWorkers(2));
   Read(log, fresh);
   CHECK(fresh.current().version == 1);
   CHECK(fresh.current().deployment == "d2");
   ConfigurationState other;
-  CHECK(other.OnPeer(1, SameWorkers(2)));
-  CHECK_FALSE(other.OnPeer(0, SameWorkers(1)));
+  CHECK(other.OnPeer(1, ConfigurationWithSameWorkers(2)));
+  CHECK_FALSE(other.OnPeer(0, ConfigurationWithSameWorkers(1)));
   Read(log, other);
   CHECK(other.current().deployment == "d2");
 }
@@ -105,8 +106,9 @@
   testing::FakeLog log;
   Publisher publisher(log);
   ConfigurationState state;
-  publisher.Publish(-1, Text(1));
-  publisher.Publish(0, Text(2));  // The two versions share no worker.
+  publisher.Publish(-1, ConfigurationText(1));
+  publisher.Publish(0,
+                    ConfigurationText(2));  // The two versions share no worker.
   Read(log, state);
   CHECK(state.current().deployment == "d1");
 }
@@ -124,7 +126,7 @@
   std::vector<ConfigurationState> hosts(3);
   std::vector<int64_t> naive_version(3, -1);
   std::vector<int64_t> naive_next(3, 0);
-  std::vector<int64_t> seen(3, -1);
+  std::vector<int64_t> last_version(3, -1);
   int reversals = 0;
   for (int step = 0; step < 200; ++step) {
     const int h = pick(3);
@@ -134,7 +136,8 @@
         })->current();
     switch (pick(6)) {
       case 0:
-        publisher.Publish(hosts[h].current().version, SameWorkers(step));
+        publisher.Publish(hosts[h].current().version,
+                          ConfigurationWithSameWorkers(step));
         break;
       case 1:
         // A slow leader renews the version that it believes to be in force.
@@ -144,8 +147,9 @@
         break;
       case 2:
         if (best.version >= 0) {
-          const int64_t carried = publisher.Renew(best.version, best.text);
-          log.DropBefore(kConfigurationStream, carried - pick(5));
+          const int64_t renewal_offset =
+              publisher.Renew(best.version, best.text);
+          log.DropBefore(kConfigurationStream, renewal_offset - pick(5));
         }
         break;
       case 3:
@@ -153,7 +157,7 @@
         hosts[h] = ConfigurationState();
         hosts[h].OnPeer(hosts[(h + 1) % 3].current().version,
                         hosts[(h + 1) % 3].current().text);
-        seen[h] = hosts[h].current().version;
+        last_version[h] = hosts[h].current().version;
         break;
       default: {
         const LogBatch batch = log.Read(
@@ -165,16 +169,16 @@
           naive_version[h] = entry.version >= 0 ? entry.version : record.offset;
           naive_next[h] = record.offset + 1;
           if (naive) {
-            reversals += naive_version[h] < seen[h] ? 1 : 0;
-            seen[h] = naive_version[h];
+            reversals += naive_version[h] < last_version[h] ? 1 : 0;
+            last_version[h] = naive_version[h];
           }
         }
         hosts[h].OnBatch(batch);
       }
     }
     if (naive) continue;
-    reversals += hosts[h].current().version < seen[h] ? 1 : 0;
-    seen[h] = hosts[h].current().version;
+    reversals += hosts[h].current().version < last_version[h] ? 1 : 0;
+    last_version[h] = hosts[h].current().version;
   }
   return reversals;
 }
--- a/keelbridge/state/job_table.cc
+++ b/keelbridge/state/job_table.cc
@@ -87,28 +87,29 @@
   return crash->chance >= 0 && crash->chance <= 1;
 }
 
-Json::Value ExposedToJson(const ExposedRun& exposed) {
+Json::Value CrashSuspectToJson(const CrashSuspect& crash_suspect) {
   Json::Value out(Json::objectValue);
-  out["worker"] = exposed.worker;
-  out["run"] = exposed.run;
-  out["since_ms"] = Json::Int64(exposed.since_ms);
-  if (exposed.ran_ms >= 0) out["ran_ms"] = Json::Int64(exposed.ran_ms);
-  if (exposed.begun) out["begun"] = true;
+  out["worker"] = crash_suspect.worker;
+  out["run"] = crash_suspect.run;
+  out["since_ms"] = Json::Int64(crash_suspect.since_ms);
+  if (crash_suspect.ran_ms >= 0)
+    out["ran_ms"] = Json::Int64(crash_suspect.ran_ms);
+  if (crash_suspect.begun) out["begun"] = true;
   return out;
 }
 
-bool ReadExposed(const Json::Value& in, ExposedRun* exposed) {
+bool ReadCrashSuspect(const Json::Value& in, CrashSuspect* crash_suspect) {
   const bool has_valid_types =
       in.isObject() && in["worker"].isString() && in["run"].isInt() &&
       in["since_ms"].isInt64() &&
       (!in.isMember("ran_ms") || in["ran_ms"].isInt64()) &&
       IsBoolOrMissing(in, "begun");
   if (!has_valid_types) return false;
-  exposed->worker = in["worker"].asString();
-  exposed->run = in["run"].asInt();
-  exposed->since_ms = in["since_ms"].asInt64();
-  exposed->ran_ms = in.get("ran_ms", -1).asInt64();
-  exposed->begun = in["begun"].asBool();
+  crash_suspect->worker = in["worker"].asString();
+  crash_suspect->run = in["run"].asInt();
+  crash_suspect->since_ms = in["since_ms"].asInt64();
+  crash_suspect->ran_ms = in.get("ran_ms", -1).asInt64();
+  crash_suspect->begun = in["begun"].asBool();
   return true;
 }
 
@@ -136,8 +137,8 @@
         out["failed_runs"][key].append(run);
       for (const CrashedRun& crash : task.crashes)
         out["crashes"][key].append(CrashToJson(crash));
-      if (!task.exposed.worker.empty() && task.phase != TaskPhase::kDone)
-        out["exposed"][key] = ExposedToJson(task.exposed);
+      if (!task.crash_suspect.worker.empty() && task.phase != TaskPhase::kDone)
+        out["exposed"][key] = CrashSuspectToJson(task.crash_suspect);
       if (!task.unanswered.worker.empty() && task.phase != TaskPhase::kDone) {
         Json::Value& start = out["unanswered"][key];
         start["worker"] = task.unanswered.worker;
@@ -228,11 +229,12 @@
   return true;
 }
 
-bool ReadExposedRuns(const Json::Value& in, Round& round) {
+bool ReadCrashSuspects(const Json::Value& in, Round& round) {
   for (const std::string& key : in.getMemberNames()) {
     TaskState* task = FindTaskByKey(round, key);
-    if (task == nullptr || !ReadExposed(in[key], &task->exposed)) return false;
-    task->run = std::max(task->run, task->exposed.run);
+    if (task == nullptr || !ReadCrashSuspect(in[key], &task->crash_suspect))
+      return false;
+    task->run = std::max(task->run, task->crash_suspect.run);
   }
   return true;
 }
@@ -275,7 +277,7 @@
   const bool read = (!in.isMember("done") || ReadDone(in["done"], round)) &&
                     ReadFailedRuns(in["failed_runs"], round) &&
                     ReadCrashes(in["crashes"], round) &&
-                    ReadExposedRuns(in["exposed"], round) &&
+                    ReadCrashSuspects(in["exposed"], round) &&
                     ReadUnansweredStarts(in["unanswered"], round) &&
                     ReadCheckpoints(in["checkpoints"], round);
   if (read && job->placements_persisted)
--- a/keelbridge/state/job_table.h
+++ b/keelbridge/state/job_table.h
@@ -63,7 +63,7 @@
 // responding soon after the run started. It is persisted, so that a later
 // leader that finds another incarnation of the worker on the machine knows what
 // ran there.
-struct ExposedRun {
+struct CrashSuspect {
   std::string worker;  // Empty if there is no such run.
   int32_t run = 0;
   int64_t since_ms = 0;  // Wall clock time at which the start was ordered.
@@ -97,7 +97,7 @@
   // Consecutive crashes of workers during runs of this task. A run that lasts
   // long enough clears them. A gang keeps them at its first task.
   std::vector<CrashedRun> crashes;
-  ExposedRun exposed;
+  CrashSuspect crash_suspect;
   UnansweredStart unanswered;
   // This leader started the task or found it running.
   bool observed = false;
@@ -178,7 +178,7 @@
   JobState end = JobState::kQueued;  // kQueued: the job has not ended.
   int64_t ended_ms = 0;              // Wall clock.
   absl::Time ended_at;               // Steady clock of this process.
-  std::string failure;               // Why the job failed, for explanations.
+  std::string end_reason;            // Why the job failed, for explanations.
   int64_t description_batch = 0;     // The batch that holds the description.
   int64_t end_batch = 0;             // The batch that holds the end.
 
--- a/keelbridge/state/job_table_test.cc
+++ b/keelbridge/state/job_table_test.cc
@@ -168,7 +168,7 @@
   job.AddRound(0);
   TaskState& task = job.rounds[0].steps[0].tasks[1];
   task.crashes = {{4, 54, 0.25, true}, {5, 31, 0.5, false}};
-  task.exposed = {"w-1", 6, 12345, 40, true};
+  task.crash_suspect = {"w-1", 6, 12345, 40, true};
   task.unanswered.worker = "w-2";
   task.unanswered.run = 5;
   JobRecords records;
@@ -185,11 +185,11 @@
   CHECK_FALSE(read.crashes[1].begun);
   CHECK(read.unanswered.worker == "w-2");
   CHECK(read.unanswered.run == 5);
-  CHECK(read.exposed.worker == "w-1");
-  CHECK(read.exposed.run == 6);
-  CHECK(read.exposed.since_ms == 12345);
-  CHECK(read.exposed.ran_ms == 40);
-  CHECK(read.exposed.begun);
+  CHECK(read.crash_suspect.worker == "w-1");
+  CHECK(read.crash_suspect.run == 6);
+  CHECK(read.crash_suspect.since_ms == 12345);
+  CHECK(read.crash_suspect.ran_ms == 40);
+  CHECK(read.crash_suspect.begun);
   // No later run gets a number that was already used.
   CHECK(read.run == 6);
 }
--- a/keelbridge/state/zone_state_test.cc
+++ b/keelbridge/state/zone_state_test.cc
@@ -8,7 +8,7 @@
 namespace keelbridge {
 namespace {
 
-Intent Batch(const std::string& id, int64_t tasks) {
+Intent BatchIntent(const std::string& id, int64_t tasks) {
   Intent intent;
   intent.id = id;
   intent.kind = IntentKind::kBatch;
@@ -18,17 +18,17 @@
 
 TEST_CASE("index ranges match a set, also when read back from text") {
   const bool ok = rc::check([](const std::vector<uint8_t>& indices) {
-    IndexRanges runs;
+    IndexRanges ranges;
     std::set<int64_t> set;
     for (const uint8_t index : indices) {
-      runs.Insert(index % 40);
+      ranges.Insert(index % 40);
       set.insert(index % 40);
     }
-    const IndexRanges restored = IndexRanges::FromText(runs.ToText());
-    RC_ASSERT(restored.ToText() == runs.ToText());
-    RC_ASSERT(runs.Count() == static_cast<int64_t>(set.size()));
+    const IndexRanges restored = IndexRanges::FromText(ranges.ToText());
+    RC_ASSERT(restored.ToText() == ranges.ToText());
+    RC_ASSERT(ranges.Count() == static_cast<int64_t>(set.size()));
     for (int64_t i = -1; i <= 41; ++i) {
-      RC_ASSERT(runs.Contains(i) == (set.count(i) > 0));
+      RC_ASSERT(ranges.Contains(i) == (set.count(i) > 0));
       RC_ASSERT(restored.Contains(i) == (set.count(i) > 0));
     }
   });
@@ -48,7 +48,7 @@
           envelope.entries.push_back(
               PlanEntry{"p" + std::to_string(step),
                         state.last_plan(),
-                        {Batch("b" + std::to_string(step % 4), 5)}});
+                        {BatchIntent("b" + std::to_string(step % 4), 5)}});
           break;
         case 1:
           envelope.entries.push_back(
@@ -75,7 +75,7 @@
 
 TEST_CASE("an envelope that is received twice is applied once") {
   ZoneState state;
-  const Envelope plan{{7, 1}, {PlanEntry{"p", -1, {Batch("b", 3)}}}};
+  const Envelope plan{{7, 1}, {PlanEntry{"p", -1, {BatchIntent("b", 3)}}}};
   CHECK(state.Apply(0, plan));
   CHECK_FALSE(state.Apply(1, plan));
   CHECK(state.last_plan() == 0);
@@ -98,9 +98,10 @@
     int64_t offset = 0;
     for (int b = 0; b < ended_batches; ++b) {
       const std::string id = "b" + std::to_string(b);
-      state.Apply(offset,
-                  {{1, offset + 1},
-                   {PlanEntry{"p" + id, state.last_plan(), {Batch(id, 10)}}}});
+      state.Apply(
+          offset,
+          {{1, offset + 1},
+           {PlanEntry{"p" + id, state.last_plan(), {BatchIntent(id, 10)}}}});
       ++offset;
       Envelope ends{{1, offset + 1}, {}};
       for (int i = 0; i < 10; ++i) {
--- a/keelbridge/transport/event_http_client_test.cc
+++ b/keelbridge/transport/event_http_client_test.cc
@@ -101,7 +101,7 @@
     "dead") {
   ProxyFixture fixture;
   fixture.OpenIdleConnections(8);
-  fixture.proxy.SilenceOpenConnections();
+  fixture.proxy.BlackholeOpenConnections();
   const auto first = fixture.Send(Get("/"));
   REQUIRE(fixture.Await(first, 2 * kTimeout));
   CHECK_FALSE((*first)->response);
--- a/keelbridge/transport/event_http_server.cc
+++ b/keelbridge/transport/event_http_server.cc
@@ -26,7 +26,7 @@
 
 // Delay before the next accept after an accept failed, for example because the
 // process ran out of file descriptors.
-constexpr std::chrono::milliseconds kAcceptPause(50);
+constexpr std::chrono::milliseconds kAcceptRetryDelay(50);
 // One iteration of a loaded loop takes 70 to 100 ms. With one accept per
 // iteration, clients that reconnected waited for over a second, timed out, and
 // connected again, so that a busy leader stayed unreachable.
@@ -297,7 +297,7 @@
                                   Tcp::socket socket) {
         if (self->closed_) return;
         if (error) {
-          self->accept_timer_.expires_after(kAcceptPause);
+          self->accept_timer_.expires_after(kAcceptRetryDelay);
           self->accept_timer_.async_wait(
               [self](boost::system::error_code) { self->Accept(); });
           return;
--- a/testing/fakes/fault_proxy.cc
+++ b/testing/fakes/fault_proxy.cc
@@ -33,7 +33,7 @@
                            static_cast<unsigned short>(proxy_->target_.port));
     server_.async_connect(to, [self = shared_from_this()](
                                   boost::system::error_code e) {
-      if (e && !self->silenced_) return self->Close(false);
+      if (e && !self->blackholed_) return self->Close(false);
       self->Pump(self->client_, self->server_, &self->request_buffer_, false);
       self->Pump(self->server_, self->client_, &self->response_buffer_, true);
     });
@@ -49,8 +49,8 @@
   }
 
   void DetachFromProxy() { proxy_ = nullptr; }
-  void Silence() { silenced_ = true; }
-  bool silenced() const { return silenced_; }
+  void Blackhole() { blackholed_ = true; }
+  bool blackholed() const { return blackholed_; }
 
  private:
   using Chunk = std::array<char, kChunkBytes>;
@@ -61,7 +61,7 @@
         boost::asio::buffer(*chunk),
         [self = shared_from_this(), &from, &to, chunk, is_response](
             boost::system::error_code error, size_t bytes) {
-          if (self->silenced_)
+          if (self->blackholed_)
             return self->Discard(from, to, chunk, is_response, error);
           if (error) return self->Close(false);
           self->Forward(from, to, chunk, bytes, is_response);
@@ -96,11 +96,11 @@
         proxy_->loop_, absl::ToChronoNanoseconds(delay));
     timer->async_wait([self = shared_from_this(), timer, &from, &to, chunk,
                        bytes, is_response](boost::system::error_code) {
-      if (self->silenced_) return self->Pump(from, to, chunk, is_response);
+      if (self->blackholed_) return self->Pump(from, to, chunk, is_response);
       boost::asio::async_write(to, boost::asio::buffer(chunk->data(), bytes),
                                [self, &from, &to, chunk, is_response](
                                    boost::system::error_code error, size_t) {
-                                 if (error && !self->silenced_)
+                                 if (error && !self->blackholed_)
                                    return self->Close(false);
                                  self->Pump(from, to, chunk, is_response);
                                });
@@ -112,7 +112,7 @@
   Tcp::socket server_;
   Chunk request_buffer_;
   Chunk response_buffer_;
-  bool silenced_ = false;
+  bool blackholed_ = false;
 };
 
 FaultProxy::FaultProxy(boost::asio::io_context& loop, Address target,
@@ -163,12 +163,12 @@
   if (mode != Mode::kReset && mode != Mode::kForward) return;
   const auto open = connections_;
   for (const auto& connection : open) {
-    if (!connection->silenced()) connection->Close(mode == Mode::kReset);
+    if (!connection->blackholed()) connection->Close(mode == Mode::kReset);
   }
 }
 
-void FaultProxy::SilenceOpenConnections() {
-  for (const auto& connection : connections_) connection->Silence();
+void FaultProxy::BlackholeOpenConnections() {
+  for (const auto& connection : connections_) connection->Blackhole();
 }
 
 }  // namespace keelbridge::testing
