--- a/testing/fakes/fault_proxy.h
+++ b/testing/fakes/fault_proxy.h
@@ -50,7 +50,7 @@
   // Permanently drops all data in both directions on the connections that are
   // open now. They stay open: neither a change of mode nor a close by one side
   // closes the other side. New connections follow the mode.
-  void SilenceOpenConnections();
+  void BlackholeOpenConnections();
   // Limits the rate of responses over all connections together, as a shared
   // network link does; 0 means unlimited.
   void SetResponseRate(double bytes_per_second) {
--- a/testing/fakes/fault_proxy_test.cc
+++ b/testing/fakes/fault_proxy_test.cc
@@ -110,7 +110,7 @@
 TEST_CASE("fault proxy: silenced connections stay silent, new ones work") {
   ProxyFixture fixture;
   fixture.Send();
-  fixture.proxy.SilenceOpenConnections();
+  fixture.proxy.BlackholeOpenConnections();
   fixture.pending_reply({});
   fixture.Run();
   CHECK_FALSE(fixture.completed);
--- a/testing/fakes/memory_store.cc
+++ b/testing/fakes/memory_store.cc
@@ -94,19 +94,19 @@
 }
 
 void MemoryStoreConnection::Read(Stream stream, int64_t from,
-                                 absl::Duration wait, ReadTimeout patience,
+                                 absl::Duration wait, ReadTimeout read_timeout,
                                  std::function<void(ReadReply)> done) {
   (void)wait;
   Answer<ReadReply>(
-      patience.total, [&] { return store_.Read(stream, from); },
+      read_timeout.total, [&] { return store_.Read(stream, from); },
       std::move(done));
 }
 
 void MemoryStoreConnection::Newest(Stream stream, const std::string& after_key,
-                                   ReadTimeout patience,
+                                   ReadTimeout read_timeout,
                                    std::function<void(NewestReply)> done) {
   Answer<NewestReply>(
-      patience.total, [&] { return store_.Newest(stream, after_key); },
+      read_timeout.total, [&] { return store_.Newest(stream, after_key); },
       std::move(done));
 }
 
--- a/testing/fakes/memory_store.h
+++ b/testing/fakes/memory_store.h
@@ -57,8 +57,10 @@
   void Append(const AppendOrder& order, absl::Duration timeout,
               std::function<void(AppendReply)> done) override;
   void Read(Stream stream, int64_t from, absl::Duration wait,
-            ReadTimeout patience, std::function<void(ReadReply)> done) override;
-  void Newest(Stream stream, const std::string& after_key, ReadTimeout patience,
+            ReadTimeout read_timeout,
+            std::function<void(ReadReply)> done) override;
+  void Newest(Stream stream, const std::string& after_key,
+              ReadTimeout read_timeout,
               std::function<void(NewestReply)> done) override;
 
  private:
--- a/testing/fakes/platform_server.cc
+++ b/testing/fakes/platform_server.cc
@@ -58,15 +58,15 @@
     options.name = worker.name;
     options.total = worker.resources;
     const auto journal =
-        [this](const RunEvent& fact) ABSL_NO_THREAD_SAFETY_ANALYSIS {
+        [this](const RunEvent& run_event) ABSL_NO_THREAD_SAFETY_ANALYSIS {
           Json::Value line;
           line["kind"] = "run";
-          line["at_ms"] = static_cast<Json::Int64>(ToMillis(fact.at));
-          line["begins"] = fact.begins;
-          line["worker"] = fact.worker;
-          line["task"] = fact.task;
-          line["attempt"] = static_cast<Json::Int64>(fact.attempt);
-          line["how"] = fact.how;
+          line["at_ms"] = static_cast<Json::Int64>(ToMillis(run_event.at));
+          line["begins"] = run_event.begins;
+          line["worker"] = run_event.worker;
+          line["task"] = run_event.task;
+          line["attempt"] = static_cast<Json::Int64>(run_event.attempt);
+          line["how"] = run_event.how;
           AddToJournal(line);
         };
     workers_[worker.name] = std::make_unique<FakeWorker>(
--- a/testing/fakes/site_platform.cc
+++ b/testing/fakes/site_platform.cc
@@ -251,7 +251,7 @@
   const std::string expected = FindHeader(request.headers, kInstanceHeader);
   if (!expected.empty() && expected != slot.name)
     return reply(JsonResponse(421, Json::Value(Json::objectValue)));
-  const bool lost = RandomFraction() < lost_orders_;
+  const bool lost = RandomFraction() < lost_order_replies_;
   const bool late = late_orders_ > 0 && RandomFraction() < late_orders_;
   const Json::Value body = Parse(request.body);
   if (request.path == "/hold") {
@@ -446,7 +446,7 @@
   const Address address =
       Serve(&foreign_server_,
             [this](const ServerRequest&, const EventHttpServer::Reply& reply) {
-              ++foreign_calls_;
+              ++foreign_entry_calls_;
               reply(JsonResponse(503, Json::Value(Json::objectValue)));
             });
   for (const ForeignEntry& entry : ForeignEntries("desk", address.ToString()))
@@ -473,8 +473,8 @@
   slots_[static_cast<size_t>(index)].proxy->SetMode(mode);
 }
 
-void SitePlatform::SilenceOpenWorkerConnections() {
-  for (Slot& slot : slots_) slot.proxy->SilenceOpenConnections();
+void SitePlatform::BlackholeOpenWorkerConnections() {
+  for (Slot& slot : slots_) slot.proxy->BlackholeOpenConnections();
 }
 
 void SitePlatform::CrashWorker(int index, absl::Duration down) {
--- a/testing/fakes/site_platform.h
+++ b/testing/fakes/site_platform.h
@@ -68,7 +68,7 @@
   void UseWorkerProxies();
   void SetWorkerProxy(int index, FaultProxy::Mode mode);
   // Permanently drops all data on the connections to workers that are open now.
-  void SilenceOpenWorkerConnections();
+  void BlackholeOpenWorkerConnections();
   void CrashWorker(int index, absl::Duration down);
   // Crashes the worker and starts its next incarnation under the same id after
   // `down`. The new incarnation has none of the old state, its counters start
@@ -82,9 +82,9 @@
   // that they contain.
   void WriteForeignEntries();
   // Number of calls to the address in the foreign entries.
-  int64_t foreign_calls() const { return foreign_calls_; }
+  int64_t foreign_entry_calls() const { return foreign_entry_calls_; }
   // Sets the fraction of orders that are executed but not answered.
-  void SetLostOrders(double share) { lost_orders_ = share; }
+  void SetLostOrderReplies(double share) { lost_order_replies_ = share; }
   // Sets the fraction of orders that are not answered and are executed only 1
   // to 4 s after their arrival, by the incarnation that then runs.
   void SetLateOrders(double share) { late_orders_ = share; }
@@ -145,7 +145,7 @@
   std::unique_ptr<EventHttpServer> store_server_;
   std::unique_ptr<EventHttpServer> advice_server_;
   std::unique_ptr<EventHttpServer> foreign_server_;
-  int64_t foreign_calls_ = 0;
+  int64_t foreign_entry_calls_ = 0;
   Address store_address_;
   Address advice_address_;
   std::vector<Slot> slots_;
@@ -155,7 +155,7 @@
   std::vector<PendingObservation> pending_observations_;
   boost::asio::steady_timer timer_;
   int ticks_ = 0;
-  double lost_orders_ = 0;
+  double lost_order_replies_ = 0;
   double late_orders_ = 0;
   std::vector<SiteRun> runs_;
   std::map<TaskId, std::string> completed_on_;
--- a/testing/fakes/site_worker.cc
+++ b/testing/fakes/site_worker.cc
@@ -92,9 +92,9 @@
 void SiteWorker::CompleteGang(const TaskId& step, int32_t run, absl::Time now) {
   std::vector<RunKey> members;
   for (const auto& [key, run_record] : running_) {
-    TaskId of = key.first;
-    of.index = 0;
-    if (of == step && key.second == run) members.push_back(key);
+    TaskId step_id = key.first;
+    step_id.index = 0;
+    if (step_id == step && key.second == run) members.push_back(key);
   }
   for (const RunKey& key : members) End(key, RunEnd::kDone, now);
 }
@@ -102,9 +102,9 @@
 void SiteWorker::BreakGang(const TaskId& step, int32_t run, absl::Time now) {
   std::vector<RunKey> members;
   for (const auto& [key, run_record] : running_) {
-    TaskId of = key.first;
-    of.index = 0;
-    if (of == step && key.second == run) members.push_back(key);
+    TaskId step_id = key.first;
+    step_id.index = 0;
+    if (step_id == step && key.second == run) members.push_back(key);
   }
   for (const RunKey& key : members) End(key, RunEnd::kBroken, now);
 }
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -41,15 +41,16 @@
              : VerdictName(VerdictFromFailure(outcome.failure));
 }
 
-size_t CountStarts(const std::vector<RunEvent>& facts) {
-  return static_cast<size_t>(std::count_if(
-      facts.begin(), facts.end(), [](const RunEvent& f) { return f.begins; }));
+size_t CountStarts(const std::vector<RunEvent>& run_events) {
+  return static_cast<size_t>(
+      std::count_if(run_events.begin(), run_events.end(),
+                    [](const RunEvent& f) { return f.begins; }));
 }
 
 bool AwaitAllRunning(const ZoneTestCluster& cluster, size_t tasks) {
   return Eventually([&] {
-    const std::vector<RunEvent> facts = cluster.RunFacts();
-    return 2 * CountStarts(facts) - facts.size() == tasks;
+    const std::vector<RunEvent> run_events = cluster.RunEvents();
+    return 2 * CountStarts(run_events) - run_events.size() == tasks;
   });
 }
 
@@ -68,7 +69,7 @@
   // Sleeps for longer than any lease, so that the lease of any task that the
   // new leader failed to take over would expire.
   absl::SleepFor(absl::Seconds(6));
-  CHECK(cluster.RunFacts().size() == 6);
+  CHECK(cluster.RunEvents().size() == 6);
   CHECK(cluster.Confirm({Service("more", 2)}));
   CHECK(AwaitAllRunning(cluster, 8));
 }
@@ -86,8 +87,8 @@
   absl::SleepFor(absl::Seconds(6));
   cluster.scheduler(leader).Signal(SIGCONT);
   absl::SleepFor(absl::Seconds(2));
-  CHECK(cluster.RunFacts().size() == 6);
-  CHECK(CheckRuns(cluster.RunFacts(), RunRules()).empty());
+  CHECK(cluster.RunEvents().size() == 6);
+  CHECK(CheckRuns(cluster.RunEvents(), RunRules()).empty());
   CHECK(cluster.Leader() >= 0);
 }
 
@@ -105,7 +106,7 @@
     cluster.StartScheduler(leader);
   }
   absl::SleepFor(absl::Seconds(2));
-  CHECK(cluster.RunFacts().size() == 6);
+  CHECK(cluster.RunEvents().size() == 6);
 }
 
 TEST_CASE(
@@ -144,7 +145,7 @@
   CHECK(Eventually([&] { return cluster.Ready(0); }));
   CHECK(VerdictOf(cluster.Send(0, {"GET", "/licence/2", {}, "", ""})) == "Ran");
   absl::SleepFor(absl::Seconds(5));
-  CHECK(cluster.RunFacts().size() == 6);
+  CHECK(cluster.RunEvents().size() == 6);
 }
 
 TEST_CASE(
--- a/testing/site_entries_test.cc
+++ b/testing/site_entries_test.cc
@@ -18,10 +18,10 @@
 
 constexpr int kNodes = 3;
 
-int64_t CountForeignCalls(SiteTestCluster& cluster) {
+int64_t CountForeignEntryCalls(SiteTestCluster& cluster) {
   int64_t calls = 0;
   cluster.WithPlatform(
-      [&](SitePlatform& platform) { calls = platform.foreign_calls(); });
+      [&](SitePlatform& platform) { calls = platform.foreign_entry_calls(); });
   return calls;
 }
 
@@ -61,7 +61,7 @@
   CheckJobsComplete(cluster, 5, 8);
   ReplaceLeader(cluster);
   CheckJobsComplete(cluster, 9, 12);
-  CHECK(CountForeignCalls(cluster) == 0);
+  CHECK(CountForeignEntryCalls(cluster) == 0);
   CHECK(cluster.Faults().empty());
 }
 
--- a/testing/site_load_test.cc
+++ b/testing/site_load_test.cc
@@ -66,7 +66,7 @@
     options.workers = 8;
     options.capacity = {64000, 131072, 8};
     options.failing_runs = 0;
-    options.nodes = 9;
+    options.advisers = 9;
     options.estimate_error = 0.2;
     options.policy = policy;
     options.queues = {MakeQueue(kUrgent, 1, 2.2, 1000, {true, 490, 7, 2000}),
@@ -88,7 +88,7 @@
       }
     }
     site.Run(absl::Seconds(70));
-    CHECK(site.faults().empty());
+    CHECK(site.violations().empty());
     sum.urgent += ShareInTime(site, urgent, absl::Seconds(10.5)) / kSeeds;
     sum.patient += ShareInTime(site, patient, absl::Seconds(19)) / kSeeds;
   }
@@ -99,9 +99,9 @@
 // are. All small tasks are in time in both cases.
 TEST_CASE("site load: large tasks are in time among many small ones") {
   SchedulerPolicy disabled;
-  disabled.make_room = false;
-  disabled.hold_room = false;
-  disabled.name_by_cost = false;
+  disabled.preempt_runs = false;
+  disabled.reserve_for_single_tasks = false;
+  disabled.name_extra_workers = false;
   const Shares without_policy = RunLargeAndSmallTasks(disabled);
   const Shares with_policy = RunLargeAndSmallTasks(SchedulerPolicy());
   MESSAGE("share of large tasks in time: ", without_policy.urgent, " without, ",
@@ -133,7 +133,7 @@
     });
   }
   site.Run(absl::Seconds(12));
-  CHECK(site.faults().empty());
+  CHECK(site.violations().empty());
   return site.scheduler()->figures().preemptions;
 }
 
@@ -171,7 +171,7 @@
       });
     }
     site.Run(absl::Seconds(40));
-    CHECK(site.faults().empty());
+    CHECK(site.violations().empty());
     sum += ShareInTime(site, jobs, absl::Milliseconds(1390)) / kSeeds;
   }
   return sum;
@@ -180,7 +180,7 @@
 // Without the policy, 0.85 of the jobs are in time; with it, 0.99 are.
 TEST_CASE("site load: short jobs are in time despite lost answers") {
   SchedulerPolicy disabled;
-  disabled.settle_soon = false;
+  disabled.resolve_unanswered_orders = false;
   const double without_policy = RunShortJobs(disabled, 0.05, 0.02);
   const double with_policy = RunShortJobs(SchedulerPolicy(), 0.05, 0.02);
   MESSAGE("share in time: ", without_policy, " without, ", with_policy,
--- a/testing/site_process_test.cc
+++ b/testing/site_process_test.cc
@@ -18,10 +18,10 @@
 namespace keelbridge::testing {
 namespace {
 
-void CheckNoFaults(SiteTestCluster& cluster) {
-  const std::vector<std::string> faults = cluster.Faults();
-  CAPTURE(absl::StrJoin(faults, "\n"));
-  CHECK(faults.empty());
+void CheckNoViolations(SiteTestCluster& cluster) {
+  const std::vector<std::string> violations = cluster.Faults();
+  CAPTURE(absl::StrJoin(violations, "\n"));
+  CHECK(violations.empty());
 }
 
 int StatusOf(const HttpOutcome& outcome) {
@@ -45,7 +45,7 @@
   for (uint64_t job = 1; job <= 9; ++job)
     CHECK(cluster.AwaitState(job, "completed"));
   CHECK(cluster.RunCount() == 6 * 2 + 3 * 5);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE(
@@ -146,7 +146,7 @@
   for (uint64_t job = 1; job <= 9; ++job)
     CHECK(cluster.AwaitState(job, "completed", absl::Seconds(30)));
   CHECK(cluster.RunCount() == 6 * 2 + 3);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site processes: all nodes are killed right after a job was taken") {
@@ -160,7 +160,7 @@
   for (int i = 0; i < 3; ++i) cluster.StartNode(i);
   REQUIRE(cluster.AwaitReady(3));
   CHECK(cluster.AwaitState(1, "completed", absl::Seconds(30)));
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site processes: the store is down; what was accepted goes on") {
@@ -188,7 +188,7 @@
     CHECK(cluster.AwaitState(job, "completed"));
   CHECK(cluster.State(50) == "gone");
   CHECK(cluster.RunCount() == 4);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE(
@@ -215,7 +215,7 @@
   for (uint64_t job = 1; job <= kJobs; ++job)
     CHECK(cluster.AwaitState(job, "completed"));
   CHECK(cluster.RunCount() == 2 * kJobs);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE(
@@ -226,17 +226,17 @@
   lossy.lost_answers = 0.3;
   cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(lossy);
-    platform.SetLostOrders(0.1);
+    platform.SetLostOrderReplies(0.1);
   });
   for (uint64_t job = 1; job <= 8; ++job)
     CHECK(cluster.SubmitAnywhere(job, SiteTestCluster::OneStepJob(2, 200)));
   cluster.WithPlatform([&](SitePlatform& platform) {
     platform.store().SetFaults(SiteStore::Faults());
-    platform.SetLostOrders(0);
+    platform.SetLostOrderReplies(0);
   });
   for (uint64_t job = 1; job <= 8; ++job)
     CHECK(cluster.AwaitState(job, "completed", absl::Seconds(40)));
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site processes: a lost answer of the store adds little latency") {
@@ -262,7 +262,7 @@
   });
   for (uint64_t job = 1; job <= kJobs; ++job)
     CHECK(cluster.AwaitState(job, "completed"));
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site processes: each node is stopped as planned, in turn") {
@@ -279,7 +279,7 @@
   for (uint64_t job = 1; job <= 3; ++job)
     CHECK(cluster.AwaitState(job, "completed", absl::Seconds(30)));
   CHECK(cluster.RunCount() == 3);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site processes: a log that nobody reads stops nothing") {
@@ -295,7 +295,7 @@
   for (uint64_t job = 1; job <= kJobs; ++job)
     REQUIRE(cluster.AwaitState(job, "completed"));
   CHECK(cluster.DroppedLogLines(cluster.Leader()) > 0);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 }  // namespace
--- a/testing/site_restart_test.cc
+++ b/testing/site_restart_test.cc
@@ -30,10 +30,10 @@
   });
 }
 
-void CheckNoFaults(SiteTestCluster& cluster) {
-  const std::vector<std::string> faults = cluster.Faults();
-  CAPTURE(absl::StrJoin(faults, "\n"));
-  CHECK(faults.empty());
+void CheckNoViolations(SiteTestCluster& cluster) {
+  const std::vector<std::string> violations = cluster.Faults();
+  CAPTURE(absl::StrJoin(violations, "\n"));
+  CHECK(violations.empty());
 }
 
 TEST_CASE("site restart: no end in a worker's next incarnation is lost") {
@@ -48,7 +48,7 @@
   REQUIRE(cluster.SubmitAnywhere(5, SiteTestCluster::OneStepJob(12, 300)));
   CHECK(cluster.AwaitState(5, "completed"));
   CHECK(cluster.RunCount() == 4 * 16 + 12);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site restart: runs lost with a worker's incarnation start again") {
@@ -64,7 +64,7 @@
   CHECK(cluster.AwaitState(1, "completed"));
   // Covers the restart, its detection and the repeated work.
   CHECK(absl::Now() - restarted < absl::Seconds(5));
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 TEST_CASE("site restart: a task that always crashes its worker fails") {
@@ -75,7 +75,7 @@
   REQUIRE(cluster.SubmitAnywhere(1, SiteTestCluster::CrashingTasksJob(1)));
   CHECK(cluster.AwaitState(1, "failed"));
   CHECK(cluster.RunCount() <= 4);
-  CheckNoFaults(cluster);
+  CheckNoViolations(cluster);
 }
 
 }  // namespace
--- a/testing/site_silence_test.cc
+++ b/testing/site_silence_test.cc
@@ -140,7 +140,7 @@
   jobs.SubmitAtAll(kCallers, kShortMs);
   absl::SleepFor(absl::Seconds(1));
   const int claims = CountClaims(cluster);
-  cluster.SilenceAllOpenConnections();
+  cluster.BlackholeAllOpenConnections();
   CheckAllNodesAccept(jobs);
   jobs.CheckNoneLost();
   // The leader may miss the replies of the other nodes once, which causes one
--- a/testing/site_simulation_test.cc
+++ b/testing/site_simulation_test.cc
@@ -15,7 +15,7 @@
 // Limit for the time that a long-running task is down while its own worker is
 // reachable: covers learning of its end and a new start, including the time to
 // determine the outcome of a start that was not answered.
-constexpr absl::Duration kMaxDownTimeWithWorker = absl::Seconds(1);
+constexpr absl::Duration kMaxDownTimeWhileWorkerUp = absl::Seconds(1);
 // Limit in all other cases: the grace period for earlier leaders of 6 s, the
 // lease of the task's own worker of 6.3 s, and the time that a second leader
 // change in the meantime adds.
@@ -59,8 +59,8 @@
 // Checks that the simulation found no fault and that all accepted jobs have
 // ended.
 void CheckAllJobsEnded(SiteSimulation& site) {
-  CAPTURE(absl::StrJoin(site.faults(), "\n"));
-  CHECK(site.faults().empty());
+  CAPTURE(absl::StrJoin(site.violations(), "\n"));
+  CHECK(site.violations().empty());
   for (const JobId id : site.accepted()) {
     const auto state = site.StatusOf(id);
     CAPTURE(id);
@@ -286,8 +286,8 @@
       });
     }
     site.Run(absl::Seconds(60));
-    CAPTURE(absl::StrJoin(site.faults(), "\n"));
-    CHECK(site.faults().empty());
+    CAPTURE(absl::StrJoin(site.violations(), "\n"));
+    CHECK(site.violations().empty());
     CHECK(site.max_down_time() < kMaxDownTime);
     for (const JobId id : long_running) site.Cancel(id);
     site.Run(absl::Seconds(40));
@@ -322,9 +322,9 @@
     site.FreezeLeader(absl::Milliseconds(300) + random_duration(500),
                       absl::Seconds(2) + random_duration(4000));
     site.Run(absl::Seconds(25));
-    CAPTURE(absl::StrJoin(site.faults(), "\n"));
-    CHECK(site.faults().empty());
-    CHECK(site.max_down_time_with_worker() < kMaxDownTimeWithWorker);
+    CAPTURE(absl::StrJoin(site.violations(), "\n"));
+    CHECK(site.violations().empty());
+    CHECK(site.max_down_time_while_worker_up() < kMaxDownTimeWhileWorkerUp);
   }
 }
 
@@ -375,7 +375,7 @@
     });
   }
   site.Run(absl::Seconds(90));
-  CAPTURE(absl::StrJoin(site.faults(), "\n"));
+  CAPTURE(absl::StrJoin(site.violations(), "\n"));
   for (const JobId id : long_running) {
     CHECK(site.StatusOf(id) == JobState::kRunning);
     site.Cancel(id);
@@ -463,7 +463,7 @@
     });
   }
   site.Run(absl::Seconds(70));
-  CAPTURE(absl::StrJoin(site.faults(), "\n"));
+  CAPTURE(absl::StrJoin(site.violations(), "\n"));
   CHECK(site.StatusOf(long_running) == JobState::kRunning);
   CHECK(site.max_down_time() < kMaxDownTime);
   site.Cancel(long_running);
--- a/testing/site_stale_knowledge_test.cc
+++ b/testing/site_stale_knowledge_test.cc
@@ -135,7 +135,7 @@
   SiteTestCluster cluster(ProxiedOptions());
   REQUIRE(cluster.AwaitReady(kNodes));
   for (int i = 0; i < kNodes; ++i)
-    cluster.SetStoreLink(i, kSlowestLinkBytesPerSecond);
+    cluster.SetStoreLinkRate(i, kSlowestLinkBytesPerSecond);
   int64_t version = 1;
   // At the end of each of these outages, a hanging read is at a different point
   // of its timeout.
--- a/testing/support/configuration_check.cc
+++ b/testing/support/configuration_check.cc
@@ -48,7 +48,7 @@
 
 absl::Duration ConfigurationCheck::max_delay() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return slowest_;
+  return max_delay_;
 }
 
 std::string ConfigurationCheck::CheckObservation(
@@ -56,10 +56,10 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   if (observation.before.incarnation != observation.after.incarnation)
     return "";
-  std::string fault = CheckRegression(observation);
-  if (fault.empty()) fault = CheckLateness(observation);
-  if (fault.empty()) fault = CheckRefusal(observation);
-  return fault;
+  std::string violation = CheckRegression(observation);
+  if (violation.empty()) violation = CheckLateness(observation);
+  if (violation.empty()) violation = CheckRefusal(observation);
+  return violation;
 }
 
 std::string ConfigurationCheck::CheckRegression(
@@ -80,8 +80,8 @@
   const bool first =
       observation.version > newest_served.version && written != written_.end();
   if (first && observation.before.undisturbed_since < observation.sent_at)
-    slowest_ = std::max(
-        slowest_,
+    max_delay_ = std::max(
+        max_delay_,
         observation.sent_at -
             std::max(written->second, observation.before.undisturbed_since));
   newest_served.version = observation.version;
--- a/testing/support/configuration_check.h
+++ b/testing/support/configuration_check.h
@@ -73,7 +73,7 @@
   mutable std::mutex mutex_;
   std::map<int64_t, absl::Time> written_;    // By version.
   std::vector<NewestServed> newest_served_;  // By node.
-  absl::Duration slowest_;
+  absl::Duration max_delay_;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/support/configuration_check_test.cc
+++ b/testing/support/configuration_check_test.cc
@@ -57,11 +57,11 @@
   // A single refusal is a violation, even if the node served calls before and
   // the version was written long ago.
   CHECK(check.CheckObservation(Observation(1, 13)).empty());
-  const std::string fault = check.CheckObservation(Observation(0, 24.2));
-  CHECK(absl::StrContains(fault, "refuses"));
-  CHECK(absl::StrContains(fault, "undisturbed for 24200 ms"));
+  const std::string violation = check.CheckObservation(Observation(0, 24.2));
+  CHECK(absl::StrContains(violation, "refuses"));
+  CHECK(absl::StrContains(violation, "undisturbed for 24200 ms"));
   // A refusing node serves no version, so it is not reported as late.
-  CHECK_FALSE(absl::StrContains(fault, "version 1"));
+  CHECK_FALSE(absl::StrContains(violation, "version 1"));
   // A newly written version does not permit a refusal.
   check.RecordWrite(2, At(24));
   CHECK(absl::StrContains(check.CheckObservation(Observation(0, 24.3)),
--- a/testing/support/run_checker.h
+++ b/testing/support/run_checker.h
@@ -29,7 +29,7 @@
 // Returns a description of each violation: a worker whose capacity is exceeded,
 // a task on two hosts at once, a second start of a task that must not be
 // repeated, or a start on a worker that must not get new tasks.
-std::vector<std::string> CheckRuns(std::vector<RunEvent> facts,
+std::vector<std::string> CheckRuns(std::vector<RunEvent> run_events,
                                    const RunRules& rules);
 
 }  // namespace keelbridge::testing
--- a/testing/support/scheduler_driver.h
+++ b/testing/support/scheduler_driver.h
@@ -161,7 +161,7 @@
   // By key: the newest stored record.
   std::map<std::string, Record> stored_records;
   std::vector<LogAction> log_lines;  // Log lines of the scheduler.
-  std::set<std::string> good;        // Workers that the advice accepts.
+  std::set<std::string> eligible;    // Workers that the advice accepts.
   // Workers that answer that another incarnation runs at their address.
   std::set<std::string> other_incarnations;
   std::set<std::string> down;  // Workers at whose address nothing listens.
@@ -222,9 +222,9 @@
     AdviceReply reply;
     reply.answered = true;
     for (const std::string& worker : ask.request.workers) {
-      const bool is_good_here =
-          is_good ? is_good(ask.request.step, worker) : good.count(worker) > 0;
-      if (is_good_here) reply.good.push_back({worker, "t"});
+      const bool is_good_here = is_good ? is_good(ask.request.step, worker)
+                                        : eligible.count(worker) > 0;
+      if (is_good_here) reply.eligible.push_back({worker, "t"});
     }
     scheduler_.OnAdvice(ask, reply, now());
   }
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -16,7 +16,7 @@
 constexpr absl::Duration kAppendRetry = absl::Milliseconds(60);
 constexpr absl::Duration kGangTimeout = absl::Seconds(3);
 constexpr absl::Duration kRecordRemovalDelay = absl::Seconds(3);
-constexpr absl::Duration kAskEarlierPeriod = absl::Milliseconds(300);
+constexpr absl::Duration kPollEarlierLeadersInterval = absl::Milliseconds(300);
 // A leader that was suspended for longer than this starts nothing until the
 // store accepts an append from it.
 constexpr absl::Duration kMaxSuspension = absl::Milliseconds(1500);
@@ -72,8 +72,8 @@
   return absl::Milliseconds(0.5 + 3 * Draw());
 }
 
-void SiteSimulation::Fault(const std::string& text) {
-  faults_.push_back(absl::StrCat(
+void SiteSimulation::RecordViolation(const std::string& text) {
+  violations_.push_back(absl::StrCat(
       absl::ToInt64Milliseconds(now_ - absl::UnixEpoch()), " ms: ", text));
 }
 
@@ -169,17 +169,17 @@
   Resources used;
   for (const WorkerSlot& slot : workers_) {
     for (const auto& [key, other] : slot.incarnation->running()) {
-      const bool here = other.worker == run.worker;
-      if (here) used += other.need;
-      const bool same = key.first == run.task;
-      if (same && (!here || key.second != run.run))
-        Fault(absl::StrCat("TWICE: ", name, " started while run ", key.second,
-                           " runs on ", other.worker));
+      const bool same_worker = other.worker == run.worker;
+      if (same_worker) used += other.need;
+      const bool same_task = key.first == run.task;
+      if (same_task && (!same_worker || key.second != run.run))
+        RecordViolation(absl::StrCat("TWICE: ", name, " started while run ",
+                                     key.second, " runs on ", other.worker));
     }
   }
   const WorkerSlot* slot = FindSlot(run.worker);
   if (!run.late && slot != nullptr && !used.FitsIn(slot->capacity_limit))
-    Fault(absl::StrCat(
+    RecordViolation(absl::StrCat(
         "LIMIT: ", name,
         " exceeds the worker's capacity; CPU milli in use: ", used.cpu_milli));
   if (done_.count(run.task) > 0) {
@@ -193,7 +193,8 @@
       }
     }
     if (!excused)
-      Fault(absl::StrCat("TWICE: ", name, " started after it was done"));
+      RecordViolation(
+          absl::StrCat("TWICE: ", name, " started after it was done"));
   }
   const std::set<int32_t>& failed = failed_[FailureKey(run.task)];
   const bool long_running =
@@ -201,8 +202,8 @@
   if (!long_running &&
       static_cast<int>(failed.size()) >= options_.max_attempts &&
       failed.count(run.run) == 0)
-    Fault(absl::StrCat("BUDGET: ", name, " after ", failed.size(),
-                       " failed runs"));
+    RecordViolation(absl::StrCat("BUDGET: ", name, " after ", failed.size(),
+                                 " failed runs"));
   const StepSpec& step = facts.spec.steps[static_cast<size_t>(run.task.step)];
   for (const int32_t restore_time : step.after) {
     const int32_t count =
@@ -210,8 +211,8 @@
     for (int32_t i = 0; i < count; ++i) {
       if (ever_done_.count({run.task.job, run.task.round, restore_time, i}) ==
           0)
-        Fault(absl::StrCat("ORDER: ", name, " started before the end of step ",
-                           restore_time));
+        RecordViolation(absl::StrCat(
+            "ORDER: ", name, " started before the end of step ", restore_time));
     }
   }
 }
@@ -228,8 +229,9 @@
   Crashes& crashes = crashes_[run.task];
   if (crashes.workers >= kExcusedCrashes && !run.late &&
       ++crashes.starts_after >= kEndlessRepeatStarts)
-    Fault(absl::StrCat("BUDGET: ", TaskIdText(run.task), " run ", run.run,
-                       " after ", crashes.workers, " crashes"));
+    RecordViolation(absl::StrCat("BUDGET: ", TaskIdText(run.task), " run ",
+                                 run.run, " after ", crashes.workers,
+                                 " crashes"));
   After(kCrashAfter, [this, run] {
     WorkerSlot* slot = FindSlot(run.worker);
     if (slot == nullptr || !slot->incarnation->alive() ||
@@ -269,9 +271,9 @@
       const StepSpec& step =
           jobs_[key.first.job].spec.steps[static_cast<size_t>(key.first.step)];
       if (!step.gang) continue;
-      TaskId of = key.first;
-      of.index = 0;
-      Gang& gang = gangs[{of, key.second}];
+      TaskId step_id = key.first;
+      step_id.index = 0;
+      Gang& gang = gangs[{step_id, key.second}];
       ++gang.present;
       gang.size = step.count;
       gang.first = std::min(gang.first, run.began);
@@ -281,13 +283,13 @@
   for (const auto& [key, gang] : gangs) {
     const StepSpec& step =
         jobs_[key.first.job].spec.steps[static_cast<size_t>(key.first.step)];
-    const bool whole = gang.present == gang.size;
-    const bool was_whole = gang_done_at_.count(key) > 0;
-    if (whole && !was_whole)
+    const bool complete = gang.present == gang.size;
+    const bool was_complete = gang_done_at_.count(key) > 0;
+    if (complete && !was_complete)
       gang_done_at_[key] = now_ + absl::Milliseconds(step.estimated_ms);
     const bool broken =
-        !whole && (was_whole || now_ - gang.first > kGangTimeout);
-    const bool done = whole && was_whole && now_ >= gang_done_at_[key];
+        !complete && (was_complete || now_ - gang.first > kGangTimeout);
+    const bool done = complete && was_complete && now_ >= gang_done_at_[key];
     for (WorkerSlot& slot : workers_) {
       if (broken) slot.incarnation->BreakGang(key.first, key.second, now_);
       if (done) slot.incarnation->CompleteGang(key.first, key.second, now_);
@@ -321,11 +323,11 @@
     leader->scheduler->OnEarlierLeaderSeen(epoch, at);
   leader_start_times_.emplace(leader->epoch, now_);
   leader->scheduler->SetConfiguration(configuration_);
-  std::vector<std::string> nodes;
-  nodes.reserve(static_cast<size_t>(options_.nodes));
-  for (int i = 0; i < options_.nodes; ++i)
-    nodes.push_back(absl::StrCat("node-", i));
-  leader->scheduler->SetAdvisers(nodes, nodes.front());
+  std::vector<std::string> advisers;
+  advisers.reserve(static_cast<size_t>(options_.advisers));
+  for (int i = 0; i < options_.advisers; ++i)
+    advisers.push_back(absl::StrCat("node-", i));
+  leader->scheduler->SetAdvisers(advisers, advisers.front());
   for (WorkerSlot& slot : workers_) {
     const WorkerRecord record = slot.incarnation->record();
     if (Draw() >= options_.unlisted_workers) {
@@ -352,14 +354,15 @@
     if (other->epoch >= leader->epoch) continue;
     // A frozen leader learns at its resumption that it was replaced; any other
     // leader finds out by itself.
-    const bool wakes = other->frozen_until > absl::InfinitePast() &&
-                       other->frozen_until < now_;
-    if (wakes) other->dead = true;
+    const bool resumed = other->frozen_until > absl::InfinitePast() &&
+                         other->frozen_until < now_;
+    if (resumed) other->dead = true;
     all = all && other->dead;
     last_order = std::max(last_order, other->last_order);
   }
   if (all) return leader->scheduler->OnEarlierLeadersStopped(last_order);
-  After(kAskEarlierPeriod, [this, leader] { PollEarlierLeaders(leader); });
+  After(kPollEarlierLeadersInterval,
+        [this, leader] { PollEarlierLeaders(leader); });
 }
 
 void SiteSimulation::RunOnLeader(const std::shared_ptr<Leader>& leader,
@@ -532,7 +535,7 @@
       for (const std::string& worker : ask->request.workers) {
         const size_t draw = std::hash<std::string>()(absl::StrCat(
             worker, ".", ask->request.step.job, ask->request.step.step));
-        if (draw % 2 == 0) reply.good.push_back({worker, "ticket"});
+        if (draw % 2 == 0) reply.eligible.push_back({worker, "ticket"});
       }
       const Queue* queue =
           configuration_->FindQueueByName(jobs_[ask->request.step.job].queue);
@@ -673,18 +676,18 @@
                                   absl::Duration time) {
   WorkerSlot& slot = workers_[static_cast<size_t>(index)];
   if (!slot.incarnation->alive()) return;
-  Resources small = options_.capacity;
-  small.cpu_milli = static_cast<int32_t>(small.cpu_milli * share);
-  small.memory_mib = static_cast<int32_t>(small.memory_mib * share);
-  SetCapacity(index, small);
+  Resources reduced = options_.capacity;
+  reduced.cpu_milli = static_cast<int32_t>(reduced.cpu_milli * share);
+  reduced.memory_mib = static_cast<int32_t>(reduced.memory_mib * share);
+  SetCapacity(index, reduced);
   const std::string id = slot.incarnation->record().id;
   const auto same_incarnation = [this, index, id] {
     return workers_[static_cast<size_t>(index)].incarnation->record().id == id;
   };
-  After(kCapacityGrace, [this, index, small, same_incarnation] {
+  After(kCapacityGrace, [this, index, reduced, same_incarnation] {
     WorkerSlot& shrunk = workers_[static_cast<size_t>(index)];
-    if (same_incarnation() && shrunk.incarnation->record().capacity == small)
-      shrunk.capacity_limit = small;
+    if (same_incarnation() && shrunk.incarnation->record().capacity == reduced)
+      shrunk.capacity_limit = reduced;
   });
   After(time, [this, index, same_incarnation] {
     if (!same_incarnation()) return;
@@ -736,17 +739,18 @@
                                    return one.first.first == t;
                                  });
     }
-    const bool led =
+    const bool has_leader =
         current_ != nullptr && !current_->dead && now_ >= store_down_until_;
-    if (runs || !led) {
-      if (runs) down_time.time = down_time.with_worker = absl::ZeroDuration();
+    if (runs || !has_leader) {
+      if (runs)
+        down_time.time = down_time.time_while_worker_up = absl::ZeroDuration();
       continue;
     }
     down_time.time += kStep;
     max_down_time_ = std::max(max_down_time_, down_time.time);
-    if (down_time.worker_stayed_up) down_time.with_worker += kStep;
-    max_down_time_with_worker_ =
-        std::max(max_down_time_with_worker_, down_time.with_worker);
+    if (down_time.worker_stayed_up) down_time.time_while_worker_up += kStep;
+    max_down_time_while_worker_up_ = std::max(max_down_time_while_worker_up_,
+                                              down_time.time_while_worker_up);
   }
 }
 
--- a/testing/support/site_simulation.h
+++ b/testing/support/site_simulation.h
@@ -47,7 +47,7 @@
     absl::Duration store_delay = absl::Milliseconds(5);
     // If not empty, replaces the default queue.
     std::vector<Queue> queues;
-    int nodes = 1;  // The number of advisers.
+    int advisers = 1;  // The number of advisers.
     // The duration of a run differs from its estimate by up to this share.
     double estimate_error = 0.5;
     SchedulerPolicy policy;
@@ -95,7 +95,7 @@
   const std::set<JobId>& accepted() const { return accepted_; }
   std::optional<JobState> StatusOf(JobId id) const;
   // Descriptions of violated invariants.
-  const std::vector<std::string>& faults() const { return faults_; }
+  const std::vector<std::string>& violations() const { return violations_; }
   const std::vector<SiteRun>& runs() const { return runs_; }
   size_t CountRunning(JobId id) const;
   // Returns the time from the job's submission to its end, or nullopt if it has
@@ -107,8 +107,8 @@
   // Returns the longest time for which a long-running task was down although
   // there was a leader and the worker that it was last sent to was up,
   // reachable and not draining.
-  absl::Duration max_down_time_with_worker() const {
-    return max_down_time_with_worker_;
+  absl::Duration max_down_time_while_worker_up() const {
+    return max_down_time_while_worker_up_;
   }
   // Returns the longest time for which a long-running task was down while there
   // was a leader.
@@ -146,7 +146,7 @@
     // That worker has been up and reachable all the while.
     bool worker_stayed_up = true;
     absl::Duration time;
-    absl::Duration with_worker;
+    absl::Duration time_while_worker_up;
   };
   struct JobFacts {
     JobSpec spec;
@@ -189,7 +189,7 @@
   void RunOnLeader(const std::shared_ptr<Leader>& leader,
                    const std::function<void()>& step);
   SiteRunPlan MakeRunPlan(const StartOrder& order);
-  void Fault(const std::string& text);
+  void RecordViolation(const std::string& text);
   template <typename Order, typename Reply>
   void Send(const std::shared_ptr<Leader>& leader, const std::string& worker,
             const Order& order,
@@ -228,8 +228,8 @@
   std::map<std::pair<TaskId, int32_t>, absl::Time> gang_done_at_;
   std::map<TaskId, DownTime> long_running_tasks_;
   absl::Duration max_down_time_;
-  absl::Duration max_down_time_with_worker_;
-  std::vector<std::string> faults_;
+  absl::Duration max_down_time_while_worker_up_;
+  std::vector<std::string> violations_;
   JobId next_job_ = 1;
 };
 
--- a/testing/support/site_soak.cc
+++ b/testing/support/site_soak.cc
@@ -41,7 +41,7 @@
   SoakReport Run() {
     report_.logs = cluster_.directory();
     if (!cluster_.AwaitReady(options_.nodes)) {
-      record_.Fault("the nodes were not ready in time");
+      record_.RecordViolation("the nodes were not ready in time");
       return Finish();
     }
     record_.Begin();
@@ -114,9 +114,9 @@
     const HttpOutcome outcome = cluster_.Call(node, "DELETE", job);
     const int status = outcome.response ? outcome.response->status : 0;
     if (status == 410 || status == 404)
-      record_.Fault(absl::StrCat("LOST: job ", JobIdText(job), " is answered ",
-                                 status, " by node ", node,
-                                 " to a cancellation"));
+      record_.RecordViolation(absl::StrCat("LOST: job ", JobIdText(job),
+                                           " is answered ", status, " by node ",
+                                           node, " to a cancellation"));
   }
 
   static bool HasExpectedState(const SoakJob& known, const std::string& state) {
@@ -137,8 +137,8 @@
         absl::SleepFor(kPollInterval);
       }
       if (!HasExpectedState(known, state))
-        record_.Fault(absl::StrCat("LOST: job ", JobIdText(job), " is \"",
-                                   state, "\" at the end"));
+        record_.RecordViolation(absl::StrCat("LOST: job ", JobIdText(job),
+                                             " is \"", state, "\" at the end"));
     }
   }
 
--- a/testing/support/site_test_cluster.cc
+++ b/testing/support/site_test_cluster.cc
@@ -218,7 +218,7 @@
   return -1;
 }
 
-int64_t SiteTestCluster::Gauge(int index, const std::string& name) {
+int64_t SiteTestCluster::ReadGauge(int index, const std::string& name) {
   const HttpOutcome outcome =
       CallAddress(nodes_[Index(index)].metrics_address,
                   {"GET", "/metrics", {}, "", ""}, absl::Milliseconds(500));
@@ -232,11 +232,11 @@
 }
 
 int64_t SiteTestCluster::DroppedLogLines(int index) {
-  return Gauge(index, "keelbridge_node_log_lines_dropped");
+  return ReadGauge(index, "keelbridge_node_log_lines_dropped");
 }
 
 int64_t SiteTestCluster::ConfigurationVersion(int index) {
-  return Gauge(index, "keelbridge_node_configuration_version");
+  return ReadGauge(index, "keelbridge_node_configuration_version");
 }
 
 std::unique_ptr<HttpClient> SiteTestCluster::NewClient(int index) const {
@@ -317,23 +317,23 @@
       [&](SitePlatform&) { peer_proxies_[Index(node)]->ResumeForwarding(); });
 }
 
-void SiteTestCluster::SilenceOpenConnectionsOf(int node) {
+void SiteTestCluster::BlackholeOpenConnectionsOf(int node) {
   WithPlatform([&](SitePlatform&) {
-    store_proxies_[Index(node)]->SilenceOpenConnections();
-    peer_proxies_[Index(node)]->SilenceOpenConnections();
+    store_proxies_[Index(node)]->BlackholeOpenConnections();
+    peer_proxies_[Index(node)]->BlackholeOpenConnections();
   });
 }
 
-void SiteTestCluster::SilenceAllOpenConnections() {
+void SiteTestCluster::BlackholeAllOpenConnections() {
   WithPlatform([&](SitePlatform& platform) {
-    for (const auto& proxy : store_proxies_) proxy->SilenceOpenConnections();
-    for (const auto& proxy : peer_proxies_) proxy->SilenceOpenConnections();
-    seed_proxy_->SilenceOpenConnections();
-    platform.SilenceOpenWorkerConnections();
+    for (const auto& proxy : store_proxies_) proxy->BlackholeOpenConnections();
+    for (const auto& proxy : peer_proxies_) proxy->BlackholeOpenConnections();
+    seed_proxy_->BlackholeOpenConnections();
+    platform.BlackholeOpenWorkerConnections();
   });
 }
 
-void SiteTestCluster::SetStoreLink(int node, double bytes_per_second) {
+void SiteTestCluster::SetStoreLinkRate(int node, double bytes_per_second) {
   WithPlatform([&](SitePlatform&) {
     store_proxies_[Index(node)]->SetResponseRate(bytes_per_second);
   });
--- a/testing/support/site_test_cluster.h
+++ b/testing/support/site_test_cluster.h
@@ -84,11 +84,11 @@
   // Drops, for good, all data on the connections that are open now between
   // `node` and the store and from its peers to `node`. They are not closed, and
   // new connections work.
-  void SilenceOpenConnectionsOf(int node);
+  void BlackholeOpenConnectionsOf(int node);
   // Does the same to all open connections, including those to workers.
-  void SilenceAllOpenConnections();
+  void BlackholeAllOpenConnections();
   // Limits the rate of the store's replies to a node; see `FaultProxy`.
-  void SetStoreLink(int node, double bytes_per_second);
+  void SetStoreLinkRate(int node, double bytes_per_second);
   int ZoneOf(int node) const { return node % kZones; }
   static constexpr int kZones = 3;
 
@@ -124,7 +124,7 @@
   size_t Index(int index) const { return static_cast<size_t>(index); }
   // Returns the value of the metric with exactly this name on a node, or -1 if
   // it is not available.
-  int64_t Gauge(int index, const std::string& name);
+  int64_t ReadGauge(int index, const std::string& name);
   void WriteSettings(int index);
   void AddPeerProxy(const std::string& ip);
   void AddSeedProxy();
--- a/testing/support/soak_fault_injector.cc
+++ b/testing/support/soak_fault_injector.cc
@@ -112,7 +112,7 @@
       return Restart(node, SIGTERM, "stop", fault_threads);
     case FaultKind::kPauseNode:
       return Pause(node, kFaultDuration, fault_threads);
-    case FaultKind::kStoreSilent:
+    case FaultKind::kStoreBlackhole:
       return DisruptStorePath(node, Mode::kDropAll, "silence", fault_threads);
     case FaultKind::kStoreReset:
       return DisruptStorePath(node, Mode::kReset, "resets", fault_threads);
@@ -121,7 +121,7 @@
                               fault_threads);
     case FaultKind::kStoreSlow:
       return DisruptStorePath(node, Mode::kDelay, "delay", fault_threads);
-    case FaultKind::kPeersSilent:
+    case FaultKind::kPeersBlackhole:
       return DisruptPeerPath({node}, Mode::kDropAll, "silence", fault_threads);
     case FaultKind::kPeersReset:
       return DisruptPeerPath({node}, Mode::kReset, "resets", fault_threads);
@@ -136,19 +136,19 @@
         platform.CrashWorker(worker, kFaultDuration);
       });
       return;
-    case FaultKind::kWorkerSilent:
+    case FaultKind::kWorkerBlackhole:
       record_.RecordEvent(absl::StrCat("worker ", worker, " is silenced"));
       cluster_.SetWorkerProxy(worker, Mode::kDropAll);
       return RunAfter(fault_threads, kFaultDuration, [this, worker] {
         cluster_.SetWorkerProxy(worker, Mode::kForward);
       });
     case FaultKind::kStoreFault:
-      return StoreFault(fault_threads);
-    case FaultKind::kLostOrders:
+      return InjectStoreFault(fault_threads);
+    case FaultKind::kLostOrderReplies:
       record_.RecordEvent("replies to orders to workers are lost");
-      SetLostOrders(kLostOrderReplyShare);
+      SetLostOrderReplies(kLostOrderReplyShare);
       return RunAfter(fault_threads, kFaultDuration,
-                      [this] { SetLostOrders(0); });
+                      [this] { SetLostOrderReplies(0); });
     case FaultKind::kRollingStop:
       for (int i = 0; i < options_.nodes; ++i)
         Restart(i, SIGTERM, "stop, one after the other:", fault_threads);
@@ -158,7 +158,7 @@
         Restart(i, SIGKILL, "kill, all at once:", fault_threads);
       return;
     default:
-      return NewConfiguration();
+      return PublishNewConfiguration();
   }
 }
 
@@ -166,39 +166,39 @@
                                         FaultThreads* fault_threads) {
   const absl::Duration time = DrawDuration();
   switch (kind) {
-    case FaultKind::kUnansweredPolls:
-      return UnansweredPolls(time, fault_threads);
-    case FaultKind::kPollsMissChange:
-      return PollsMissChange(fault_threads);
-    case FaultKind::kChangeDuringSilence:
-      return ChangeDuringSilence(node, false, time, fault_threads);
+    case FaultKind::kDropPollResponses:
+      return DropPollResponses(time, fault_threads);
+    case FaultKind::kChangeMissedByPolls:
+      return PublishChangeMissedByPolls(fault_threads);
+    case FaultKind::kChangeDuringOutage:
+      return PublishChangeDuringOutage(node, false, time, fault_threads);
     case FaultKind::kDroppedHistory:
-      return ChangeDuringSilence(node, true, time, fault_threads);
-    case FaultKind::kStorePathSilent:
-      return SilenceStorePath(node, time, fault_threads);
+      return PublishChangeDuringOutage(node, true, time, fault_threads);
+    case FaultKind::kStoreBlackholeWithoutReset:
+      return BlackholeStorePath(node, time, fault_threads);
     case FaultKind::kLateAppends:
-      return LateAppends(time, fault_threads);
+      return DelayAppends(time, fault_threads);
     case FaultKind::kLeaderPaused:
       return Pause(LeaderOr(node), time, fault_threads);
     case FaultKind::kLeaderCut: {
       const int leader = LeaderOr(node);
-      SilenceStorePath(leader, time, fault_threads);
-      return SilencePeerPath(leader, time, fault_threads);
+      BlackholeStorePath(leader, time, fault_threads);
+      return BlackholePeerPath(leader, time, fault_threads);
     }
     case FaultKind::kAllPeersCut: {
-      SilenceStorePath(LeaderOr(node), time, fault_threads);
+      BlackholeStorePath(LeaderOr(node), time, fault_threads);
       for (int i = 0; i < options_.nodes; ++i)
-        SilencePeerPath(i, time, fault_threads);
+        BlackholePeerPath(i, time, fault_threads);
       return;
     }
-    case FaultKind::kNodeConnectionsSilent:
-      return SilenceNodeConnections(node);
-    case FaultKind::kAllConnectionsSilent:
-      return SilenceAllConnections();
-    case FaultKind::kChangeAfterAllSilent:
-      SilenceAllConnections();
+    case FaultKind::kNodeConnectionsBlackholed:
+      return BlackholeNodeConnections(node);
+    case FaultKind::kAllConnectionsBlackholed:
+      return BlackholeAllConnections();
+    case FaultKind::kChangeAfterAllBlackholed:
+      BlackholeAllConnections();
       return RunAfter(fault_threads, kChangeDelay,
-                      [this] { NewConfiguration(); });
+                      [this] { PublishNewConfiguration(); });
     default:
       return;
   }
@@ -211,15 +211,15 @@
     case FaultKind::kWorkerShrinks:
       return ShrinkWorker(worker, time + kFaultDuration);
     case FaultKind::kCrashesAndLeaderKilled:
-      CrashingJob(node);
+      SubmitCrashingJob(node);
       absl::SleepFor(kChangeDelay);
       return Restart(LeaderOr(node), SIGKILL, "kill", fault_threads);
     case FaultKind::kCrashesAndAllPaused:
-      CrashingJob(node);
+      SubmitCrashingJob(node);
       for (int i = 0; i < options_.nodes; ++i) Pause(i, time, fault_threads);
       return;
     default:
-      return CrashingJob(node);
+      return SubmitCrashingJob(node);
   }
 }
 
@@ -273,7 +273,7 @@
       [share](SitePlatform& platform) { platform.SetLateOrders(share); });
 }
 
-void SoakFaultInjector::CrashingJob(int node) {
+void SoakFaultInjector::SubmitCrashingJob(int node) {
   const uint64_t job = kFirstCrashingJob + crashing_jobs_++;
   record_.RecordEvent(
       absl::StrCat("job ", job, " whose tasks crash their workers"));
@@ -398,8 +398,8 @@
   DisruptPeerPath(nodes, Mode::kDropAll, "silence", fault_threads);
 }
 
-void SoakFaultInjector::SilenceStorePath(int node, absl::Duration time,
-                                         FaultThreads* fault_threads) {
+void SoakFaultInjector::BlackholeStorePath(int node, absl::Duration time,
+                                           FaultThreads* fault_threads) {
   record_.RecordEvent(
       absl::StrCat("silence between node ", node,
                    " and the store, ended without a reset after ",
@@ -412,8 +412,8 @@
   });
 }
 
-void SoakFaultInjector::SilencePeerPath(int node, absl::Duration time,
-                                        FaultThreads* fault_threads) {
+void SoakFaultInjector::BlackholePeerPath(int node, absl::Duration time,
+                                          FaultThreads* fault_threads) {
   record_.RecordEvent(absl::StrCat("silence on the path from peers to node ",
                                    node, ", ended without a reset after ",
                                    absl::ToInt64Milliseconds(time), " ms"));
@@ -425,7 +425,7 @@
   });
 }
 
-void SoakFaultInjector::StoreFault(FaultThreads* fault_threads) {
+void SoakFaultInjector::InjectStoreFault(FaultThreads* fault_threads) {
   SiteStore::Faults faults;
   const uint64_t draw = random_() % 3;
   faults.down = draw == 0;
@@ -449,31 +449,32 @@
       [faults](SitePlatform& platform) { platform.store().SetFaults(faults); });
 }
 
-void SoakFaultInjector::SetLostOrders(double share) {
+void SoakFaultInjector::SetLostOrderReplies(double share) {
   cluster_.WithPlatform(
-      [share](SitePlatform& platform) { platform.SetLostOrders(share); });
+      [share](SitePlatform& platform) { platform.SetLostOrderReplies(share); });
 }
 
 // This does not count as a disturbance of the nodes, since the store answers
 // all other calls.
-void SoakFaultInjector::UnansweredPolls(absl::Duration time,
-                                        FaultThreads* fault_threads) {
+void SoakFaultInjector::DropPollResponses(absl::Duration time,
+                                          FaultThreads* fault_threads) {
   record_.RecordEvent(absl::StrCat("polls get no answer for ",
                                    absl::ToInt64Milliseconds(time), " ms"));
   SiteStore::Faults faults;
   faults.drop_poll_responses = true;
   SetStoreFaults(faults);
-  RunAfter(fault_threads, kChangeDelay, [this] { NewConfiguration(); });
+  RunAfter(fault_threads, kChangeDelay, [this] { PublishNewConfiguration(); });
   RunAfter(fault_threads, time, [this] { SetStoreFaults({}); });
 }
 
-void SoakFaultInjector::PollsMissChange(FaultThreads* fault_threads) {
+void SoakFaultInjector::PublishChangeMissedByPolls(
+    FaultThreads* fault_threads) {
   record_.RecordEvent(
       "polls do not receive a change and are then disconnected");
   SiteStore::Faults faults;
   faults.drop_poll_responses = true;
   SetStoreFaults(faults);
-  RunAfter(fault_threads, kChangeDelay, [this] { NewConfiguration(); });
+  RunAfter(fault_threads, kChangeDelay, [this] { PublishNewConfiguration(); });
   RunAfter(fault_threads, kMissedChangeTime, [this] {
     SetStoreFaults({});
     cluster_.WithPlatform(
@@ -481,8 +482,8 @@
   });
 }
 
-void SoakFaultInjector::LateAppends(absl::Duration time,
-                                    FaultThreads* fault_threads) {
+void SoakFaultInjector::DelayAppends(absl::Duration time,
+                                     FaultThreads* fault_threads) {
   record_.RecordEvent(absl::StrCat("appends take effect late for ",
                                    absl::ToInt64Milliseconds(time), " ms"));
   SiteStore::Faults faults;
@@ -493,15 +494,15 @@
 
 // Neither `node` nor a random part of the other nodes can reach the store while
 // the operator writes a change.
-void SoakFaultInjector::ChangeDuringSilence(int node, bool drop_history,
-                                            absl::Duration time,
-                                            FaultThreads* fault_threads) {
-  SilenceStorePath(node, time, fault_threads);
+void SoakFaultInjector::PublishChangeDuringOutage(int node, bool drop_history,
+                                                  absl::Duration time,
+                                                  FaultThreads* fault_threads) {
+  BlackholeStorePath(node, time, fault_threads);
   for (const int other : OtherNodes(node)) {
-    if (random_() % 2 == 0) SilenceStorePath(other, time, fault_threads);
+    if (random_() % 2 == 0) BlackholeStorePath(other, time, fault_threads);
   }
   RunAfter(fault_threads, kChangeDelay, [this, drop_history] {
-    NewConfiguration();
+    PublishNewConfiguration();
     if (!drop_history) return;
     record_.RecordEvent("the store drops its history");
     cluster_.WithPlatform(
@@ -510,26 +511,26 @@
 }
 
 // Ends at once, like a reset: the node counts as undisturbed from then on.
-void SoakFaultInjector::SilenceNodeConnections(int node) {
+void SoakFaultInjector::BlackholeNodeConnections(int node) {
   record_.RecordEvent(
       absl::StrCat("open connections to the store and from peers ",
                    "drop all data for good: node ", node));
   node_disturbances_.Disturb(node);
-  cluster_.SilenceOpenConnectionsOf(node);
+  cluster_.BlackholeOpenConnectionsOf(node);
   node_disturbances_.Restore(node);
 }
 
-void SoakFaultInjector::SilenceAllConnections() {
+void SoakFaultInjector::BlackholeAllConnections() {
   record_.RecordEvent(
       "all open connections of all nodes drop all data for good");
   node_disturbances_.DisturbAll();
-  cluster_.SilenceAllOpenConnections();
+  cluster_.BlackholeAllOpenConnections();
   node_disturbances_.RestoreAll();
 }
 
-void SoakFaultInjector::NewConfiguration() {
+void SoakFaultInjector::PublishNewConfiguration() {
   const std::lock_guard<std::mutex> lock(configuration_mutex_);
-  const int64_t version = ++configuration_;
+  const int64_t version = ++configuration_version_;
   record_.RecordEvent(absl::StrCat("configuration ", version));
   cluster_.WithPlatform([version](SitePlatform& platform) {
     platform.PublishConfiguration(version);
--- a/testing/support/soak_fault_injector.h
+++ b/testing/support/soak_fault_injector.h
@@ -30,18 +30,18 @@
   kKillNode,
   kStopNode,
   kPauseNode,
-  kStoreSilent,  // This and the next three: between one node and the store.
+  kStoreBlackhole,  // This and the next three: between one node and the store.
   kStoreReset,
   kStoreOneWay,
   kStoreSlow,
-  kPeersSilent,  // This and the next two: from the other nodes to one node.
+  kPeersBlackhole,  // This and the next two: from the other nodes to one node.
   kPeersReset,
   kPeersOneWay,
   kZoneCut,  // The zone's nodes lose the store, and others cannot reach them.
   kWorkerCrash,
-  kWorkerSilent,
-  kStoreFault,  // The store is down, does not answer, or loses replies.
-  kLostOrders,  // Workers carry out orders but do not answer.
+  kWorkerBlackhole,
+  kStoreFault,        // The store is down, does not answer, or loses replies.
+  kLostOrderReplies,  // Workers carry out orders but do not answer.
   kRollingStop,
   kKillAll,
   kNewConfiguration,
@@ -51,12 +51,12 @@
   // closed: a connection on which data was dropped never transfers data again.
 
   // Polls get no answer while a change is written.
-  kUnansweredPolls = kFirstKindsEnd,
+  kDropPollResponses = kFirstKindsEnd,
   // Polls do not receive a change for 1 s and are then disconnected.
-  kPollsMissChange,
-  kChangeDuringSilence,  // Some nodes cannot reach the store during a change.
-  kDroppedHistory,       // The same, and the store drops its history.
-  kStorePathSilent,      // One node cannot reach the store.
+  kChangeMissedByPolls,
+  kChangeDuringOutage,  // Some nodes cannot reach the store during a change.
+  kDroppedHistory,      // The same, and the store drops its history.
+  kStoreBlackholeWithoutReset,  // One node cannot reach the store.
   kLateAppends,  // Appends take effect seconds after their reply was lost.
   kLeaderPaused,
   kLeaderCut,       // The leader cannot reach the store, nor peers the leader.
@@ -68,10 +68,10 @@
   // reset.
 
   // Connections from one node to the store and from its peers.
-  kNodeConnectionsSilent = kSecondKindsEnd,
-  kAllConnectionsSilent,  // All nodes, including those to workers.
-  kChangeAfterAllSilent,  // The same, soon followed by a change.
-  kThirdKindsEnd,         // The end of `SoakFaultSet::kSilences`.
+  kNodeConnectionsBlackholed = kSecondKindsEnd,
+  kAllConnectionsBlackholed,  // All nodes, including those to workers.
+  kChangeAfterAllBlackholed,  // The same, soon followed by a change.
+  kThirdKindsEnd,             // The end of `SoakFaultSet::kSilences`.
 
   // A job whose tasks crash each worker that starts them.
   kCrashingJob = kThirdKindsEnd,
@@ -128,23 +128,24 @@
   void DisruptPeerPath(const std::vector<int>& nodes, FaultProxy::Mode mode,
                        const char* what, FaultThreads* fault_threads);
   void CutZone(int zone, FaultThreads* fault_threads);
-  void SilenceStorePath(int node, absl::Duration time,
-                        FaultThreads* fault_threads);
-  void SilencePeerPath(int node, absl::Duration time,
-                       FaultThreads* fault_threads);
+  void BlackholeStorePath(int node, absl::Duration time,
+                          FaultThreads* fault_threads);
+  void BlackholePeerPath(int node, absl::Duration time,
+                         FaultThreads* fault_threads);
 
-  void StoreFault(FaultThreads* fault_threads);
+  void InjectStoreFault(FaultThreads* fault_threads);
   void SetStoreFaults(SiteStore::Faults faults);
-  void SetLostOrders(double share);
-  void UnansweredPolls(absl::Duration time, FaultThreads* fault_threads);
-  void PollsMissChange(FaultThreads* fault_threads);
-  void LateAppends(absl::Duration time, FaultThreads* fault_threads);
-  void ChangeDuringSilence(int node, bool drop_history, absl::Duration time,
-                           FaultThreads* fault_threads);
-  void SilenceNodeConnections(int node);
-  void SilenceAllConnections();
-  void NewConfiguration();
-  void CrashingJob(int node);
+  void SetLostOrderReplies(double share);
+  void DropPollResponses(absl::Duration time, FaultThreads* fault_threads);
+  void PublishChangeMissedByPolls(FaultThreads* fault_threads);
+  void DelayAppends(absl::Duration time, FaultThreads* fault_threads);
+  void PublishChangeDuringOutage(int node, bool drop_history,
+                                 absl::Duration time,
+                                 FaultThreads* fault_threads);
+  void BlackholeNodeConnections(int node);
+  void BlackholeAllConnections();
+  void PublishNewConfiguration();
+  void SubmitCrashingJob(int node);
   void ShrinkWorker(int worker, absl::Duration time);
   void BeginRestartKinds(FaultKind kind, int node, int worker,
                          FaultThreads* fault_threads);
@@ -169,7 +170,7 @@
   std::mt19937_64 random_;
   std::vector<std::mutex> node_mutexes_;
   std::mutex configuration_mutex_;
-  int64_t configuration_ = 1;
+  int64_t configuration_version_ = 1;
   uint64_t crashing_jobs_ = 0;
 };
 
--- a/testing/support/soak_monitor.cc
+++ b/testing/support/soak_monitor.cc
@@ -106,7 +106,7 @@
   if (status != kGone && status != kNotFound) return;
   if (!jobs_.MustBeKnown(job)) return;
   const absl::Time accepted = jobs_.Get(job).accepted_at;
-  record_.Fault(
+  record_.RecordViolation(
       absl::StrCat("LOST ", job, " at ", node),
       absl::StrCat(
           "LOST: job ", JobIdText(job), ", accepted at ",
@@ -132,13 +132,13 @@
   if (!version) return;
   observation.version = *version;
   observation.after = node_disturbances_.Get(node);
-  const std::string fault = configurations_.CheckObservation(observation);
+  const std::string violation = configurations_.CheckObservation(observation);
   // Report each version at most once per incarnation.
-  if (!fault.empty())
-    record_.Fault(
+  if (!violation.empty())
+    record_.RecordViolation(
         absl::StrCat("CONFIG ", node, " life ", observation.before.incarnation,
                      " newest ", configurations_.newest()),
-        fault);
+        violation);
 }
 
 std::optional<int64_t> SoakMonitor::FindServedVersion(int node,
--- a/testing/support/soak_record.cc
+++ b/testing/support/soak_record.cc
@@ -19,7 +19,8 @@
   events_.push_back(WithTime(what));
 }
 
-void SoakRecord::Fault(const std::string& key, const std::string& what) {
+void SoakRecord::RecordViolation(const std::string& key,
+                                 const std::string& what) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!keys_.insert(key).second) return;
   faults_.push_back(WithTime(what));
--- a/testing/support/soak_record.h
+++ b/testing/support/soak_record.h
@@ -27,8 +27,8 @@
   void RecordEvent(const std::string& what);
   // Records a violation. Only the first one of each `key` is kept, so that each
   // cause is reported once.
-  void Fault(const std::string& what) { Fault(what, what); }
-  void Fault(const std::string& key, const std::string& what);
+  void RecordViolation(const std::string& what) { RecordViolation(what, what); }
+  void RecordViolation(const std::string& key, const std::string& what);
 
   std::vector<std::string> events() const;
   std::vector<std::string> faults() const;
--- a/testing/support/soak_state_test.cc
+++ b/testing/support/soak_state_test.cc
@@ -51,9 +51,9 @@
 
 TEST_CASE("soak record: only the first fault of each key is kept") {
   SoakRecord record;
-  record.Fault("key", "first");
-  record.Fault("key", "second");
-  record.Fault("other", "third");
+  record.RecordViolation("key", "first");
+  record.RecordViolation("key", "second");
+  record.RecordViolation("other", "third");
   CHECK(record.faults().size() == 2);
 }
 
--- a/testing/support/zone_harness.cc
+++ b/testing/support/zone_harness.cc
@@ -31,10 +31,11 @@
     slot.wall_clock_error = absl::Milliseconds(error(random_));
     slot.fake = std::make_unique<FakeWorker>(
         worker, next_incarnation_++, now_ - absl::Hours(1),
-        [this](const RunEvent& fact) {
-          facts_.push_back(fact);
-          Trace(absl::StrCat(fact.worker, fact.begins ? " begins " : " ends ",
-                             fact.task, "#", fact.attempt, " ", fact.how));
+        [this](const RunEvent& run_event) {
+          run_events_.push_back(run_event);
+          Trace(absl::StrCat(
+              run_event.worker, run_event.begins ? " begins " : " ends ",
+              run_event.task, "#", run_event.attempt, " ", run_event.how));
         });
   }
   nodes_.resize(static_cast<size_t>(options_.schedulers));
@@ -71,7 +72,7 @@
   options.leases.wait_for_certainty = options_.mechanisms.wait_for_certainty;
   options.log.incarnation = options.incarnation;
   options.log.seed = options.seed;
-  options.snapshot_every = options_.snapshot_every;
+  options.records_per_snapshot = options_.records_per_snapshot;
   node.incarnation = options.incarnation;
   node.paused = false;
   node.queued_events.clear();
@@ -410,7 +411,7 @@
 
 std::vector<std::string> ZoneHarness::FindViolations() {
   for (Worker& worker : workers_) worker.fake->Advance(now_);
-  return CheckRuns(facts_, Rules());
+  return CheckRuns(run_events_, Rules());
 }
 
 }  // namespace keelbridge::testing
--- a/testing/support/zone_harness.h
+++ b/testing/support/zone_harness.h
@@ -56,7 +56,7 @@
     SafetyMechanisms mechanisms = {};
     absl::Duration step = absl::Milliseconds(20);
     absl::Duration log_retention = absl::InfiniteDuration();
-    int64_t snapshot_every = 2000;
+    int64_t records_per_snapshot = 2000;
     bool trace = false;  // Prints all events and injected faults.
   };
 
@@ -113,7 +113,7 @@
   FakeWorker& worker(int i) { return *workers_[i].fake; }
   FakeLog& log() { return log_; }
   absl::Time now() const { return now_; }
-  const std::vector<RunEvent>& facts() const { return facts_; }
+  const std::vector<RunEvent>& run_events() const { return run_events_; }
   size_t Running() const;
   RunRules Rules() const;
   // Ends all tasks that are due and expired leases, then returns the violations
@@ -176,7 +176,7 @@
   bool log_down_ = false;
   bool log_loses_answers_ = false;
   std::map<std::pair<int, int>, bool> cuts_;  // Value: one way.
-  std::vector<RunEvent> facts_;
+  std::vector<RunEvent> run_events_;
   std::set<std::string> may_overlap_;
   std::set<std::string> non_repeatable_;
   uint64_t next_incarnation_ = 1;
--- a/testing/support/zone_test_cluster.cc
+++ b/testing/support/zone_test_cluster.cc
@@ -228,7 +228,7 @@
   return client.Send(request, timeout);
 }
 
-std::vector<Json::Value> ZoneTestCluster::Requests(
+std::vector<Json::Value> ZoneTestCluster::JournalEntries(
     const std::string& kind) const {
   std::vector<Json::Value> out;
   for (const std::string& line : platform_->Journal()) {
@@ -241,21 +241,21 @@
 int ZoneTestCluster::CountRequests(const std::string& key,
                                    const std::string& value) const {
   int runs = 0;
-  for (const Json::Value& row : Requests())
+  for (const Json::Value& row : JournalEntries())
     runs += row[key].asString() == value ? 1 : 0;
   return runs;
 }
 
-std::vector<RunEvent> ZoneTestCluster::RunFacts() const {
+std::vector<RunEvent> ZoneTestCluster::RunEvents() const {
   std::vector<RunEvent> out;
-  for (const Json::Value& row : Requests("run")) {
-    RunEvent fact;
-    fact.at = absl::FromUnixMillis(row["at_ms"].asInt64());
-    fact.worker = row["worker"].asString();
-    fact.task = row["task"].asString();
-    fact.attempt = row["attempt"].asInt64();
-    fact.begins = row["begins"].asBool();
-    out.push_back(std::move(fact));
+  for (const Json::Value& row : JournalEntries("run")) {
+    RunEvent run_event;
+    run_event.at = absl::FromUnixMillis(row["at_ms"].asInt64());
+    run_event.worker = row["worker"].asString();
+    run_event.task = row["task"].asString();
+    run_event.attempt = row["attempt"].asInt64();
+    run_event.begins = row["begins"].asBool();
+    out.push_back(std::move(run_event));
   }
   return out;
 }
--- a/testing/support/zone_test_cluster.h
+++ b/testing/support/zone_test_cluster.h
@@ -54,9 +54,10 @@
   HttpOutcome Send(int host, const HttpRequest& request,
                    absl::Duration timeout = absl::Seconds(10)) const;
   // Returns the journal entries of this kind, as their runners recorded them.
-  std::vector<Json::Value> Requests(const std::string& kind = "request") const;
+  std::vector<Json::Value> JournalEntries(
+      const std::string& kind = "request") const;
   int CountRequests(const std::string& key, const std::string& value) const;
-  std::vector<RunEvent> RunFacts() const;
+  std::vector<RunEvent> RunEvents() const;
 
   ChildProcess& gateway(int host) { return *hosts_[host].gateway; }
   ChildProcess& scheduler(int host) { return *hosts_[host].scheduler; }
--- a/testing/workload/naive_decider.h
+++ b/testing/workload/naive_decider.h
@@ -22,16 +22,16 @@
     return static_cast<WorkerId>(free_.size() - 1);
   }
 
-  TaskId Submit(const TaskSpec& spec) {
+  TaskHandle Submit(const TaskSpec& spec) {
     specs_.push_back(spec);
     workers_.push_back(kNoWorker);
-    queue_.push_back(static_cast<TaskId>(specs_.size() - 1));
+    queue_.push_back(static_cast<TaskHandle>(specs_.size() - 1));
     return queue_.back();
   }
 
   // Starts all queued tasks that fit now and returns them with their workers.
-  std::vector<std::pair<TaskId, WorkerId>> Decide() {
-    std::vector<std::pair<TaskId, WorkerId>> starts;
+  std::vector<std::pair<TaskHandle, WorkerId>> Decide() {
+    std::vector<std::pair<TaskHandle, WorkerId>> starts;
     for (auto it = queue_.begin(); it != queue_.end();) {
       const WorkerId worker = FindFirstFit(specs_[*it].need);
       if (worker == kNoWorker) {
@@ -46,7 +46,7 @@
     return starts;
   }
 
-  void OnEnded(TaskId id) { free_[workers_[id]] += specs_[id].need; }
+  void OnEnded(TaskHandle id) { free_[workers_[id]] += specs_[id].need; }
 
   WorkerId FindFirstFit(const Resources& need) {
     for (size_t w = 0; w < free_.size(); ++w) {
@@ -64,7 +64,7 @@
   std::vector<Resources> free_;
   std::vector<TaskSpec> specs_;
   std::vector<WorkerId> workers_;
-  std::list<TaskId> queue_;
+  std::list<TaskHandle> queue_;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/workload/report_main.cc
+++ b/testing/workload/report_main.cc
@@ -35,10 +35,10 @@
     sum.work_done += o.work_done / n;
     sum.stranded += o.stranded / n;
     sum.rework_s += o.rework_s / n;
-    sum.yields += o.yields;
+    sum.preempted += o.preempted;
     sum.examined_per_placement += o.examined_per_placement / n;
-    for (const std::string& fault : o.faults)
-      std::printf("FAULT: %s\n", fault.c_str());
+    for (const std::string& violation : o.violations)
+      std::printf("FAULT: %s\n", violation.c_str());
   }
   const auto seconds = [n](int64_t ms) {
     return static_cast<double>(ms) / n / 1000;
@@ -50,7 +50,7 @@
       seconds(sum.median_wait[1]), seconds(sum.p99_wait[1]),
       seconds(sum.median_wait[2]), seconds(sum.p99_wait[2]),
       100 * sum.deadlines_met, 100 * sum.used_while_waiting, sum.work_done,
-      100 * sum.stranded, static_cast<double>(sum.yields) / n,
+      100 * sum.stranded, static_cast<double>(sum.preempted) / n,
       sum.rework_s / 3600, sum.examined_per_placement);
 }
 
--- a/testing/workload/workload_run.cc
+++ b/testing/workload/workload_run.cc
@@ -114,7 +114,7 @@
     stranded_accelerators_ += StrandedAccelerators(free);
     used_cpu_ -= sign * need.cpu_milli;
     if (free.cpu_milli < 0 || free.memory_mib < 0 || free.accelerators < 0) {
-      out.faults.push_back(
+      out.violations.push_back(
           absl::StrCat("worker ", worker, " is overcommitted at ms ", now_ms_));
     }
   }
@@ -138,9 +138,9 @@
 
 struct End {
   int64_t at_ms;
-  TaskId task;
+  TaskHandle task;
   int64_t run;  // The number of the run that ends.
-  bool yields;
+  bool preempted;
   bool operator>(const End& other) const { return at_ms > other.at_ms; }
 };
 using EndQueue = std::priority_queue<End, std::vector<End>, std::greater<>>;
@@ -152,7 +152,7 @@
   int64_t started_ms = 0;
   int64_t remaining_ms = 0;
   int64_t saved_ms = 0;
-  int64_t yields = 0;
+  int64_t preempted = 0;
 };
 
 }  // namespace
@@ -173,7 +173,7 @@
   Decider decider = MakeDecider(workload, options);
   OutcomeRecorder recorder(workload);
   EndQueue ends;
-  std::map<TaskId, TaskState> tasks;
+  std::map<TaskHandle, TaskState> tasks;
   // Run numbers are unique, whereas task ids are reused.
   int64_t next_run = 0;
   size_t next = 0;
@@ -202,9 +202,9 @@
       TaskState& state = it->second;
       const WorkerId worker = decider.task(end.task).worker;
       const int64_t ran = now - state.started_ms;
-      recorder.End(state.arrival, worker, ran, !end.yields);
+      recorder.End(state.arrival, worker, ran, !end.preempted);
       state.run = ++next_run;
-      if (!end.yields) {
+      if (!end.preempted) {
         decider.OnEnded(end.task, now);
         tasks.erase(it);
         continue;
@@ -215,7 +215,7 @@
         state.remaining_ms = std::max<int64_t>(1, state.remaining_ms - ran);
       }
       recorder.out.max_preemptions_per_task =
-          std::max(recorder.out.max_preemptions_per_task, ++state.yields);
+          std::max(recorder.out.max_preemptions_per_task, ++state.preempted);
       decider.OnStopped(end.task, state.saved_ms, now);
     }
     for (const Order& order : decider.Decide(now, kDecisionBudget)) {
@@ -231,7 +231,7 @@
         ends.push({now + state.remaining_ms, order.task, state.run, false});
     }
   }
-  recorder.out.yields = decider.counts().yields;
+  recorder.out.preempted = decider.counts().preempted;
   recorder.out.placements = decider.counts().placements;
   recorder.out.examined_per_placement =
       static_cast<double>(decider.counts().examined) /
@@ -262,7 +262,7 @@
       naive.Submit(workload.arrivals[next].spec);
     }
     while (!ends.empty() && ends.top().at_ms <= now) {
-      const TaskId task = ends.top().task;
+      const TaskHandle task = ends.top().task;
       ends.pop();
       recorder.End(task, started[task].first, now - started[task].second, true);
       naive.OnEnded(task);
--- a/testing/workload/workload_run.h
+++ b/testing/workload/workload_run.h
@@ -33,11 +33,11 @@
   double stranded = 0;
   // Core seconds repeated because of preemptions.
   double rework_s = 0;
-  int64_t yields = 0;
+  int64_t preempted = 0;
   int64_t max_preemptions_per_task = 0;
   int64_t placements = 0;
   double examined_per_placement = 0;
-  std::vector<std::string> faults;  // Workers that were overcommitted.
+  std::vector<std::string> violations;  // Workers that were overcommitted.
 };
 
 // Runs the workload through the decision core with `options`.
--- a/testing/workload/workload_test.cc
+++ b/testing/workload/workload_test.cc
@@ -37,7 +37,7 @@
     const Workload workload = PictureDesk(Options(1.15, seed));
     const Outcome ours = Run(workload);
     const Outcome naive = RunNaive(workload);
-    CHECK(ours.faults.empty());
+    CHECK(ours.violations.empty());
     CHECK(ours.p99_wait[kUrgent] <= 2600);
     CHECK(2 * ours.p99_wait[kInteractive] <= naive.p99_wait[kInteractive]);
     CHECK(ours.deadlines_met >= naive.deadlines_met);
@@ -56,7 +56,7 @@
     const Workload workload = Conversion(Options(1.3, seed));
     const Outcome ours = Run(workload);
     const Outcome naive = RunNaive(workload);
-    CHECK(ours.faults.empty());
+    CHECK(ours.violations.empty());
     CHECK(ours.used_while_waiting >= 0.97 * naive.used_while_waiting);
     CHECK(ours.p99_wait[kUrgent] <= 2600);
     CHECK(ours.p99_wait[kInteractive] <= naive.p99_wait[kInteractive]);
@@ -100,7 +100,7 @@
       const Outcome ours = Run(PictureDesk(Options(load, 5, duration_factor)));
       CAPTURE(duration_factor);
       CAPTURE(load);
-      CHECK(ours.faults.empty());
+      CHECK(ours.violations.empty());
       CHECK(ours.p99_wait[kUrgent] <= 2600);
       // Tasks that have not started yet count with their wait so far.
       CHECK(ours.max_wait[kUrgent] <= 5200);
