--- a/keelbridge/coordination/crash_verdict.cc
+++ b/keelbridge/coordination/crash_verdict.cc
@@ -18,8 +18,8 @@
 // Minimum number of other workers lost at the same time that counts as a wave.
 // A single one may be lost to a different task.
 constexpr int kMinWaveLosses = 2;
-// A task is given up if the probability that a sound task meets its crashes is
-// at most this.
+// A task is given up if the probability that a sound task has this many crashes
+// by chance is at most this.
 constexpr double kMaxChance = 1e-4;
 // Minimum number of crashes before a task is given up: kMinCrashes if at least
 // two of the runs are known to have begun, otherwise kMinCrashesUnconfirmed.
--- a/keelbridge/coordination/crash_verdict.h
+++ b/keelbridge/coordination/crash_verdict.h
@@ -53,8 +53,8 @@
 // its start.
 double ChanceCrashProbability(absl::Duration ran, const CrashContext& context);
 
-// Returns the probability that a sound task meets at least as many crashes by
-// chance as `crashes` lists.
+// Returns the probability that a sound task has, by chance, at least as many
+// crashes as `crashes` lists.
 double ChanceCrashesProbability(const std::vector<CrashedRun>& crashes);
 
 // Returns whether the consecutive crashes during a task's runs are attributed
--- a/keelbridge/coordination/job_scheduler.h
+++ b/keelbridge/coordination/job_scheduler.h
@@ -92,7 +92,7 @@
 enum class WorkerLoss {
   kCrash,  // Another incarnation answered without an announced departure.
   kLeft,   // Another incarnation answered after an announced departure.
-  kUnresponsive,  // No answer for a whole lease: crashed, cut off or gone.
+  kUnresponsive,  // No answer for a whole lease: crashed, disconnected or gone.
 };
 const char* WorkerLossName(WorkerLoss loss);
 
@@ -165,8 +165,8 @@
 
   // --- The site ---
   void SetConfiguration(std::shared_ptr<const SiteConfiguration> configuration);
-  // Sets the nodes that can ask for advice, including this node, `self`.
-  // `nodes` may contain `self`.
+  // Sets the nodes that can ask for advice. `nodes` may contain this node,
+  // `self`, which is then the first to be reserved for short calls.
   void SetAdvisers(const std::vector<std::string>& nodes,
                    const std::string& self);
   // While suspended, the scheduler starts nothing and extends no lease, because
@@ -272,6 +272,8 @@
     // The size of the run is unknown because its job's description is gone.
     bool unknown_size = false;
     absl::Time start_answered = absl::InfiniteFuture();
+    // When this leader placed the run here or found it here. If the order
+    // waited until the placement was durable: when the order was sent.
     absl::Time placed;
     // When this leader sent its order to start the run.
     absl::Time ordered = absl::InfinitePast();
@@ -279,7 +281,7 @@
     absl::Time stop_answered = absl::InfiniteFuture();
     bool should_stop = false;
     bool stop_in_flight = false;
-    // The run was found running, so that its start time is unknown.
+    // This leader found the run running, so its start time is unknown.
     bool adopted = false;
     // A report of this incarnation of the worker contained the run.
     bool reported = false;
@@ -291,9 +293,10 @@
     absl::Time check_at = absl::InfiniteFuture();
     int32_t percent = 0;
     absl::Time percent_changed;
-    // A run that saves its progress may be preempted for steps of a lower tier
-    // number than `preemptible_below`, until its job could no longer be in
-    // time. 0: it is not preemptible.
+    // A run that saves its progress may be preempted for steps whose queue has
+    // a lower priority number, and thus more urgent work, than
+    // `preemptible_below`, until its job could no longer be in time. 0: it is
+    // not preemptible.
     int32_t preemptible_below = 0;
     absl::Time preemptible_until = absl::InfinitePast();
   };
@@ -324,9 +327,9 @@
     std::vector<TaskId> last_tasks_of_earlier;
     Resources free;
     Allocations allocations;
-    // What the allocations use whose runs should stop.
+    // Resources of the allocations whose runs should stop.
     Resources stopping;
-    // A run may have to be stopped, or a start got no answer.
+    // There may be a run that should stop, or a start that got no answer.
     bool unresolved = false;
     // The earliest `check_at` of the allocations.
     absl::Time next_check = absl::InfiniteFuture();
@@ -352,14 +355,15 @@
     int64_t report_clock_ms = -1;
     absl::Time next_observe = absl::InfinitePast();
     absl::Time last_answer = absl::InfinitePast();
-    // Since when an order or observation is unanswered and nothing else was
-    // answered.
+    // When the first order or observation got no answer since the worker last
+    // answered one.
     absl::Time unanswered_since = absl::InfiniteFuture();
     // When the first observation after the last successful one failed.
     absl::Time failing_since = absl::InfiniteFuture();
     int failed_observations = 0;
     // Ends up to this number are acknowledged to the worker.
     int64_t ends_acknowledged = 0;
+    // Ends up to this number were processed by this leader.
     int64_t ends_processed = 0;
     // Ends that are not durable yet: the number of each and its batch.
     std::deque<std::pair<int64_t, int64_t>> unacknowledged_ends;
@@ -368,6 +372,8 @@
     absl::Time clock_at;
     // By this time the lease has expired, so that all runs have ended.
     absl::Time lease_expires_at = absl::InfinitePast();
+    // The worker gets no new tasks before this time, because it failed tasks or
+    // refused or did not receive orders.
     absl::Time suspect_until = absl::InfinitePast();
     // A suspect task was started here, by itself. Nothing else starts here
     // until the worker has answered after this time.
@@ -400,7 +406,7 @@
     int gangs = 0;
     // Further gangs, which lack only tickets.
     int ready_gangs = 0;
-    int single_task_steps = 0;
+    int single_task_steps = 0;  // Steps that are not gangs.
   };
   // A step that has tasks to place, with the keys that order it among the other
   // steps.
@@ -410,8 +416,8 @@
     StepState* state;
     const StepSpec* spec;
     const Queue* queue;
-    int32_t number;
-    int32_t waiting;
+    int32_t number;   // Index of the step in its job.
+    int32_t waiting;  // Tasks that may start now; see also `asks_ahead`.
     // Tasks of the step that this leader has not observed may still run under
     // the lease of an earlier leader.
     bool may_run_unobserved;
@@ -420,7 +426,9 @@
     bool placements_incomplete;
     // The step is long-running, and some of its tasks run nowhere.
     bool down;
-    // 0: the objective of the job can still be met.
+    // Steps of a lower tier are placed first. 0: the objective of the job can
+    // still be met. 1: the job is late, by less than `kMaxObjectiveFactor`
+    // allows. 2: it is later than that. Negative: see `down`.
     int tier;
     // The latest start that meets the objective.
     absl::Time latest_start;
@@ -432,7 +440,7 @@
     bool pool_mostly_idle = false;
     int32_t pool_workers = 0;
     // The step has no tasks to place, but some of its tasks must restart soon,
-    // so that it asks for advice ahead of time.
+    // so that it asks for advice ahead of time. `waiting` counts those tasks.
     bool asks_ahead = false;
   };
 
@@ -510,14 +518,16 @@
   void HandleWorkerLoss(Worker& worker, WorkerLoss loss, Worker* next, Now now);
   static absl::Duration RunDurationUntil(const Allocation& allocation,
                                          absl::Time lost);
+  // Which of the runs on a lost worker may have crashed it.
   struct SuspectCriteria {
-    // Those that had been at work for less.
+    // Only runs that were shorter than this when the worker was lost.
     absl::Duration max_run_duration = absl::InfiniteDuration();
     bool begun_only = false;  // Only runs that are known to have begun.
   };
-  // A worker that crashed.
+  // A crash, or a possible crash, of a worker.
   struct Crash {
-    absl::Time lost;  // The first sign of it.
+    absl::Time lost;  // The time of the first sign of the crash.
+    // Recorded crashes of the same machine that no suspect task explains.
     int earlier_machine_crashes = 0;
     SuspectCriteria criteria;
   };
@@ -533,8 +543,8 @@
   // unresponsive worker at the same machine, if that worker was another
   // incarnation.
   void AttributeUnresponsiveLosses(const Worker& answering, Now now);
-  // Records the crash of a worker. Returns how many earlier crashes of its
-  // machine are recorded.
+  // Records the crash of a worker. Returns how many recent earlier crashes of
+  // its machine are recorded that no suspect task explains.
   int RecordCrash(const Worker& worker, const Allocations& runs,
                   absl::Time lost);
   // Returns the number of other workers that were lost at about the same time
@@ -604,7 +614,8 @@
                       absl::Time lost, Now now);
 
   // job_scheduler_incarnations.cc
-  // Returns all incarnations of the worker `name`, at most one of which exists.
+  // Returns the known incarnations of the worker `name`. At most one of them
+  // still runs.
   std::vector<Worker*> IncarnationsOf(const std::string& name);
   // Handles the answer of another incarnation in place of `worker`. `next_id`
   // identifies that incarnation, or is empty if the answer does not name it.
@@ -763,7 +774,8 @@
   void MaybeAskAdvice(ReadyStep& step, const PoolCapacity& pool, Now now);
   // Returns the capacity of each pool, by pool name.
   std::map<std::string, PoolCapacity> FindPoolCapacity() const;
-  // Returns whether the step depends on a step that ended under this leader.
+  // Returns whether the step depends on a step that this leader observed before
+  // its end, so that no earlier leader can have started the dependent step.
   static bool DependsOnObservedStep(const Job& job, const Round& round,
                                     size_t step);
   // Returns whether the task waits and no retry delay, earlier lease or
@@ -785,14 +797,15 @@
   void MoveTaskFromLeavingWorker(ReadyStep& ready, Now now);
 
   // job_scheduler_waiting.cc
-  // What there is for a step that waits. In tasks of it.
+  // The capacity that is available to a waiting step. `fits` and the fields
+  // named after it count tasks of the step.
   struct WaitingCapacity {
-    int64_t fits = 0;             // On all workers of its pool.
-    int64_t fits_eligible = 0;    // On those known to be allowed to run it,
-    int64_t fits_unreserved = 0;  // of that, what is not kept for others,
-    int64_t fits_ticketed = 0;    // and on those that it has a ticket of.
+    int64_t fits = 0;             // On all workers of the pool.
+    int64_t fits_eligible = 0;    // On workers known to be eligible.
+    int64_t fits_unreserved = 0;  // On these, without reserved capacity.
+    int64_t fits_ticketed = 0;    // On eligible workers with a valid ticket.
     int32_t eligible_workers = 0;
-    int32_t ineligible_workers = 0;  // Known not to be allowed to.
+    int32_t ineligible_workers = 0;  // Known not to be eligible.
   };
   WaitingCapacity FindWaitingCapacity(const ReadyStep& ready, Now now) const;
   // Logs some of the steps that have waited for long, at most once per
@@ -820,7 +833,7 @@
   // ones. Returns false if no member is placed.
   bool CompleteGang(ReadyStep& ready, Now now);
 
-  // job_scheduler_room.cc
+  // job_scheduler_reservations.cc
   struct ReservationOption;
   // Reserves capacity for a blocked step ahead of all steps ordered after it,
   // where capacity becomes free soonest, and preempts less urgent runs for it.
@@ -869,7 +882,7 @@
   // valid when the answer to an advice request sent now arrives.
   bool HasTicketBeyondNextCall(const Worker& worker, const ReadyStep& ready,
                                Now now) const;
-  // A worker for which a step lacks a ticket.
+  // A worker that an advice call for a step may name.
   struct AdviceCandidate;
   // Returns how many workers an advice call for the queue names even if fewer
   // would suffice, because naming them costs little. 0: the call names no more
@@ -880,9 +893,10 @@
   bool ReservedTicketExpires(const ReadyStep& ready, Now now) const;
   // Returns the learned share of workers that may run a step of the queue.
   double EligibleShare(const Queue& queue) const;
-  // A worker that a call names, and the processors hoped for there.
+  // A worker that an advice call names.
   struct NamedWorker {
     Worker* worker;
+    // CPU, in thousandths of a processor, that the step expects to use there.
     int32_t expected_cpu_milli;
   };
   // Makes one advice call. Returns false if no adviser is free.
@@ -907,12 +921,16 @@
   void EnsureSingleTaskAdvice(ReadyStep& ready, Now now);
   void EnsureGangAdvice(ReadyStep& ready, Now now);
   struct GangAdviceWorkers;
-  // Workers that a gang may be asked about, those with most room first.
+  // Workers that advice calls for a gang may name. Of the workers on which a
+  // task fits now, those with capacity reserved for the gang come first, then
+  // those with the most free capacity.
   struct GangCandidates {
-    std::vector<AdviceCandidate> eligible;  // Known to be allowed to run it.
+    std::vector<AdviceCandidate> eligible;  // Known to be eligible.
     std::vector<AdviceCandidate> unknown;
-    int32_t eligible_fits = 0;  // Tasks that fit at the good ones now,
-    int32_t eligible_fits_when_empty = 0;  // and when nothing else runs there.
+    // Tasks that fit on the eligible workers now, and when nothing else runs
+    // there.
+    int32_t eligible_fits = 0;
+    int32_t eligible_fits_when_empty = 0;
   };
   GangCandidates FindGangCandidates(const ReadyStep& ready, Now now);
   Adviser* FindFreeAdviser(double cost_ms, Now now);
@@ -981,7 +999,7 @@
   // A worker to which an earlier leader may have assigned tasks has crashed
   // under this leader.
   bool unobserved_worker_crashed_ = false;
-  // Starts that were recorded because of such a crash.
+  // Number of starts that were recorded because of such a crash.
   int unobserved_starts_recorded_ = 0;
   // By worker: recovered tasks whose run there may have crashed the worker.
   std::map<std::string, std::vector<TaskId>> crash_suspects_;
@@ -1013,12 +1031,13 @@
   int32_t starts_left_ = 0;
   int32_t advice_searches_left_ = 0;
   size_t concurrent_calls_left_ = 0;  // See ExtraGangCallsLeft.
-  // In the current placement pass, no node can take a short call for advice,
-  // or a long one.
+  // In the current placement pass, no adviser can take another short call, or
+  // another long one.
   bool short_advisers_busy_ = false;
   bool long_advisers_busy_ = false;
   size_t ready_steps_ = 0;  // Steps in the current placement pass.
-  // More steps wait than capacity is reserved for.
+  // The site has a backlog (see `kBacklogMinSteps`): no run is preempted, and
+  // of the steps of single tasks only those that are down reserve capacity.
   bool backlogged_ = false;
   // Workers to check before the next sweep.
   std::vector<Worker*> scheduled_checks_;
@@ -1030,7 +1049,7 @@
   bool attempts_unchecked_ = true;
   absl::Time no_placement_before_ = absl::InfinitePast();
   absl::Time next_late_pass_ = absl::InfinitePast();
-  // Late steps are left to a later placement pass.
+  // The current placement pass leaves late steps to a later one.
   bool late_steps_deferred_ = false;
   // The last tick made a placement pass.
   bool tick_had_placement_pass_ = false;
--- a/keelbridge/coordination/job_scheduler_advice.cc
+++ b/keelbridge/coordination/job_scheduler_advice.cc
@@ -39,8 +39,8 @@
 constexpr double kEligibleShareWeight = 0.2;
 constexpr double kMinEligibleShare = 0.1;
 // Advice is requested for this multiple of the capacity that is needed, because
-// answers scatter, and because other steps use capacity while an answer is in
-// transit.
+// the share of eligible workers varies between answers, and because other steps
+// use capacity while an answer is in transit.
 constexpr double kAdviceMargin = 1.4;
 constexpr double kGangMargin = 2.0;
 // Limit of the advice service for one call.
@@ -56,9 +56,9 @@
 constexpr double kGangAdviserShare = 0.5;
 constexpr size_t kMinExtraGangCalls = 16;
 constexpr size_t kMinNamedWorkers = 4;
-// Cost of naming workers in one call, as a share of the fixed cost of the call,
-// up to which a call names more workers than it needs. A call that names too
-// few has to be repeated at its full cost.
+// A call names more workers than it needs while naming them costs at most this
+// share of the fixed cost of the call. A call that names too few workers has to
+// be repeated at its full cost.
 constexpr double kNamingCostShare = 0.5;
 // Short calls name more workers than they need only while at most this many
 // steps wait, because there are many such calls. Naming 35 workers where 4
@@ -79,7 +79,7 @@
     }
     next.push_back(adviser);
   }
-  // With enough nodes, one or two take no long calls.
+  // With enough nodes, one or two of them take only short calls.
   std::sort(next.begin(), next.end(), [&](const Adviser& a, const Adviser& b) {
     return std::make_pair(a.node != self, a.node) <
            std::make_pair(b.node != self, b.node);
@@ -125,8 +125,8 @@
                     kMinSearchInterval, kMaxSearchInterval);
 }
 
-// On a site with a backlog most steps find no free adviser. This is checked
-// before all workers are searched on their behalf.
+// On a site with a backlog most steps find no free adviser, so the advisers are
+// checked before all workers are searched for candidates.
 bool JobScheduler::TryTakeAdviceSearch(const ReadyStep& ready, Now now) {
   const StepAdvice& advice = ready.state->advice;
   if (advice.calls_in_flight > 0 || advice.next_ask_at > now.mono ||
@@ -272,12 +272,12 @@
 
 struct JobScheduler::AdviceCandidate {
   Worker* worker;
-  int32_t fits;             // Number of tasks that fit now.
-  int32_t fits_when_empty;  // Number of tasks that fit when nothing else runs
-                            // there.
-  bool eligible;            // Known to be allowed to run the step.
-  size_t number;            // Rank in the order of worker ids.
-  bool reserved = false;    // Capacity is reserved there for the step.
+  int32_t fits;  // Number of tasks that fit now.
+  // Number of tasks that fit when nothing else runs there.
+  int32_t fits_when_empty;
+  bool eligible;          // Known to be allowed to run the step.
+  size_t number;          // Rank in the order of worker ids.
+  bool reserved = false;  // Capacity is reserved there for the step.
 };
 
 void JobScheduler::EnsureSingleTaskAdvice(ReadyStep& ready, Now now) {
--- a/keelbridge/coordination/job_scheduler_advice_test.cc
+++ b/keelbridge/coordination/job_scheduler_advice_test.cc
@@ -1,5 +1,5 @@
-// Tests whom the scheduler asks for advice, and which tasks it starts, moves
-// and delays.
+// Tests when and about which workers the scheduler asks for advice, and which
+// tasks it starts, moves and delays.
 
 #include <doctest/doctest.h>
 
@@ -252,8 +252,8 @@
     "backlog") {
   const size_t some = StartsInOneSecond(300);
   const size_t many = StartsInOneSecond(2500);
-  MESSAGE("started in a second with 10,000 tasks waiting: 40 before, ", many,
-          " after; with 1,200: ", some);
+  MESSAGE("tasks started in a second with 10,000 waiting (40 with the fault): ",
+          many, "; with 1,200 waiting: ", some);
   CHECK(many >= 400);
   CHECK(static_cast<double>(many) >= 0.9 * static_cast<double>(some));
 }
--- a/keelbridge/coordination/job_scheduler_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_gangs_test.cc
@@ -101,8 +101,9 @@
   CHECK(longest <= absl::Seconds(3));
 }
 
-// Gangs wait on a full site, and no adviser is available from `unadvised` on.
-// Returns how many times a worker was tried in one second after that.
+// Gangs wait on a full site, and no adviser is available any more once
+// `advised_for` has passed since they were submitted. Returns how many times a
+// worker was tried in one second after that.
 int64_t WorkersTriedInOneSecond(absl::Duration advised_for) {
   WideSite site;
   for (JobId job = 100; job < 122; ++job)
--- a/keelbridge/coordination/job_scheduler_late_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_late_gangs_test.cc
@@ -4,10 +4,10 @@
 // tasks of wide gangs wait, little else is left, and up to half of the
 // processors idle although the accepted work would fit. A gang starts once the
 // leader knows enough eligible workers and has capacity and tickets on them at
-// the same time. The fault comes about if the leader asks about 100 workers per
-// call, in consecutive calls of 1.5 s, and not at all while earlier gangs ask
-// about twice the free capacity, and if only four gangs reserve capacity until
-// their tickets arrive.
+// the same time. The fault has three causes: the leader asks for a gang in
+// consecutive calls of 1.5 s about 100 workers each, it does not ask at all
+// while earlier gangs ask about twice the free capacity, and only four gangs
+// reserve capacity until their tickets arrive.
 //
 // With that fault, gangs of 19 to 137 tasks were left at the end of a day after
 // 1 to 10 calls for about 100 workers each. In this test (60 gangs, seed 1, 10
--- a/keelbridge/coordination/job_scheduler_losses.cc
+++ b/keelbridge/coordination/job_scheduler_losses.cc
@@ -30,10 +30,9 @@
 // worker stays unreachable, the other tasks of the step wait no longer than
 // this.
 constexpr absl::Duration kProbeTimeout = absl::Seconds(4);
-// Maximum share of the pool's workers, and the number of workers that are
-// allowed in any case, that a step may use until one of its tasks has run for
-// `kProvingTime`. If the tasks crash the workers that start them, most workers
-// are left.
+// Until one of its tasks has run for `kProvingTime`, a step may use at most
+// this share of the pool's workers, or `kMinUnprovenWorkers` if that is more.
+// If its tasks crash the workers that start them, most workers are left.
 constexpr double kMaxUnprovenWorkerShare = 0.25;
 constexpr int32_t kMinUnprovenWorkers = 2;
 // From this number of crashes on, the next start of a task waits until the
@@ -175,7 +174,7 @@
   if (found == unresponsive_losses_.end()) return;
   const UnresponsiveLoss loss = std::move(found->second);
   unresponsive_losses_.erase(found);
-  // The worker was only unresponsive.
+  // The same incarnation answers again: the worker was only unresponsive.
   if (loss.worker == answering.record.id) return;
   for (const auto& [id, crash] : loss.runs) {
     const auto job = jobs_.find(id.job);
@@ -460,9 +459,10 @@
 }
 
 // A leader that is lost together with the worker, before any sign of the crash,
-// leaves no record of it. Its successor cannot determine which task caused the
-// crash. It records each start of recovered tasks that it has not observed, so
-// that the next leader can.
+// leaves no record of the crash, and its successor cannot determine which task
+// caused it. Once it learns of such a crash, the successor therefore records
+// each start of a recovered task that it has not observed. If it is lost in the
+// same way, the next leader knows the task.
 void JobScheduler::RecordUnobservedStart(const ReadyStep& ready,
                                          const TaskId& task,
                                          const StartAction& action, Now now) {
@@ -508,8 +508,8 @@
   return !history.crashes.empty();
 }
 
-// While the store is unavailable, a leader that started tasks from its
-// in-memory state alone would leave its successor to repeat the starts from the
+// If such a task could start while the store is unavailable, its latest crashes
+// would be recorded nowhere, and a later leader would repeat the starts from an
 // older record.
 bool JobScheduler::MustBeDurable(const ReadyStep& ready,
                                  const TaskState& task) {
--- a/keelbridge/coordination/job_scheduler_losses_test.cc
+++ b/keelbridge/coordination/job_scheduler_losses_test.cc
@@ -77,8 +77,9 @@
   site.crashes = [](const TaskId& task) { return task.job == 7; };
   site.Run(absl::Seconds(60));
   CHECK(site.Status(7) == JobState::kFailed);
-  // Users consider the task endlessly repeated at the third start after three
-  // crashes, and failed without a cause before two crashes.
+  // Users consider a task endlessly repeated if it starts a third time after
+  // three crashes, and failed without a cause if it is given up before two
+  // crashes.
   CHECK(site.StartsOf(7) <= kMaxStartsOfCrashingTask);
   CHECK(site.StartsOf(7) >= kMinCrashes);
 }
@@ -123,7 +124,8 @@
   std::map<std::string, Record> stored_records;
   bool failed = false;
   for (int64_t epoch = 1; epoch <= 8 && !failed; ++epoch) {
-    // All nodes lose power in between, so only the durable records are left.
+    // All nodes lose power between two leaders, so only the durable records are
+    // left.
     CrashingSite site(epoch, 3, 16000, stored_records);
     if (epoch == 1) site.Submit(7, OneTask());
     site.crashes = [](const TaskId& task) { return task.job == 7; };
@@ -185,8 +187,8 @@
 }
 
 TEST_CASE(
-    "job scheduler: unresponsive and leaving workers are attributed to no "
-    "task") {
+    "job scheduler: losses of unresponsive and leaving workers are attributed "
+    "to no task") {
   CrashingSite site(1, 2);
   site.work = absl::Seconds(100);
   site.Submit(7, OneTask());
--- a/keelbridge/coordination/job_scheduler_placement.cc
+++ b/keelbridge/coordination/job_scheduler_placement.cc
@@ -54,7 +54,7 @@
 // is free in a pool that counts as idle.
 constexpr int kMaxReservingReadyGangs = 32;
 // A pool is idle while more than this share of its processors is free. Users
-// consider a job lost that does not run for 3 s while less than half of the
+// consider a job lost if it does not run for 3 s while less than half of the
 // processors are in use. With 160 gangs of 40 tasks submitted at once on 1,100
 // workers, a gang that would have fitted twice waited up to 5.3 s; with
 // concurrent advice calls and reservations for the gangs of an idle pool it
@@ -257,10 +257,10 @@
 }
 
 // A long-running task on a leaving worker would run until the worker is gone,
-// and would then be down for the worker's lease (9.7 s, seen with leases of 9
-// s), because the leader cannot distinguish a worker that has left from one
-// that is disconnected. A task that is stopped while the worker still answers
-// is down only for the stop and the new start.
+// and would then be down until the worker's lease expires (for 9.7 s with
+// leases of 9 s), because the leader cannot distinguish a worker that has left
+// from one that is disconnected. A task that is stopped while the worker still
+// answers is down only for the stop and the new start.
 void JobScheduler::MoveTaskFromLeavingWorker(ReadyStep& ready, Now now) {
   const std::vector<int32_t> leaving =
       FindTasksOnLeavingWorkers(*ready.spec, *ready.state);
@@ -562,7 +562,8 @@
         ready, "a worker crashed while running it: one task is tried first");
   const std::vector<Worker*> usable = FindUsableWorkers(ready, now);
   WorkerQuota quota = ComputeWorkerQuota(ready, now);
-  // Suspects start first, because their outcome tells most about the step.
+  // Suspects start first, because their outcome is the best evidence for or
+  // against the step.
   if (ready.state->crashed &&
       !PlaceTasks(ready, /*suspects=*/true, usable, quota, &may_start, now))
     return;
--- a/keelbridge/coordination/job_scheduler_recovery_test.cc
+++ b/keelbridge/coordination/job_scheduler_recovery_test.cc
@@ -86,7 +86,7 @@
   CHECK(second.starts[0].task == kTask);
 }
 
-// The record of a worker that leaves says that nothing runs there.
+// The record of a worker that leaves while nothing runs there says so.
 TEST_CASE(
     "job scheduler: recovered tasks do not wait for a worker that was empty "
     "when it left") {
@@ -184,9 +184,9 @@
   }
 }
 
-// Otherwise a few workers that have left delay all recovered tasks: in a
-// simulation 14 workers had left with 26 tasks, and the next leader held back
-// 8,508 tasks for 10 s.
+// Guards against a few workers that have left delaying all recovered tasks: in
+// a simulation 14 workers had left with 26 tasks, and the next leader did not
+// start 8,508 tasks for 10 s.
 TEST_CASE(
     "job scheduler: only the recovered tasks that a worker left with wait for "
     "its lease") {
--- a/keelbridge/coordination/job_scheduler_reservations.cc
+++ b/keelbridge/coordination/job_scheduler_reservations.cc
@@ -36,9 +36,9 @@
 // restore.
 constexpr int32_t kMaxPreemptions = 2;
 // A task is large if it needs at least this share of a worker, so that at most
-// two fit. Where such tasks use half of a worker beside small ones, 0.96 of the
-// value was earned on a calm day with capacity reserved for them, 0.94 without
-// (one simulated run each).
+// two fit. Where tasks of half a worker ran next to small ones, 0.96 of the
+// value was earned on a day with little load when capacity was reserved for
+// them, and 0.94 when it was not (one simulated run each).
 constexpr double kLargeTaskShare = 0.4;
 
 }  // namespace
@@ -47,8 +47,10 @@
   Worker* worker;
   CapacityCandidate candidate;
   std::vector<RunKey> runs;  // Keys of `candidate.runs`, in the same order.
-  int32_t fits_when_empty;   // Tasks that fit if no other run were there.
-  bool reserved;             // The last pass reserved capacity there.
+  // Tasks that would fit into the capacity that is not reserved if nothing ran
+  // on the worker.
+  int32_t fits_when_empty;
+  bool reserved;  // The last pass reserved capacity there.
 };
 
 std::vector<JobScheduler::Worker*> JobScheduler::FindWorkersToReserve(
--- a/keelbridge/coordination/job_scheduler_workers.cc
+++ b/keelbridge/coordination/job_scheduler_workers.cc
@@ -17,8 +17,8 @@
 constexpr absl::Duration kSweepPeriod = absl::Milliseconds(50);
 constexpr absl::Duration kObserveRetryDelay = absl::Milliseconds(300);
 constexpr absl::Duration kStopRetryDelay = absl::Milliseconds(400);
-// The delay before both kinds of retries while answers get lost, since a call
-// whose answer was lost has to be repeated.
+// The delay before an observation or a stop is repeated while answers get lost,
+// since a call whose answer was lost has to be repeated.
 constexpr absl::Duration kLossyRetryDelay = absl::Milliseconds(30);
 // How long a worker may delay the answer to an observation while answers get
 // lost. A lost answer leaves the worker's ends unreported for that long.
@@ -34,15 +34,15 @@
 constexpr int64_t kMaxCheckedEstimateMs = 2000;
 constexpr double kOverdueFactor = 1.3;
 constexpr absl::Duration kOverdueCheckPeriod = absl::Milliseconds(250);
-// How long after a start without an answer a worker report may still show what
-// became of it.
+// How long to wait for a worker report to show the outcome of a start that got
+// no answer, before the run is stopped.
 constexpr absl::Duration kUncertainTimeout = absl::Milliseconds(300);
 constexpr absl::Duration kRetryAfterRefusal = absl::Milliseconds(100);
 constexpr absl::Duration kSuspectAfterRefusal = absl::Seconds(2);
 // A worker that has answered nothing for this long gets no new tasks.
 constexpr absl::Duration kUnresponsiveAfter = absl::Milliseconds(2500);
-// The number of run numbers that each epoch has for itself, so that a later
-// leader never reuses a number.
+// The size of the range of run numbers that belongs to one epoch. The ranges do
+// not overlap, so a later leader never reuses a number.
 constexpr int32_t kRunsPerEpoch = 1000;
 
 }  // namespace
@@ -61,8 +61,8 @@
     slot->fence = NextFence(name);
     PersistWorker(*slot);
     // A machine runs one incarnation at a time. The records do not show which
-    // one, since the record of an ended incarnation may linger, so the machine
-    // is asked.
+    // one, since the record of an ended incarnation may linger, so the other
+    // workers recorded at the machine are observed.
     for (auto& [id, other] : workers_) {
       if (id == record.id || other == nullptr || record.machine.empty() ||
           other->record.machine != record.machine)
@@ -610,7 +610,7 @@
     }
     worker.next_check = std::min(worker.next_check, allocation.check_at);
   }
-  // A busy worker sends reports all the time.
+  // A busy worker reports often, so it needs no extra observation.
   const bool reported_recently =
       now.mono - worker.report_requested_at < kOverdueCheckPeriod;
   if (overdue && !reported_recently && worker.failed_observations == 0)
@@ -627,9 +627,9 @@
   action.order.fence = worker.fence;
   action.order.ends_acknowledged = worker.ends_acknowledged;
   // The lease of an unresponsive worker is not extended: each attempt might
-  // extend it without an answer, so that nobody could tell when it expires.
-  // Nor is a lease extended before the record that informs later leaders of it
-  // is durable.
+  // extend it without an answer, so that the leader could not know when it
+  // expires. Nor is a lease extended before the record that informs later
+  // leaders of it is durable.
   const bool extend = !suspended_ && worker.failed_observations == 0 &&
                       worker.known_at_batch <= durable_batch_;
   action.order.lease_until_ms = extend ? GrantLease(worker, now.mono) : 0;
--- a/keelbridge/coordination/scheduler_policy.h
+++ b/keelbridge/coordination/scheduler_policy.h
@@ -3,8 +3,9 @@
 // production.
 //
 //   SchedulerPolicy policy;
-//   for (const PolicySwitch& one : PolicySwitches())
-//     reader.OptionalBoolean(one.name, &(policy.*one.on));
+//   for (const PolicySwitch& policy_switch : PolicySwitches())
+//     reader.OptionalBoolean(policy_switch.name,
+//                            &(policy.*policy_switch.enabled));
 
 #ifndef KEELBRIDGE_COORDINATION_SCHEDULER_POLICY_H_
 #define KEELBRIDGE_COORDINATION_SCHEDULER_POLICY_H_
--- a/keelbridge/state/configuration_state.cc
+++ b/keelbridge/state/configuration_state.cc
@@ -28,8 +28,8 @@
 void ConfigurationState::Apply(int64_t offset,
                                const ConfigurationEntry& entry) {
   if (entry.version >= 0) {
-    // A renewal repeats a version that was accepted before, and it counts as
-    // old as that version.
+    // A renewal repeats a configuration that was accepted before, under its
+    // original version.
     if (entry.version == current_.version)
       newest_record_offset_ = std::max(newest_record_offset_, offset);
     if (entry.version > current_.version)
--- a/keelbridge/state/envelope_filter.h
+++ b/keelbridge/state/envelope_filter.h
@@ -23,7 +23,7 @@
  public:
   struct Writer {
     int64_t sequence = 0;
-    int64_t offset = 0;  // Of its latest envelope.
+    int64_t offset = 0;  // Log offset of the writer's latest envelope.
   };
 
   // Accepts an envelope. Returns false if this envelope, or a later one of its
--- a/keelbridge/state/job_table.h
+++ b/keelbridge/state/job_table.h
@@ -53,7 +53,7 @@
   int32_t run = 0;
   // From the run's start to the first sign of the crash.
   int64_t ran_ms = 0;
-  // Probability that the worker of a harmless task crashes within `ran_ms`.
+  // Probability that a sound task loses its worker within `ran_ms` by chance.
   double chance = 0;
   // The worker had confirmed that the run started.
   bool begun = false;
@@ -117,7 +117,8 @@
   int32_t calls_in_flight = 0;
   absl::Time next_ask_at = absl::InfinitePast();
   int32_t ask_count = 0;  // Searches for advice, each of one or more calls.
-  absl::flat_hash_map<std::string, bool> known;  // Worker -> may run the step.
+  // Workers that the service was asked about -> whether they may run the step.
+  absl::flat_hash_map<std::string, bool> known;
   struct Ticket {
     std::string ticket;
     absl::Time expires;
@@ -178,7 +179,7 @@
   JobState end = JobState::kQueued;  // kQueued: the job has not ended.
   int64_t ended_ms = 0;              // Wall clock.
   absl::Time ended_at;               // Steady clock of this process.
-  std::string end_reason;            // Why the job failed, for explanations.
+  std::string end_reason;            // Why the job ended, for the log.
   int64_t description_batch = 0;     // The batch that holds the description.
   int64_t end_batch = 0;             // The batch that holds the end.
 
--- a/keelbridge/state/known_workers.h
+++ b/keelbridge/state/known_workers.h
@@ -29,18 +29,18 @@
   // Epoch of the latest leader that may have assigned tasks to the worker or
   // extended its lease. A record without an epoch may be of any leader.
   int64_t epoch = std::numeric_limits<int64_t>::max();
-  // The worker has reported that it drains and runs nothing, and that leader
-  // assigns nothing more to it.
+  // The worker has reported that it drains and runs nothing, and the leader of
+  // `epoch` assigns no more tasks to it.
   bool retired = false;
   // Every long-running task that may run on the worker unobserved has a
-  // persisted placement. False after a leader of a version that persisted no
-  // placements: such a leader rewrites this record when it assigns tasks to the
-  // worker, but records no placement in any job.
+  // persisted placement. False after a leader whose software version persists
+  // no placements: such a leader rewrites this record when it assigns tasks to
+  // the worker, but records no placement in any job.
   bool persists_placements = false;
-  // Set once the worker has reported that it drains and that leader assigns
-  // nothing more to it: of the tasks of that leader and earlier ones, only
-  // these may run on the worker. If empty, any task may run on a worker that is
-  // not retired.
+  // The only tasks of the leader of `epoch` and of earlier leaders that may
+  // still run on the worker. Set once the worker has reported that it drains
+  // and the leader assigns no more tasks to it. If empty, any task may run on a
+  // worker that is not retired.
   std::vector<TaskId> last_tasks{};
   // The worker was restarted under the same name.
   bool restarted = false;
--- a/keelbridge/state/known_workers_test.cc
+++ b/keelbridge/state/known_workers_test.cc
@@ -59,7 +59,7 @@
   }
 }
 
-TEST_CASE("known workers: other records and dropped ones name no worker") {
+TEST_CASE("known workers: records of other kinds and drops name no worker") {
   CHECK_FALSE(ParseKnownWorker(Record{"d/1", "{}", -1}).has_value());
   CHECK_FALSE(
       ParseKnownWorker(Record{KnownWorkerKey(""), "{}", -1}).has_value());
--- a/keelbridge/state/zone_replica.cc
+++ b/keelbridge/state/zone_replica.cc
@@ -8,8 +8,8 @@
 namespace keelbridge {
 namespace {
 
-// Incomplete snapshots that are kept. Beyond this, the first one by id is
-// dropped.
+// Maximum number of incomplete snapshots that are kept. If there are more, the
+// one whose id sorts first is dropped.
 constexpr size_t kMaxIncompleteSnapshots = 4;
 
 uint64_t Checksum(const std::string& text) {
--- a/keelbridge/state/zone_state.cc
+++ b/keelbridge/state/zone_state.cc
@@ -101,8 +101,8 @@
   } else if (const auto* plan = std::get_if<PlanEntry>(&entry)) {
     ApplyPlan(offset, *plan);
   } else if (const auto* ended = std::get_if<TaskEndedEntry>(&entry)) {
-    // The end of a task is a fact whoever reports it, so entries of earlier
-    // epochs count too.
+    // The end of a task is valid whichever leader reports it, so entries of
+    // earlier epochs count too.
     ApplyEnded(*ended);
   } else if (const auto* start = std::get_if<StartClaimEntry>(&entry)) {
     if (start->epoch >= epoch_)
@@ -128,8 +128,8 @@
   switch (intent.kind) {
     case IntentKind::kService:
     case IntentKind::kBatch:
-      // An id that is in use keeps its first intent. Such plans are refused
-      // before they are confirmed.
+      // An id that is in use keeps its first intent. Plans that use such an id
+      // again are refused before they are confirmed.
       work_.emplace(intent.id, WorkRecord{intent, offset, {}, {}});
       break;
     case IntentKind::kDrainHost:
--- a/keelbridge/state/zone_state.h
+++ b/keelbridge/state/zone_state.h
@@ -28,8 +28,8 @@
 
 namespace keelbridge {
 
-// A set of task numbers, stored as ranges of consecutive numbers, so that a
-// batch stays small whatever the order in which its tasks end.
+// A set of task numbers, stored as ranges of consecutive numbers, so that the
+// record of a batch stays small whatever the order in which its tasks end.
 class IndexRanges {
  public:
   void Insert(int64_t index);
@@ -48,7 +48,8 @@
   Intent intent;  // With later resizes and priorities applied.
   int64_t confirmed_at = -1;
   IndexRanges ended;
-  // Subset of `ended`: may have run and must not be repeated.
+  // The tasks in `ended` whose outcome is unknown: they may have run and must
+  // not be repeated.
   IndexRanges unknown;
 };
 
