--- a/keelbridge/coordination/decision.h
+++ b/keelbridge/coordination/decision.h
@@ -18,6 +18,8 @@
 
 namespace keelbridge {
 
+// The index of a task's row in a `TaskTable`. Handles of removed tasks are
+// reused.
 using TaskHandle = int32_t;
 constexpr TaskHandle kNoTask = -1;
 
--- a/keelbridge/coordination/earlier_leaders.h
+++ b/keelbridge/coordination/earlier_leaders.h
@@ -26,7 +26,7 @@
  public:
   // Constructs an empty set of earlier leaders: AllStopped() is true.
   EarlierLeaders() = default;
-  // `own_last_order` is the time of the last order that this node sent as a
+  // `own_last_order` is the time of the last order that this node sent as an
   // earlier leader, or the time its process started if it sent none.
   EarlierLeaders(std::vector<std::string> addresses, absl::Time own_last_order);
 
--- a/keelbridge/coordination/idempotency.h
+++ b/keelbridge/coordination/idempotency.h
@@ -3,10 +3,10 @@
 //
 // The caller chooses one of two mechanisms:
 //
-// - A *ticket* is issued by one gateway run. Only that run dispatches the
-//   request with this ticket, once; other gateways forward the request to it.
-//   Tickets do not need the log. Once that run has ended, the verdict is
-//   MayHaveRun and nothing is dispatched.
+// - A *ticket* is issued by one incarnation of a gateway. Only that incarnation
+//   dispatches the request with this ticket, once; other gateways forward the
+//   request to it. Tickets do not need the log. Once that incarnation has
+//   ended, the verdict is MayHaveRun and nothing is dispatched.
 // - An *idempotency key* is claimed in the log before dispatch. The gateway
 //   whose claim comes first in the log dispatches the request. Keys survive the
 //   gateway and need the log.
@@ -49,8 +49,8 @@
   kUsed,   // The request was or may have been dispatched.
 };
 
-// Tracks the tickets that one gateway run has issued and which of them are
-// used. Performs no I/O and reads no clock.
+// Tracks the tickets that one incarnation of a gateway has issued and which of
+// them are used. Performs no I/O and reads no clock.
 class TicketTable {
  public:
   TicketTable(std::string gateway, uint64_t incarnation,
@@ -77,7 +77,7 @@
   const absl::Duration lifetime_;
   uint64_t next_ = 0;
   // Expiry time and number of each used ticket. Entries are dropped on expiry,
-  // because an expired ticket is refused by its date.
+  // because an expired ticket is refused by its expiry time.
   std::set<std::pair<int64_t, uint64_t>> used_;
 };
 
--- a/keelbridge/coordination/idempotency_test.cc
+++ b/keelbridge/coordination/idempotency_test.cc
@@ -15,7 +15,8 @@
 const absl::Time kWall = absl::FromUnixSeconds(1000000);
 
 TEST_CASE(
-    "ticket: valid once, only in the run that issued it, until it expires") {
+    "ticket: valid once, only in the incarnation that issued it, until it "
+    "expires") {
   TicketTable table("gw", 7, absl::Seconds(60));
   Result<Ticket> ticket = TicketFromText(table.Issue(kWall));
   REQUIRE(ticket.has_value());
--- a/keelbridge/coordination/leadership.h
+++ b/keelbridge/coordination/leadership.h
@@ -8,9 +8,8 @@
 // other service of this system. A new epoch is higher than the highest that a
 // majority has seen and at least the wall clock in seconds, so it also grows
 // when workers restart and forget the last one. The message that renews the
-// leadership also seals the worker, which means that it fences the commands of
-// other schedulers and reads the worker's lease table, and renews the task
-// leases on it.
+// leadership also fences the commands of other schedulers, reads the worker's
+// lease table and renews the task leases on the worker.
 //
 // A hold is counted from the time its request was sent, and only if the worker
 // has been up for longer than a hold lasts, because a worker that restarts
--- a/keelbridge/coordination/lease_tracker.h
+++ b/keelbridge/coordination/lease_tracker.h
@@ -72,8 +72,8 @@
                 // saved.
   kVanished,    // The task certainly ended, but its progress is unknown.
   kFound,       // The worker runs a lease that is not tracked.
-  // The worker's table is known, either again after a doubt or for the first
-  // time in this leadership.
+  // The worker's table is known, either for the first time in this leadership
+  // or again after a time in which it was uncertain.
   kReconciled,
   // The worker does not answer, so the state of its leases is unknown.
   kUnresponsive,
--- a/keelbridge/coordination/membership.cc
+++ b/keelbridge/coordination/membership.cc
@@ -93,7 +93,7 @@
   MemberMessage message;
   message.sender = self_;
   message.configuration_version = version_;
-  // Sends the changes with the fewest sends first.
+  // Changes that have been sent in fewer messages come first.
   std::stable_sort(
       changes_.begin(), changes_.end(),
       [](const Change& a, const Change& b) { return a.sends < b.sends; });
--- a/keelbridge/coordination/task_queue.cc
+++ b/keelbridge/coordination/task_queue.cc
@@ -32,7 +32,8 @@
 TaskQueue::Key TaskQueue::KeyOf(TaskHandle id, const TaskRow& row) const {
   int64_t first = row.latest_start_ms;
   if (options_.largest_first && row.latest_start_ms == kNever) {
-    // After all tasks with a deadline, larger needs before smaller ones.
+    // Tasks without a deadline come after all tasks with one, and larger tasks
+    // before smaller ones.
     first = kNever - row.need.cpu_milli - row.need.memory_mib;
   }
   return {first, row.sequence, id};
--- a/keelbridge/coordination/task_queue.h
+++ b/keelbridge/coordination/task_queue.h
@@ -32,7 +32,7 @@
 // `kStandardRank` may also do so to reclaim their team's quota.
 constexpr int kUrgentRank = 0;
 constexpr int kInteractiveRank = 1;
-// Its deadline is near, or it has waited long.
+// Standard and bulk tasks whose deadline is near or that have waited long.
 constexpr int kPromotedRank = 2;
 constexpr int kStandardRank = 3;
 constexpr int kBulkRank = 4;
--- a/keelbridge/coordination/worker_list.h
+++ b/keelbridge/coordination/worker_list.h
@@ -54,7 +54,7 @@
   // Records the newest entry of `id`, or the reason why it cannot be read.
   void OnEntry(const std::string& id, const Result<WorkerRecord>& entry);
   void OnEntryGone(const std::string& id);
-  // Bracket a read of the whole list from beginning to end. EndFullRead()
+  // Mark the start and the end of a read of the whole list. EndFullRead()
   // removes entries that the read did not contain. An entry written in the
   // meantime to a page that had already been read is found by the incremental
   // reads, which continue from the first page.
--- a/keelbridge/coordination/zone_scheduler.cc
+++ b/keelbridge/coordination/zone_scheduler.cc
@@ -149,8 +149,8 @@
 bool ZoneScheduler::Ready(Now now) {
   // While the log is down, the records read before must suffice, and work that
   // needs a new record waits. A scheduler that has never read the log only
-  // renews leases. Once tasks have been taken over they stay so, even while the
-  // log recovers.
+  // renews leases. Once ready, the scheduler stays ready for the rest of its
+  // leadership, even while the log recovers.
   ready_ = ready_ || Authoritative() || (LogDown(now.mono) && was_current_);
   return ready_;
 }
@@ -159,8 +159,8 @@
   leading_ = true;
   ready_ = false;
   led_epoch_ = leadership_.epoch();
-  // The epoch does not change when only the policy changed. Attempt numbers are
-  // never reused.
+  // If only the policy changed, the epoch stays the same. The counter then
+  // continues, because attempt numbers are never reused.
   next_attempt_ = std::max(next_attempt_, led_epoch_ << kAttemptBits);
   leader_offset_ = INT64_MAX;
   synced_plan_ = kNeverSynced;
--- a/keelbridge/coordination/zone_scheduler.h
+++ b/keelbridge/coordination/zone_scheduler.h
@@ -106,8 +106,8 @@
   void OnStopReply(const SendStop& sent,
                    const std::optional<CommandReply>& reply, Now now);
 
-  // Returns the actions that are due. To be called at least about every 50 ms,
-  // and after replies.
+  // Returns the actions that are due. Must be called about every 50 ms or more
+  // often, and after replies.
   std::vector<Action> Tick(Now now);
 
   // Gives up leadership for a planned stop. The caller carries out the actions
--- a/keelbridge/protocol/intent.h
+++ b/keelbridge/protocol/intent.h
@@ -58,7 +58,7 @@
 const char* WorkClassName(WorkClass work_class);
 
 // Returns the intents in `text`, {"intents": [...]}, or an error that lists
-// every fault of it.
+// every fault of `text`.
 Result<std::vector<Intent>> ParseIntents(const std::string& text,
                                          const std::string& source);
 
--- a/keelbridge/protocol/log_messages.h
+++ b/keelbridge/protocol/log_messages.h
@@ -28,8 +28,8 @@
 
 namespace keelbridge {
 
-// Identifies an envelope: the run of the process that wrote it, and a number
-// that increases with each envelope of that run.
+// Identifies an envelope: the incarnation of the process that wrote it, and a
+// number that increases with each envelope of that incarnation.
 struct EnvelopeId {
   uint64_t incarnation = 0;
   int64_t sequence = 0;
--- a/keelbridge/protocol/record_store.cc
+++ b/keelbridge/protocol/record_store.cc
@@ -3,7 +3,7 @@
 namespace keelbridge {
 namespace {
 
-// The encoded lengths of a key and a value.
+// Size in bytes of the encoded lengths of a key and a value.
 constexpr size_t kLengthBytes = 5;
 
 }  // namespace
--- a/keelbridge/protocol/site_worker.h
+++ b/keelbridge/protocol/site_worker.h
@@ -92,7 +92,8 @@
   int32_t percent = 0;
 };
 
-// How a run ended.
+// How a run ended. `kLapsed`: the worker's lease expired. `kBroken`: another
+// member of the run's gang was missing or ended otherwise.
 enum class RunEnd { kDone, kFailed, kStopped, kLapsed, kBroken, kAlone };
 const char* RunEndName(RunEnd end);
 
@@ -149,6 +150,7 @@
 struct AdviceReply {
   bool answered = false;
   bool overloaded = false;
+  // Tickets for the workers that may run the step.
   std::vector<AdviceTicket> eligible;
 };
 
