--- a/cmd/keelbridge_node_main.cc
+++ b/cmd/keelbridge_node_main.cc
@@ -91,8 +91,8 @@
   WatchReload(reload, path);
   RunLoop(loop);
   keelbridge::StopLogging();
-  // The loop's pending handlers refer to objects on this stack. Exit without
-  // destroying either.
+  // The loop's pending handlers refer to objects on this stack, so the process
+  // exits without destroying the handlers or the objects.
   std::cout.flush();
   std::_Exit(keelbridge::kExitOk);
 }
--- a/keelbridge/base/json_reader.h
+++ b/keelbridge/base/json_reader.h
@@ -6,7 +6,7 @@
 //
 //   JsonDocument doc = JsonDocument::Parse(text, "settings.json");
 //   JsonReader reader(doc, doc.root(), "");
-//   reader.Text("name", &settings.name);
+//   reader.String("name", &settings.name);
 //   reader.Integer("port", 0, 65535, &settings.port);
 //   reader.Finish();
 //   if (!doc.faults().empty()) return doc.FaultError();
--- a/keelbridge/base/log_rate_limiter.h
+++ b/keelbridge/base/log_rate_limiter.h
@@ -1,8 +1,11 @@
 // Limits the number of log lines of one kind of event in each period.
 //
-//   LogRateLimiter lines({.max_lines = 5, .period = absl::Seconds(1)});
-//   if (const auto left_out = lines.Take(now))
-//     LogEvent(..., {{"lines_left_out", absl::StrCat(*left_out)}});
+//   LogRateLimiter::Options options;
+//   options.max_lines = 5;
+//   options.period = absl::Seconds(1);
+//   LogRateLimiter limiter(options);
+//   if (const auto suppressed = limiter.Take(now))
+//     LogEvent(..., {{"lines_left_out", absl::StrCat(*suppressed)}});
 
 #ifndef KEELBRIDGE_BASE_LOG_RATE_LIMITER_H_
 #define KEELBRIDGE_BASE_LOG_RATE_LIMITER_H_
--- a/keelbridge/base/result.h
+++ b/keelbridge/base/result.h
@@ -5,7 +5,7 @@
 // retry.
 //
 //   Result<int> port = ParsePort("70000");
-//   if (!port) LOG_WARNING("bad_port") << port.error().message;
+//   if (!port) std::cerr << port.error().message << "\n";
 
 #ifndef KEELBRIDGE_BASE_RESULT_H_
 #define KEELBRIDGE_BASE_RESULT_H_
--- a/keelbridge/cli/job_timeline.h
+++ b/keelbridge/cli/job_timeline.h
@@ -3,8 +3,8 @@
 // Lines may be added in any order and from any number of files. Text before the
 // JSON object of a line is ignored, so log collectors may add a prefix. The
 // lines that name the job are merged in the order of their times with the
-// events of the site in that period: changes of leader, lost stores, and
-// unresponsive workers.
+// events of the site in that period, such as changes of leader, losses of the
+// store, and unresponsive workers.
 //
 //   JobTimeline timeline(job);
 //   timeline.AddLine(line);  // For each line of each log.
--- a/keelbridge/cli/plan_commands.cc
+++ b/keelbridge/cli/plan_commands.cc
@@ -70,7 +70,7 @@
     return kExitOk;
   }
   if (!context.options.json) {
-    context.out << "rejected as stale: " << answer.value()["stale"].asString()
+    context.out << "refused as stale: " << answer.value()["stale"].asString()
                 << "\n";
     if (answer.value().isMember("fresh")) {
       context.out << "A fresh plan for the same intents:\n";
--- a/keelbridge/daemon/configuration_follower.h
+++ b/keelbridge/daemon/configuration_follower.h
@@ -38,7 +38,7 @@
   // The text is included only if the version in force is newer.
   Json::Value MakePeerReply(int64_t have) const;
   // Returns an entry that writes the version in force to the log again, if no
-  // record has carried it for `every`, so that the log's retention does not
+  // record has contained it for `every`, so that the log's retention does not
   // drop it. `every` must be well under half of the retention.
   std::optional<ConfigurationEntry> RenewalDue(absl::Time now,
                                                absl::Duration every) const;
@@ -49,6 +49,7 @@
   mutable absl::Mutex mutex_;
   ConfigurationState state_ ABSL_GUARDED_BY(mutex_);
   bool log_answers_ ABSL_GUARDED_BY(mutex_) = false;
+  // When the last record that contains the version in force was read.
   absl::Time last_carried_time_ ABSL_GUARDED_BY(mutex_);
 };
 
--- a/keelbridge/daemon/daemon_main.h
+++ b/keelbridge/daemon/daemon_main.h
@@ -22,7 +22,7 @@
 constexpr int kExitOk = 0;
 // The daemon could not start, for example because its port is in use.
 constexpr int kExitFailed = 1;
-// The settings are invalid; every fault is printed.
+// The settings file is unreadable or invalid; all of its faults are printed.
 constexpr int kExitBadSettings = 2;
 
 // Blocks SIGTERM and SIGINT in this thread and the threads it starts later, and
--- a/keelbridge/daemon/leader_session.h
+++ b/keelbridge/daemon/leader_session.h
@@ -155,9 +155,9 @@
   void OnAppended(const AppendReply& reply, int64_t append_number,
                   absl::Time sent);
   void OnAppendFailed(const AppendReply& reply, absl::Time sent);
-  // Returns whether the stream ends where this leader's records put its end,
-  // and records the new end. If it does not, records are missing or another
-  // writer appended after the fence.
+  // Returns whether the stream ends where it must after the current append, and
+  // stores the new end. If it does not, records are missing or another writer
+  // appended after the fence.
   bool VerifyStreamEnd(const AppendReply& reply);
 
   // leader_session.cc
--- a/keelbridge/daemon/leader_session_loading.cc
+++ b/keelbridge/daemon/leader_session_loading.cc
@@ -19,7 +19,7 @@
 // by its next heartbeat, which writes its entry again.
 constexpr int kMaxStuckPages = 10;
 // A read of changes of the worker list that receives no byte for this long is
-// abandoned and the next one may take another path. A worker that announces
+// abandoned, and the next one may take another path. A worker that announces
 // that it leaves must get no orders 3 s later; a read that hung until its full
 // timeout, because only the leader's own connection to the store was
 // unresponsive, delayed such an announcement by 1.3 s.
--- a/keelbridge/daemon/order_relay_client.h
+++ b/keelbridge/daemon/order_relay_client.h
@@ -46,10 +46,10 @@
   // would accept that method and read an id as a name.
   static constexpr char kOrdersMethod[] = "orders_to_lives";
   static constexpr char kRepliesMethod[] = "order_replies";
-  // How long orders are collected before they are sent, and replies at the
-  // relay. This delays the start of a task by 15 ms and limits the traffic of
-  // five relays to 660 messages per second in both directions, whatever the
-  // number of orders.
+  // How long a leader collects orders, and a relay collects replies, before
+  // sending them in one message. This delays the start of a task by 15 ms and
+  // limits the traffic of five relays to 660 messages per second in both
+  // directions, whatever the number of orders.
   static constexpr absl::Duration kBatchDelay = absl::Milliseconds(15);
 
   struct Options {
--- a/keelbridge/daemon/order_relay_server.h
+++ b/keelbridge/daemon/order_relay_server.h
@@ -1,11 +1,12 @@
 // Forwards a leader's orders to workers on its behalf; see
-// `relayed_orders.h`.
+// `order_relay_client.h`.
 //
 // A relay makes no decisions: it sends each order once, with the leader's
 // fencing token, and returns the worker's reply unchanged.
 //
 //   OrderRelayServer relay(loop, workers, rpc);
-//   relay.HandleOrders(params);  // Of a call of `kOrdersMethod`.
+//   // For each call of `OrderRelayClient::kOrdersMethod`:
+//   relay.HandleOrders(params);
 
 #ifndef KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
 #define KEELBRIDGE_DAEMON_ORDER_RELAY_SERVER_H_
--- a/keelbridge/daemon/periodic_task.h
+++ b/keelbridge/daemon/periodic_task.h
@@ -1,7 +1,7 @@
 // A periodic task with its own thread, implemented as a detached CAF actor.
 //
 // A task's step runs once per period and whenever the task is woken. Data
-// reaches it through bounded rings; the actor receives only wake-up messages,
+// reaches it through bounded queues; the actor receives only wake-up messages,
 // at most one of which is pending, because CAF's mailboxes are unbounded.
 //
 //   PeriodicTaskRunner runner;
@@ -36,8 +36,8 @@
   PeriodicTaskRunner(const PeriodicTaskRunner&) = delete;
   PeriodicTaskRunner& operator=(const PeriodicTaskRunner&) = delete;
 
-  // Starts a task that lives as long as this runner. Calls of `step` never
-  // overlap.
+  // Starts a task, which remains valid until this runner is stopped or
+  // destroyed. Calls of `step` never overlap.
   PeriodicTask* Start(const std::string& name, absl::Duration period,
                       std::function<void()> step);
 
--- a/keelbridge/daemon/request_server.cc
+++ b/keelbridge/daemon/request_server.cc
@@ -300,7 +300,8 @@
   return out;
 }
 
-// Returns whether a header is set by this class on each hop.
+// Returns whether a header of the caller is dropped because this class sets the
+// header itself where it is needed.
 bool RequestServer::IsReplacedHeader(const std::string& name) {
   for (const char* own :
        {kRequestIdHeader, kAttemptHeader, kDeadlineHeader, kTicketHeader}) {
--- a/keelbridge/daemon/settings.h
+++ b/keelbridge/daemon/settings.h
@@ -34,7 +34,8 @@
   std::string trace_file;
   Severity log_level = Severity::kInfo;
 
-  int64_t max_connections = 256;  // Callers' connections served concurrently.
+  // Maximum number of callers' connections that a gateway serves concurrently.
+  int64_t max_connections = 256;
   int64_t max_body_bytes = 4 << 20;
   absl::Duration log_timeout = absl::Seconds(2);
   // Interval between polls of the log and the host list.
@@ -42,18 +43,23 @@
   // Minimum time between two appends of this daemon to the log, which accepts
   // about a hundred appends a second from all its clients together.
   absl::Duration append_interval = absl::Milliseconds(200);
-  // Time from the stop signal until no new requests are accepted. For a
-  // scheduler, how long its queued entries have to reach the log.
+  // How long a gateway keeps serving new requests after the stop signal, so
+  // that the balancer can notice that it is not ready. For a scheduler, the
+  // maximum time for its queued entries to reach the log.
   absl::Duration drain_notice = absl::Seconds(2);
-  // Maximum time to wait for requests in flight while draining.
+  // Maximum time that a gateway then waits for requests in flight.
   absl::Duration drain_timeout = absl::Seconds(30);
 
-  // Used by schedulers only.
+  // The following members are used by schedulers only.
+
   // Maximum time between two steps; replies cause earlier ones.
   absl::Duration tick = absl::Milliseconds(100);
+  // Duration of a hold, the leadership lease on a worker.
   absl::Duration hold_ttl = absl::Seconds(3);
   absl::Duration lease_ttl = absl::Seconds(10);
+  // Time from sending a command until it is no longer valid.
   absl::Duration command_validity = absl::Seconds(1);
+  // Maximum difference of a wall clock from true time.
   absl::Duration clock_error = absl::Milliseconds(250);
   int64_t worker_threads = 12;
 };
--- a/keelbridge/daemon/site_node.h
+++ b/keelbridge/daemon/site_node.h
@@ -1,7 +1,7 @@
 // A node of a site: serves clients' calls, follows the configuration and the
 // leader election, and leads the site when it is elected.
 //
-//   SiteNode node(loop, settings, ports, carrier, rpc);
+//   SiteNode node(loop, settings, ports, store_failover, rpc);
 //   Result<void> started = node.Start();
 //   loop.run();
 
@@ -132,8 +132,8 @@
                            const std::string& detail);
   void AskPeersThenClaim();
   void Claim();
-  // Applies records of the control stream, which name the leader. The stream
-  // ended at `end` when it was read, at `read`.
+  // Applies records of the control stream, which name the leader. `end` is the
+  // end of the stream as of the read, and `read` the time of the read.
   void ApplyControlRecords(const std::vector<Record>& records, int64_t end,
                            absl::Time read);
   void Reaffirm();
@@ -240,8 +240,8 @@
   SiteElection election_;
   std::shared_ptr<LeaderSession> session_;
   std::map<std::string, Peer> peers_;  // By name.
-  // The list of peers that this node reports while it leads. Its version spares
-  // sending an unchanged list again.
+  // The list of peers that this node reports while it leads, and its version. A
+  // node that already has this version is not sent the list again.
   Json::Value peer_list_;
   uint64_t peer_list_version_ = 0;
   // Version of the list that the leader sent, and the names in it.
@@ -261,8 +261,9 @@
   // Number of times in this term that the store became reachable again, as of
   // the last reaffirmation.
   int64_t reaffirmed_store_recoveries_ = 0;
-  // A peer has stopped responding. If a network partition is the cause, a claim
-  // of that peer may reach the store once the partition heals.
+  // A peer has stopped responding since the last reaffirmation. If a network
+  // partition is the cause, a claim of that peer may reach the store once the
+  // partition heals.
   bool peers_lost_ = false;
   int64_t control_read_offset_ = -1;
   bool heartbeat_in_flight_ = false;
@@ -282,7 +283,7 @@
   std::set<std::shared_ptr<PendingCall>> pending_calls_;
 
   bool draining_ = false;
-  bool final_replies_sent_ = false;  // No call is forwarded any more.
+  bool final_replies_sent_ = false;  // New calls are rejected.
   absl::Time drain_started_ = absl::InfiniteFuture();
   std::function<void()> on_drained_;
 };
--- a/keelbridge/daemon/site_node_clients.cc
+++ b/keelbridge/daemon/site_node_clients.cc
@@ -164,7 +164,8 @@
                    absl::ToDoubleSeconds(took));
   metrics_.Count("calls_total",
                  {{"kind", KindName(kind)}, {"status", absl::StrCat(status)}});
-  // Read-only calls are logged only if they failed or denied a job.
+  // Read-only calls change no state, so they are logged only if they failed or
+  // if the answer is that the job does not exist.
   const bool logged = kind == ClientCallKind::kSubmit ||
                       kind == ClientCallKind::kCancel ||
                       status >= kFirstErrorStatus;
--- a/keelbridge/daemon/site_node_configuration.cc
+++ b/keelbridge/daemon/site_node_configuration.cc
@@ -18,8 +18,8 @@
 // `SourceReads`). Nothing waits for a read that hangs.
 constexpr absl::Duration kTransferTimeout = absl::Milliseconds(2500);
 // A read that receives no byte for this long is abandoned, so that another can
-// start. The limit still admits a store that takes 1.2 s to answer (300 times
-// its usual 4 ms, according to the sites' files).
+// start. The limit still admits a store that takes 1.2 s to answer, 300 times
+// its usual 4 ms.
 constexpr absl::Duration kTransferIdleTimeout = absl::Milliseconds(1500);
 // Timeout of a probe, whose answer is small. A longer one would gain nothing,
 // because the next probe may start after this time (see `SourceReads`).
--- a/keelbridge/daemon/site_node_peers.cc
+++ b/keelbridge/daemon/site_node_peers.cc
@@ -26,6 +26,8 @@
 // A timer may fire this late on a loaded machine.
 constexpr absl::Duration kMaxTimerDelay = absl::Milliseconds(300);
 constexpr absl::Duration kHeartbeatRetryDelay = absl::Milliseconds(40);
+// A peer that was reported within this time is fresh. Only fresh peers are
+// reported to other nodes and used as advisers and relays.
 constexpr absl::Duration kPeerFreshness = absl::Milliseconds(1500);
 // A peer that was not reported for this long is removed.
 constexpr absl::Duration kPeerExpiry = absl::Seconds(30);
@@ -157,7 +159,8 @@
 void SiteNode::RecordLeaderPeers(const Json::Value& answer) {
   leader_peer_list_version_ = answer["peers_version"].asUInt64();
   if (!answer.isMember("peers")) {
-    // The list is unchanged, which reports all of its peers again.
+    // The leader omits an unchanged list. The answer counts as a new report of
+    // all peers in it.
     for (const std::string& name : leader_peer_names_) {
       const auto peer = peers_.find(name);
       if (peer != peers_.end()) peer->second.last_report = SystemNow().mono;
--- a/keelbridge/daemon/store_failover.h
+++ b/keelbridge/daemon/store_failover.h
@@ -11,9 +11,9 @@
 // sequence number, so that an append that reaches the store twice has no
 // further effect.
 //
-//   StoreFailover carrier(loop, store_address, rpc);
-//   carrier.SetPeers({"10.0.0.2:7720"});
-//   carrier.Carry(request, absl::Seconds(1), done);
+//   StoreFailover failover(loop, store_address, rpc);
+//   failover.SetPeers({"10.0.0.2:7720"});
+//   failover.Carry(request, absl::Seconds(1), done);
 
 #ifndef KEELBRIDGE_DAEMON_STORE_FAILOVER_H_
 #define KEELBRIDGE_DAEMON_STORE_FAILOVER_H_
--- a/keelbridge/daemon/worker_pool.h
+++ b/keelbridge/daemon/worker_pool.h
@@ -6,7 +6,7 @@
 //
 //   WorkerPool pool(12, absl::Seconds(1),
 //                   [&](WorkerCall call, WorkerAnswer answer) {
-//                     ring.Push(...);
+//                     replies.Push(...);
 //                   });
 //   pool.SetAddresses({{"w1", "10.0.0.1:80"}});
 //   if (!pool.Send({command, sent_at})) ...
--- a/keelbridge/transport/event_rpc.cc
+++ b/keelbridge/transport/event_rpc.cc
@@ -19,8 +19,9 @@
 // counting towards its limit.
 constexpr absl::Duration kPeerClientIdleExpiry = absl::Seconds(30);
 constexpr absl::Duration kPeerServerIdleTimeout = absl::Seconds(35);
-// Heartbeats arrive every 0.4 s, so a connection that is idle for more than two
-// heartbeat periods is an additional connection of a peer, or dead.
+// A peer sends a heartbeat every 0.25 s, or every 0.4 s in a site of 40 nodes.
+// So a connection that is idle for more than two of these periods is an
+// additional connection of a peer, or dead.
 constexpr absl::Duration kEvictIdleAfter = absl::Seconds(1);
 constexpr int kMethodNotFound = -32601;
 constexpr int kInvalidRequest = -32600;
--- a/keelbridge/transport/read_available.h
+++ b/keelbridge/transport/read_available.h
@@ -4,8 +4,9 @@
 // takes one iteration. A message that has already arrived completely would
 // otherwise be read piecewise over several iterations.
 //
-//   beast::error_code error = internal::ReadAvailable(socket, buffer, parser,
-//   64); if (!error && !parser.is_done()) ...  // The rest has not arrived.
+//   beast::error_code error =
+//       internal::ReadAvailable(socket, buffer, parser, 64);
+//   if (!error && !parser.is_done()) ...  // The rest has not arrived.
 
 #ifndef KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
 #define KEELBRIDGE_TRANSPORT_READ_AVAILABLE_H_
--- a/keelbridge/transport/rpc_frames.h
+++ b/keelbridge/transport/rpc_frames.h
@@ -2,7 +2,7 @@
 // `event_rpc.h`.
 //
 //   const RpcCall call = ParseRpcCall(request.body);
-//   if (!call.readable) return reply(SerializeRpcResponse(call.id, error));
+//   if (!call.valid) return reply(SerializeRpcResponse(call.id, error));
 //   const RpcOutcome outcome = ParseRpcResponse(response.body);
 
 #ifndef KEELBRIDGE_TRANSPORT_RPC_FRAMES_H_
