--- a/testing/capacity_benchmark.cc
+++ b/testing/capacity_benchmark.cc
@@ -1,4 +1,4 @@
-// Benchmarks behind docs/CAPACITY.md: how the state, the messages and the
+// Benchmarks for docs/CAPACITY.md: how the state, the messages and the
 // processor time of each role grow with the size of a deployment.
 
 #include <benchmark/benchmark.h>
--- a/testing/days/make_day.py
+++ b/testing/days/make_day.py
@@ -1,7 +1,8 @@
 #!/usr/bin/env python3
-"""Draws a day of troubles for the users' bench, of any kind that it lists: make_day.py SEED > day.toml
+"""Prints a day of faults for the users' test bench, drawn from a seed: make_day.py SEED > day.toml
 
-The standard sites' troubles leave some kinds and variants out that may come all the same.
+Draws from all kinds and variants of faults that the bench supports, since those that its standard sites leave out may
+also occur.
 """
 import random
 import sys
--- a/testing/fakes/fake_worker.h
+++ b/testing/fakes/fake_worker.h
@@ -1,9 +1,9 @@
 // A fake of one platform worker: holds (leadership leases), task leases that
 // lapse, checkpoints and stops.
 //
-// The model reads no clock: callers pass the current time. The same code
-// therefore serves the HTTP stand-in and tests on a virtual clock. It reports
-// the start and the end of each run to a journal.
+// The model reads no clock: callers pass the current time. `PlatformServer` and
+// tests on a virtual clock therefore use the same code. The model reports the
+// start and the end of each run to a journal.
 
 #ifndef KEELBRIDGE_TESTING_FAKES_FAKE_WORKER_H_
 #define KEELBRIDGE_TESTING_FAKES_FAKE_WORKER_H_
--- a/testing/fakes/fakes_main.cc
+++ b/testing/fakes/fakes_main.cc
@@ -1,4 +1,4 @@
-// Runs stand-ins for the platform and for the workers and targets of a
+// Runs fakes of the platform and of the workers and targets of a
 // configuration.
 //
 //   keelbridge-fakes \
@@ -111,7 +111,7 @@
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
-      "Stand-ins for the platform, its workers and its targets, for tests and "
+      "Fakes of the platform, its workers and its targets, for tests and "
       "demonstrations.");
   absl::ParseCommandLine(argc, argv);
   sigset_t signals;
--- a/testing/fakes/fault_proxy.cc
+++ b/testing/fakes/fault_proxy.cc
@@ -68,7 +68,7 @@
         });
   }
 
-  // Reads and discards the data of one side of a silenced connection, and
+  // Reads and discards the data of one side of a blackholed connection, and
   // does not propagate its close to the other side.
   void Discard(Tcp::socket& from, Tcp::socket& to, Chunk* chunk,
                bool is_response, boost::system::error_code error) {
--- a/testing/fakes/fault_proxy.h
+++ b/testing/fakes/fault_proxy.h
@@ -39,17 +39,18 @@
   FaultProxy& operator=(const FaultProxy&) = delete;
 
   const Address& address() const { return address_; }
-  // kForward and kReset close all open connections that are not silenced
-  // (kReset with a TCP reset), so that both sides learn at once that data may
-  // have been lost on them.
+  // kForward and kReset close all open connections (kReset with a TCP reset),
+  // so that both sides learn at once that data may have been lost on them.
+  // Connections that were blackholed stay open.
   void SetMode(Mode mode, absl::Duration delay = absl::Milliseconds(200));
   // Switches to kForward without closing connections. A connection on which
   // data was dropped stays open but forwards nothing more in that direction;
   // all other connections continue.
   void ResumeForwarding() { mode_ = Mode::kForward; }
-  // Permanently drops all data in both directions on the connections that are
-  // open now. They stay open: neither a change of mode nor a close by one side
-  // closes the other side. New connections follow the mode.
+  // Blackholes the connections that are open now: drops all further data on
+  // them in both directions, permanently. They stay open: neither a change of
+  // mode nor a close by one side closes the other side. New connections follow
+  // the mode.
   void BlackholeOpenConnections();
   // Limits the rate of responses over all connections together, as a shared
   // network link does; 0 means unlimited.
--- a/testing/fakes/fault_proxy_test.cc
+++ b/testing/fakes/fault_proxy_test.cc
@@ -107,7 +107,7 @@
   CHECK(fixture.status == 200);
 }
 
-TEST_CASE("fault proxy: silenced connections stay silent, new ones work") {
+TEST_CASE("fault proxy: blackholed connections stay open, new ones work") {
   ProxyFixture fixture;
   fixture.Send();
   fixture.proxy.BlackholeOpenConnections();
@@ -126,7 +126,7 @@
   fixture.pending_reply({});
   fixture.Run();
   CHECK(status == 200);
-  // No change of mode closes a silenced connection.
+  // No change of mode closes a blackholed connection.
   fixture.pending_reply = nullptr;
   fixture.proxy.SetMode(FaultProxy::Mode::kReset);
   fixture.Run();
--- a/testing/fakes/platform_server.h
+++ b/testing/fakes/platform_server.h
@@ -1,4 +1,4 @@
-// An HTTP server on one port with stand-ins for the log, the host list, and the
+// An HTTP server on one port with fakes of the log, the host list, and the
 // workers and runners of a configuration.
 //
 //   /log/append?stream=S
@@ -63,7 +63,7 @@
   explicit PlatformServer(Options options);
   ~PlatformServer();
 
-  // Adds stand-ins for the workers and targets of `configuration`.
+  // Adds fakes of the workers and targets of `configuration`.
   void Serve(const Configuration& configuration);
   Result<int> Start();
   void Stop();
--- a/testing/fakes/site_fakes_main.cc
+++ b/testing/fakes/site_fakes_main.cc
@@ -1,4 +1,4 @@
-// keelbridge-site-fakes runs the platform stand-in as a process, for the
+// keelbridge-site-fakes runs the fake platform as a process, for the
 // quickstart.
 //
 //   keelbridge-site-fakes --workers=6 --ready_file=platform.json
--- a/testing/fakes/site_platform.cc
+++ b/testing/fakes/site_platform.cc
@@ -106,7 +106,7 @@
                                                  EventHttpServer::Reply reply) {
       HandleWorker(i, request, std::move(reply));
     });
-    StartIncarnation(i, /*again=*/false);
+    StartIncarnation(i, /*keep_id=*/false);
   }
   ScheduleAdvance();
 }
@@ -478,11 +478,11 @@
 }
 
 void SitePlatform::CrashWorker(int index, absl::Duration down) {
-  EndIncarnation(index, down, /*again=*/false);
+  EndIncarnation(index, down, /*keep_id=*/false);
 }
 
 void SitePlatform::RestartWorker(int index, absl::Duration down) {
-  EndIncarnation(index, down, /*again=*/true);
+  EndIncarnation(index, down, /*keep_id=*/true);
 }
 
 void SitePlatform::EndIncarnation(int index, absl::Duration down,
--- a/testing/fakes/site_platform.h
+++ b/testing/fakes/site_platform.h
@@ -1,4 +1,4 @@
-// A stand-in for the entire platform on the loopback interface: its store, its
+// A fake of the entire platform on the loopback interface: its store, its
 // workers and its advice service on one event loop, with fault injection and a
 // journal of the runs.
 //
@@ -67,7 +67,8 @@
   // record is read.
   void UseWorkerProxies();
   void SetWorkerProxy(int index, FaultProxy::Mode mode);
-  // Permanently drops all data on the connections to workers that are open now.
+  // Permanently drops all data on the connections to workers that are open now;
+  // see `FaultProxy::BlackholeOpenConnections`.
   void BlackholeOpenWorkerConnections();
   void CrashWorker(int index, absl::Duration down);
   // Crashes the worker and starts its next incarnation under the same id after
@@ -86,7 +87,7 @@
   // Sets the fraction of orders that are executed but not answered.
   void SetLostOrderReplies(double share) { lost_order_replies_ = share; }
   // Sets the fraction of orders that are not answered and are executed only 1
-  // to 4 s after their arrival, by the incarnation that then runs.
+  // to 4 s after their arrival, by the incarnation that runs at that time.
   void SetLateOrders(double share) { late_orders_ = share; }
 
   const std::vector<SiteRun>& runs() const { return runs_; }
@@ -163,7 +164,7 @@
   std::map<TaskId, int32_t> gang_size_;
   struct CrashCount {
     int workers = 0;  // Number of workers that the task crashed.
-    // Starts after the task used up its excused crashes.
+    // Number of starts after `kExcusedCrashes` of these crashes.
     int starts_after_excused = 0;
   };
   std::map<TaskId, CrashCount> crash_counts_;
--- a/testing/fakes/site_store.h
+++ b/testing/fakes/site_store.h
@@ -1,4 +1,4 @@
-// A stand-in for the platform's metadata store over HTTP: topics of keyed
+// A fake of the platform's metadata store over HTTP: topics of keyed
 // records, conditional and fenced appends, long polls and fault injection.
 //
 //   SiteStore store(loop, /*seed=*/1);
@@ -29,12 +29,16 @@
   struct Faults {
     bool down = false;          // Answers 503 immediately.
     bool unresponsive = false;  // Never answers.
-    double lost_answers = 0;  // Fraction of appends executed, but not answered.
+    // Fraction of appends that are executed but not answered.
+    double lost_answers = 0;
     // Long polls get no response, neither at a change nor at their deadline,
     // and not after the fault has been cleared. All other calls are answered.
     bool drop_poll_responses = false;
-    double late_appends = 0;  // Fraction not answered, executed after a delay.
+    // Fraction of appends that are not answered and are executed only after
+    // `late_append_delay`.
+    double late_appends = 0;
     absl::Duration late_append_delay = absl::Seconds(3);
+    // Time from the arrival of a request until it is handled.
     absl::Duration delay = absl::Milliseconds(2);
   };
 
--- a/testing/fakes/site_worker.h
+++ b/testing/fakes/site_worker.h
@@ -38,10 +38,11 @@
   absl::Duration work;          // Total duration, including `restore_time`.
   absl::Duration restore_time;  // Initial part without progress.
   absl::Duration done;          // Work of earlier runs.
-  // The progress can be continued by the next run; see CheckpointedWork.
+  // The next run can continue from this run's checkpoint; see
+  // `CheckpointedWork`.
   bool writes_checkpoints = false;
   bool fails = false;
-  int32_t gang = 0;  // Required members; 0 if the run is not a gang's.
+  int32_t gang = 0;  // Number of members of the gang; 0 if not part of a gang.
 };
 
 // Returns the completed work that a checkpoint of this fake records.
@@ -74,7 +75,8 @@
   // Ends the members of a gang's run on this worker as broken, because another
   // member is missing or ended otherwise.
   void BreakGang(const TaskId& step, int32_t run, absl::Time now);
-  // Ends all runs and stops the worker permanently.
+  // Ends all runs, discards all unacknowledged ends and stops the worker
+  // permanently.
   void Crash(absl::Time now);
 
   const WorkerRecord& record() const { return options_.record; }
@@ -118,7 +120,9 @@
   std::map<RunKey, SiteRun> running_;
   std::map<RunKey, Timing> timing_;
   std::vector<EndedTask> ended_;
-  std::map<TaskId, int32_t> highest_run_;  // Stopped or ended on this worker.
+  // By task: the highest number of a run that was stopped or ended on this
+  // worker.
+  std::map<TaskId, int32_t> highest_run_;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/fuzz/fuzz_check.h
+++ b/testing/fuzz/fuzz_check.h
@@ -1,8 +1,8 @@
 // Helpers shared by the fuzzers: a property check, and splitting an input into
 // lines.
 //
-//   Require(decoded.size() == size, "a decoded record lost bytes");
-//   for (const std::string& line : Lines(data, size)) ...
+//   Require(decoded.size() == size, "a decoded record has all bytes");
+//   for (const std::string& line : InputLines(data, size)) ...
 
 #ifndef TESTING_FUZZ_FUZZ_CHECK_H_
 #define TESTING_FUZZ_FUZZ_CHECK_H_
@@ -18,7 +18,8 @@
 
 namespace fuzz {
 
-// Prints `what` and aborts if `condition` is false.
+// If `condition` is false, prints `what`, the property that it states, and
+// aborts.
 inline void Require(bool condition, const char* what) {
   if (condition) return;
   std::fprintf(stderr, "does not hold: %s\n", what);
--- a/testing/site_silence_test.cc
+++ b/testing/site_silence_test.cc
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr int kNodes = 3;
-// Limit for the first job that a node accepts after the connections became
-// silent: covers one failed attempt of 1 s and the time to learn of the leader
-// again.
+// Limit for the first job that a node accepts after its connections stopped
+// delivering data: covers one failed attempt of 1 s and the time to learn of
+// the leader again.
 constexpr absl::Duration kFirstAcceptTimeout = absl::Seconds(3);
-// Limit for each further job. A call that meets no silent connection takes
-// about 20 ms.
+// Limit for each further job. A call that uses no such connection takes about
+// 20 ms.
 constexpr absl::Duration kNextAcceptTimeout = absl::Milliseconds(800);
 constexpr absl::Duration kPollInterval = absl::Milliseconds(30);
 // Equals the number of connections that a node keeps to a peer.
@@ -134,7 +134,7 @@
   REQUIRE(cluster.AwaitReady(kNodes));
   SubmittedJobs jobs(cluster);
   // Opens as many connections to the leader as a node keeps, and starts tasks
-  // that outlast the silent period.
+  // that still run when the connections stop delivering data.
   jobs.SubmitAtAll(kCallers, kShortMs);
   jobs.SubmitAtAll(2, kLongMs);
   jobs.SubmitAtAll(kCallers, kShortMs);
@@ -149,7 +149,7 @@
   // No lease expired: each task ran once.
   CHECK(cluster.RunCount() == jobs.count());
   CHECK(cluster.Faults().empty());
-  // Each node logs the silent connections in a small number of lines.
+  // Each node logs the connections that timed out, in a small number of lines.
   for (int node = 0; node < kNodes; ++node) {
     const int lines = CountLogLines(cluster, node, "connection_silent");
     CHECK(lines > 0);
--- a/testing/site_simulation_test.cc
+++ b/testing/site_simulation_test.cc
@@ -56,7 +56,7 @@
   return spec;
 }
 
-// Checks that the simulation found no fault and that all accepted jobs have
+// Checks that the simulation found no violation and that all accepted jobs have
 // ended.
 void CheckAllJobsEnded(SiteSimulation& site) {
   CAPTURE(absl::StrJoin(site.violations(), "\n"));
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_CASE("site: jobs of steps and gangs complete without faults") {
+TEST_CASE("site: jobs of steps and gangs complete without violations") {
   SiteSimulation::Options options;
   options.failing_runs = 0;
   SiteSimulation site(options);
@@ -394,7 +394,7 @@
   for (uint64_t seed = 1; seed <= 60; ++seed) RunWithCrashingTasks(seed);
 }
 
-// Seeds that once failed, with the fault that each of them showed.
+// Regression test of seeds that failed, with the cause of each failure.
 TEST_CASE("site: tasks that crash their workers, seeds that failed") {
   // A sound task that ran on the same workers failed: it was blamed for crashes
   // that came right after other tasks had started there.
@@ -406,8 +406,8 @@
   // BUDGET: a gang that crashed many workers was taken for a wave of unrelated
   // crashes.
   RunWithCrashingTasks(1318);
-  // BUDGET: the store was down, and the next leader loaded an outdated crash
-  // record.
+  // BUDGET: the store was down, and the next leader loaded an outdated record
+  // of the crashes.
   RunWithCrashingTasks(2367);
   // BUDGET: the first crash of the task came in a wave, and another one could
   // not be attributed to it with certainty.
--- a/testing/site_soak_test.cc
+++ b/testing/site_soak_test.cc
@@ -59,7 +59,7 @@
   CheckSeed(2, options);
 }
 
-// Seeds that once failed, with the cause of each failure.
+// Regression test of seeds that failed, with the cause of each failure.
 TEST_CASE("soak: seeds that failed") {
   SoakOptions options;
   options.length = absl::Seconds(12);
@@ -74,7 +74,7 @@
 }
 
 // Options for seeds that failed with the later fault kinds. The first set of
-// fault kinds could not show these failures.
+// fault kinds cannot cause these failures.
 SoakOptions LaterFaultSetOptions() {
   SoakOptions options;
   options.length = absl::Seconds(12);
--- a/testing/site_stale_knowledge_test.cc
+++ b/testing/site_stale_knowledge_test.cc
@@ -1,5 +1,5 @@
-// Tests with real processes of nodes that hold a stale configuration and get no
-// notification of the change: each node must detect this by itself.
+// Tests with real processes of nodes that have a stale configuration and are
+// not notified of the change: each node must detect this by itself.
 
 #include <doctest/doctest.h>
 
--- a/testing/support/child_process.h
+++ b/testing/support/child_process.h
@@ -1,5 +1,5 @@
 // Runs a program of this project as a child process of a test and kills it, by
-// its process ID, when the object is destroyed.
+// its process id, when the object is destroyed.
 //
 //   ChildProcess gateway("keelbridge-gateway", {"--settings=" + path});
 //   gateway.Signal(SIGKILL);
--- a/testing/support/configuration_check.h
+++ b/testing/support/configuration_check.h
@@ -8,8 +8,9 @@
 // ground that its configuration may be outdated.
 //
 //   ConfigurationCheck check(4);
-//   check.Written(2);
-//   std::string fault = check.Seen({.node = 0, .version = 1, ...});
+//   check.RecordWrite(2, absl::Now());
+//   std::string violation =
+//       check.CheckObservation({.node = 0, .version = 1, ...});
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_CONFIGURATION_CHECK_H_
 #define KEELBRIDGE_TESTING_SUPPORT_CONFIGURATION_CHECK_H_
--- a/testing/support/crashing_site.h
+++ b/testing/support/crashing_site.h
@@ -87,7 +87,7 @@
     scheduled_steps_.emplace(driver.now().mono + delay, std::move(step));
   }
 
-  // Returns the ID of the worker that currently runs on the machine.
+  // Returns the id of the worker that currently runs on the machine.
   std::string WorkerAt(const std::string& machine) const {
     return worker_by_machine_.at(machine);
   }
@@ -129,7 +129,7 @@
   }
 
   void StartIncarnation(const std::string& machine) {
-    // IDs differ between all incarnations on a machine, also between those
+    // Ids differ between all incarnations on a machine, also between those
     // under different leaders.
     const std::string id =
         absl::StrCat(machine, "-", epoch_, "-", ++incarnation_counts_[machine]);
--- a/testing/support/run_checker.h
+++ b/testing/support/run_checker.h
@@ -1,8 +1,8 @@
 // Checks the runs that actually took place, based only on the workers'
 // journals.
 //
-//   std::vector<std::string> faults = CheckRuns(facts, rules);
-//   CHECK(faults.empty());
+//   std::vector<std::string> violations = CheckRuns(run_events, rules);
+//   CHECK(violations.empty());
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_RUN_CHECKER_H_
 #define KEELBRIDGE_TESTING_SUPPORT_RUN_CHECKER_H_
--- a/testing/support/scheduler_driver.h
+++ b/testing/support/scheduler_driver.h
@@ -173,6 +173,7 @@
   // If set, decides instead of `good` whether the worker may run the step that
   // the first task of the step identifies.
   std::function<bool(const TaskId&, const std::string&)> is_good;
+  // Advice calls are answered only by `AnswerHeldAdvice`.
   bool hold_advice = false;
   // Each advice call takes as long as its terms say, and each adviser handles
   // one call at a time.
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -9,7 +9,7 @@
 namespace keelbridge::testing {
 namespace {
 
-// The time that a run needs to restore its state from a checkpoint.
+// Time that a run needs to restore its state from a checkpoint.
 constexpr absl::Duration kRestoreDuration = absl::Milliseconds(600);
 constexpr absl::Duration kStep = absl::Milliseconds(5);
 constexpr absl::Duration kOrderTimeout = absl::Milliseconds(500);
@@ -28,8 +28,8 @@
 // task count as endless repetition.
 constexpr int kExcusedCrashes = 3;
 constexpr int kEndlessRepeatStarts = 3;
-// A reduced capacity counts after this time. It is reported within one
-// heartbeat interval.
+// Time after which a reduced capacity is enforced, so that leaders can learn of
+// it first. A worker reports the reduction within one heartbeat interval.
 constexpr absl::Duration kCapacityGrace = absl::Milliseconds(3500);
 constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(500);
 constexpr absl::Duration kMaxLongRunningWork = absl::Seconds(8);
@@ -205,14 +205,14 @@
     RecordViolation(absl::StrCat("BUDGET: ", name, " after ", failed.size(),
                                  " failed runs"));
   const StepSpec& step = facts.spec.steps[static_cast<size_t>(run.task.step)];
-  for (const int32_t restore_time : step.after) {
+  for (const int32_t earlier_step : step.after) {
     const int32_t count =
-        facts.spec.steps[static_cast<size_t>(restore_time)].count;
+        facts.spec.steps[static_cast<size_t>(earlier_step)].count;
     for (int32_t i = 0; i < count; ++i) {
-      if (ever_done_.count({run.task.job, run.task.round, restore_time, i}) ==
+      if (ever_done_.count({run.task.job, run.task.round, earlier_step, i}) ==
           0)
         RecordViolation(absl::StrCat(
-            "ORDER: ", name, " started before the end of step ", restore_time));
+            "ORDER: ", name, " started before the end of step ", earlier_step));
     }
   }
 }
@@ -352,7 +352,7 @@
   bool all = true;
   for (const auto& other : leaders_) {
     if (other->epoch >= leader->epoch) continue;
-    // A frozen leader learns at its resumption that it was replaced; any other
+    // A frozen leader learns that it was replaced when it resumes. Any other
     // leader finds out by itself.
     const bool resumed = other->frozen_until > absl::InfinitePast() &&
                          other->frozen_until < now_;
@@ -504,9 +504,9 @@
       if (observe->order.lease_until_ms > 0) leader->last_order = sent;
       ObserveReply lost_observation;
       lost_observation.order = lost;
-      // Like the platform adapter, an observation that reaches another
-      // incarnation acknowledges none of its ends and reports the ID of that
-      // incarnation.
+      // As in the platform adapter, an observation that reaches another
+      // incarnation acknowledges none of that incarnation's ends, and its reply
+      // contains the id of that incarnation.
       const auto observation_elsewhere =
           [this, gone, order = observe->order](SiteWorker* next) {
             ObserveReply reply;
--- a/testing/support/site_simulation.h
+++ b/testing/support/site_simulation.h
@@ -5,7 +5,7 @@
 //   SiteSimulation site({.seed = 7, .lost_answers = 0.05});
 //   site.Submit(spec);
 //   site.Run(absl::Seconds(60));
-//   CHECK(site.faults().empty());
+//   CHECK(site.violations().empty());
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SITE_SIMULATION_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SITE_SIMULATION_H_
@@ -29,8 +29,9 @@
     uint64_t seed = 1;
     int workers = 8;
     Resources capacity{16000, 65536, 0};
-    double lost_answers = 0;  // Share of orders carried out but not answered.
-    // Share of orders carried out 2 to 12 s late and not answered.
+    // Share of orders that are carried out but not answered.
+    double lost_answers = 0;
+    // Share of orders that are carried out 2 to 12 s late and not answered.
     double late_orders = 0;
     double failing_runs = 0.02;
     // Share of long-running tasks' runs that fail, within 8 s. The others run
@@ -39,7 +40,7 @@
     // Share of workers that are missing from the platform's list for 3 s after
     // a leader starts.
     double unlisted_workers = 0;
-    // Workers that were crashed by a task restart under the same worker ID.
+    // Workers that were crashed by a task restart under the same worker id.
     bool keep_id_after_crash = false;
     // Tasks need advice, which accepts half of the workers for each step.
     bool advice = false;
@@ -47,7 +48,7 @@
     absl::Duration store_delay = absl::Milliseconds(5);
     // If not empty, replaces the default queue.
     std::vector<Queue> queues;
-    int advisers = 1;  // The number of advisers.
+    int advisers = 1;  // Number of nodes that can request advice.
     // The duration of a run differs from its estimate by up to this share.
     double estimate_error = 0.5;
     SchedulerPolicy policy;
@@ -72,18 +73,18 @@
   // that it was replaced.
   void FreezeLeader(absl::Duration pause, absl::Duration frozen);
   // Crashes the worker. Its next incarnation starts after `down`, under a new
-  // worker ID.
+  // worker id.
   void CrashWorker(int index, absl::Duration down);
   // Crashes the worker. Its next incarnation starts after `down`, under the
-  // same worker ID and address, so that orders sent to the previous incarnation
+  // same worker id and address, so that orders sent to the previous incarnation
   // reach it.
   void RestartWorker(int index, absl::Duration down);
-  // The worker reports that it is draining. It ends after `drain` and no longer
-  // answers; its record remains for 3 s. Its next incarnation starts after
-  // `down`.
+  // The worker reports that it is draining. Its process ends after `drain`, and
+  // calls to it get no answer from then on; its record remains for a further
+  // 3 s. Its next incarnation starts `down` after the end of the process.
   void DrainWorker(int index, absl::Duration drain, absl::Duration down);
-  // Reduces the worker to `share` of its capacity for `time`. The worker
-  // reports this with its next heartbeat.
+  // Reduces the worker's capacity to the fraction `share` for `time`. The
+  // worker reports this with its next heartbeat.
   void ShrinkWorker(int index, double share, absl::Duration time);
   // Makes the worker unreachable for `time`; it continues to run.
   void CutWorker(int index, absl::Duration time);
@@ -136,16 +137,19 @@
     int name_count = 0;  // The number of names used so far.
     int64_t start_time_ms = 0;
     absl::Time cut_until = absl::InfinitePast();
-    // The capacity that runs on the worker must not exceed. A reduced capacity
-    // counts only once leaders have had time to learn of it.
+    // Limit on the resources of concurrent runs. A reduced capacity is enforced
+    // only once leaders have had time to learn of it.
     Resources capacity_limit;
   };
   // How long a long-running task has been down.
   struct DownTime {
     std::string worker;  // The worker that it was last sent to.
-    // That worker has been up and reachable all the while.
+    // That worker has been up, reachable and not draining ever since.
     bool worker_stayed_up = true;
+    // Time for which the task was down while there was a leader, since it last
+    // ran or was last sent to a worker.
     absl::Duration time;
+    // The part of `time` during which `worker_stayed_up` was true.
     absl::Duration time_while_worker_up;
   };
   struct JobFacts {
@@ -164,7 +168,7 @@
   void Tick(const std::shared_ptr<Leader>& leader);
   void ExecuteActions(const std::shared_ptr<Leader>& leader);
   void Append(const std::shared_ptr<Leader>& leader);
-  // Starts an incarnation under a new worker ID, or under the previous one if
+  // Starts an incarnation under a new worker id, or under the previous one if
   // `keep_id` is set.
   void StartIncarnation(int index, bool keep_id = false);
   void EndIncarnation(int index, absl::Duration down, bool keep_id);
@@ -181,9 +185,9 @@
   void AdvanceWorkers();
   void RecordEndedJobs();
   void RecordDownTime();
-  // Asks the leaders before `leader` periodically until all of them are dead. A
-  // frozen leader ends when it resumes and learns of `leader`; a leader that
-  // never froze is not notified.
+  // Checks periodically whether all leaders before `leader` are dead, and
+  // reports it to `leader` once they are. A frozen leader ends when it resumes
+  // and learns of `leader`; a leader that never froze is not notified.
   void PollEarlierLeaders(const std::shared_ptr<Leader>& leader);
   // Runs `step` as soon as the leader is not frozen, unless the leader is dead.
   void RunOnLeader(const std::shared_ptr<Leader>& leader,
@@ -208,7 +212,7 @@
   std::vector<std::shared_ptr<Leader>> leaders_;      // All, ordered by epoch.
   std::map<int64_t, absl::Time> leader_start_times_;  // Start time by epoch.
   std::vector<WorkerSlot> workers_;
-  // Ended incarnations whose worker restarts under the same worker ID. Calls to
+  // Ended incarnations whose worker restarts under the same worker id. Calls to
   // the worker get no answer until it has restarted.
   std::set<std::string> restarting_;
   std::map<JobId, JobFacts> jobs_;
--- a/testing/support/site_soak.cc
+++ b/testing/support/site_soak.cc
@@ -24,8 +24,8 @@
 constexpr uint64_t kClients = 6;
 // The submission interval of each client.
 constexpr absl::Duration kSubmitInterval = absl::Milliseconds(720);
-// How long after the deadline for the newest configuration nodes are still
-// watched, so that a node that never learns of it is detected.
+// Time for which nodes are still monitored after the deadline for the newest
+// configuration, so that a node that never learns of it is detected.
 constexpr absl::Duration kMonitorMargin = absl::Seconds(1);
 
 constexpr absl::Duration kPollInterval = absl::Milliseconds(50);
@@ -76,7 +76,7 @@
     return out;
   }
 
-  // Submits and cancels jobs through random nodes. Each client uses job IDs of
+  // Submits and cancels jobs through random nodes. Each client uses job ids of
   // its own.
   void RunClient(uint64_t client) {
     std::mt19937_64 random(options_.seed + 1 + client * 1000003);
--- a/testing/support/site_soak.h
+++ b/testing/support/site_soak.h
@@ -28,8 +28,8 @@
   kFirstAndLater,
   kSilences,      // Open connections drop all data for good.
   kWorkers,       // Tasks crash their workers; workers lose capacity.
-  kRestarts,      // Workers restart under the same worker IDs.
-  kLateRestarts,  // The same, with orders that arrive late.
+  kRestarts,      // Workers restart under the same worker ids.
+  kLateRestarts,  // Like kRestarts, while orders arrive late.
 };
 
 struct SoakOptions {
--- a/testing/support/site_test_cluster.h
+++ b/testing/support/site_test_cluster.h
@@ -69,23 +69,24 @@
   std::string State(uint64_t job);
   bool AwaitState(uint64_t job, const std::string& state,
                   absl::Duration max_wait = absl::Seconds(20));
-  // Returns a further client of a node. Its connections stay open while they
-  // are idle, for up to 10 s.
+  // Returns a new client of a node. Its idle connections stay open for up to
+  // 10 s.
   std::unique_ptr<HttpClient> NewClient(int index) const;
   HttpOutcome SendRequest(int index, const HttpRequest& request,
                           absl::Duration timeout = absl::Seconds(3));
 
-  // Set how the proxies treat traffic. They require `Options::proxies`.
+  // The following functions control the proxies and require `Options::proxies`.
   void SetStoreProxy(int node, FaultProxy::Mode mode);
   void SetWorkerProxy(int worker, FaultProxy::Mode mode);
   void SetPeerProxy(int node, FaultProxy::Mode mode);
   void HealStoreProxyWithoutReset(int node);
   void HealPeerProxyWithoutReset(int node);
-  // Drops, for good, all data on the connections that are open now between
+  // Permanently drops all data on the connections that are open now between
   // `node` and the store and from its peers to `node`. They are not closed, and
   // new connections work.
   void BlackholeOpenConnectionsOf(int node);
-  // Does the same to all open connections, including those to workers.
+  // Like `BlackholeOpenConnectionsOf`, for all nodes, and also for the
+  // connections to workers.
   void BlackholeAllOpenConnections();
   // Limits the rate of the store's replies to a node; see `FaultProxy`.
   void SetStoreLinkRate(int node, double bytes_per_second);
@@ -98,11 +99,11 @@
   size_t RunCount();
   const std::string& directory() const { return directory_; }
 
-  // Return request bodies that submit a job with one step, with a gang step
-  // followed by a step of one task, and with tasks that crash each worker that
-  // starts them.
+  // Each returns the body of a request that submits a job.
   static std::string OneStepJob(int tasks, int work_ms, int cpu = 2000);
+  // A gang step, followed by a step of one task.
   static std::string GangThenOneTaskJob(int members);
+  // The tasks crash each worker that starts them.
   static std::string CrashingTasksJob(int tasks);
 
  private:
@@ -116,8 +117,9 @@
     // Client whose connections stay open until the node closes them.
     std::unique_ptr<HttpClient> persistent_client;
   };
-  // Return the IP address of a host of this cluster, and of a node's host.
+  // Returns the IP address with this last octet in the cluster's subnet.
   std::string Host(int number) const;
+  // Returns the IP address of the host on which the node runs.
   std::string HostOf(int node) const;
   // Prints the last log lines of each node to standard error.
   void PrintNodeStates();
--- a/testing/support/soak_fault_injector.cc
+++ b/testing/support/soak_fault_injector.cc
@@ -15,8 +15,9 @@
 constexpr absl::Duration kFaultDuration = absl::Seconds(3);
 constexpr absl::Duration kMinDuration = absl::Seconds(1);
 constexpr absl::Duration kMaxDuration = absl::Seconds(5);
-// A new configuration that a fault hides is written this long after the fault
-// began.
+// Delay from the beginning of a fault to the event that it is combined with: a
+// configuration change during the fault, or the kill of the leader after the
+// submission of a crashing job.
 constexpr absl::Duration kChangeDelay = absl::Milliseconds(400);
 constexpr absl::Duration kMissedChangeTime = absl::Seconds(1);
 constexpr double kRemainingCapacityShare = 0.33;
--- a/testing/support/soak_fault_injector.h
+++ b/testing/support/soak_fault_injector.h
@@ -30,16 +30,18 @@
   kKillNode,
   kStopNode,
   kPauseNode,
-  kStoreBlackhole,  // This and the next three: between one node and the store.
+  // The following four kinds affect the path between one node and the store.
+  kStoreBlackhole,  // All data is dropped.
   kStoreReset,
   kStoreOneWay,
   kStoreSlow,
-  kPeersBlackhole,  // This and the next two: from the other nodes to one node.
+  // The following three kinds affect the path from the other nodes to one node.
+  kPeersBlackhole,  // All data is dropped.
   kPeersReset,
   kPeersOneWay,
   kZoneCut,  // The zone's nodes lose the store, and others cannot reach them.
   kWorkerCrash,
-  kWorkerBlackhole,
+  kWorkerBlackhole,   // All data on the path to one worker is dropped.
   kStoreFault,        // The store is down, does not answer, or loses replies.
   kLostOrderReplies,  // Workers carry out orders but do not answer.
   kRollingStop,
@@ -47,31 +49,37 @@
   kNewConfiguration,
   kFirstKindsEnd,  // The end of `SoakFaultSet::kFirst`.
 
-  // The following kinds last 1 to 5 s. When a silence ends, no connection is
-  // closed: a connection on which data was dropped never transfers data again.
+  // The following kinds last 1 to 5 s. When a fault that dropped data ends, no
+  // connection is closed: a connection on which data was dropped never
+  // transfers data again.
 
   // Polls get no answer while a change is written.
   kDropPollResponses = kFirstKindsEnd,
   // Polls do not receive a change for 1 s and are then disconnected.
   kChangeMissedByPolls,
-  kChangeDuringOutage,  // Some nodes cannot reach the store during a change.
-  kDroppedHistory,      // The same, and the store drops its history.
+  // One node and a random part of the others cannot reach the store while a
+  // change is written.
+  kChangeDuringOutage,
+  // Like kChangeDuringOutage, and the store drops its history.
+  kDroppedHistory,
   kStoreBlackholeWithoutReset,  // One node cannot reach the store.
   kLateAppends,  // Appends take effect seconds after their reply was lost.
   kLeaderPaused,
   kLeaderCut,       // The leader cannot reach the store, nor peers the leader.
-  kAllPeersCut,     // The same, and no peer can reach any other.
+  kAllPeersCut,     // Like kLeaderCut, and no peer can reach any other.
   kSecondKindsEnd,  // The end of `SoakFaultSet::kLater`.
 
-  // All data on the connections that are open is dropped for good, without
-  // closing them; new connections work. Such a fault ends at once, like a
-  // reset.
+  // The following kinds permanently drop all data on the connections that are
+  // open, without closing them; new connections work. Such a fault ends at
+  // once, like a reset.
 
   // Connections from one node to the store and from its peers.
   kNodeConnectionsBlackholed = kSecondKindsEnd,
-  kAllConnectionsBlackholed,  // All nodes, including those to workers.
-  kChangeAfterAllBlackholed,  // The same, soon followed by a change.
-  kThirdKindsEnd,             // The end of `SoakFaultSet::kSilences`.
+  // Connections of all nodes, including those to workers.
+  kAllConnectionsBlackholed,
+  // Like kAllConnectionsBlackholed, soon followed by a change.
+  kChangeAfterAllBlackholed,
+  kThirdKindsEnd,  // The end of `SoakFaultSet::kSilences`.
 
   // A job whose tasks crash each worker that starts them.
   kCrashingJob = kThirdKindsEnd,
@@ -80,17 +88,19 @@
   kCrashesAndAllPaused,     // A crashing job, and all nodes are paused.
   kFourthKindsEnd,          // The end of `SoakFaultSet::kWorkers`.
 
-  // Workers restart under the same worker IDs: one worker; three workers in
-  // turn and then the first again; the same, and the leader is killed; all
-  // workers, and all nodes are killed.
+  // In the following kinds, workers restart under the same worker ids.
+
+  // One worker restarts.
   kWorkerRestarts = kFourthKindsEnd,
+  // Three workers restart in turn, and then the first one restarts again.
   kWorkersRestartInSeries,
+  // Like kWorkersRestartInSeries, and then the leader is killed.
   kRestartsAndLeaderKilled,
+  // All workers restart, and all nodes are killed.
   kPowerLoss,
   kFifthKindsEnd,  // The end of `SoakFaultSet::kRestarts`.
 
-  // Three workers in turn and the first again, while orders are carried out
-  // late.
+  // Like kWorkersRestartInSeries, while orders are carried out late.
   kRestartsAndLateOrders = kFifthKindsEnd,
   kCount,
 };
--- a/testing/support/soak_jobs.h
+++ b/testing/support/soak_jobs.h
@@ -1,7 +1,7 @@
 // Records what the clients of a soak test know about their jobs. Thread-safe.
 //
 //   SoakJobs jobs;
-//   jobs.Accepted(7);
+//   jobs.RecordAccepted(7);
 //   std::optional<uint64_t> job = jobs.Draw(random);
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_JOBS_H_
@@ -39,11 +39,12 @@
   // effect, if the job is not known to be accepted.
   bool BeginCancel(uint64_t job);
 
-  // Returns a random accepted job that was not cancelled, mostly a recently
-  // accepted one, since a node is more likely not to know of those.
+  // Returns a random accepted job, or nullopt if it was cancelled or if there
+  // is none. Prefers recently accepted jobs, because those are the ones that a
+  // node is most likely to miss.
   std::optional<uint64_t> Draw(std::mt19937_64& random) const;
-  // Returns a random one of the last few accepted jobs, unless it was
-  // cancelled.
+  // Returns a random one of the last few accepted jobs, or nullopt if it was
+  // cancelled or if there is none.
   std::optional<uint64_t> DrawNewest(std::mt19937_64& random) const;
   // Returns whether each node must know the job: it was accepted, was not
   // cancelled, and is not old enough for nodes to have removed it.
--- a/testing/support/soak_monitor.cc
+++ b/testing/support/soak_monitor.cc
@@ -144,7 +144,7 @@
 std::optional<int64_t> SoakMonitor::FindServedVersion(int node,
                                                       int64_t newest) {
   for (int64_t version = newest; version > 0; --version) {
-    // This is not a valid job ID, so a node that knows the queue rejects it
+    // This is not a valid job id, so a node that knows the queue rejects it
     // without asking the leader.
     const HttpOutcome outcome = cluster_.SendRequest(
         node,
--- a/testing/support/soak_record.h
+++ b/testing/support/soak_record.h
@@ -3,7 +3,7 @@
 //
 //   SoakRecord record;
 //   record.RecordEvent("kill node 2");
-//   record.Fault("LOST: job 7 ...");
+//   record.RecordViolation("LOST: job 7 ...");
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SOAK_RECORD_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SOAK_RECORD_H_
--- a/testing/support/soak_state_test.cc
+++ b/testing/support/soak_state_test.cc
@@ -49,7 +49,7 @@
   CHECK_FALSE(jobs.Draw(random));
 }
 
-TEST_CASE("soak record: only the first fault of each key is kept") {
+TEST_CASE("soak record: only the first violation of each key is kept") {
   SoakRecord record;
   record.RecordViolation("key", "first");
   record.RecordViolation("key", "second");
--- a/testing/support/wide_site.h
+++ b/testing/support/wide_site.h
@@ -28,7 +28,8 @@
   static constexpr int kWorkers = 1100;
   static constexpr int32_t kWorkerMilli = 64000;
   static constexpr int32_t kWorkerMib = 256000;
-  // A task size of which two fit on a worker.
+  // CPU need, in thousandths of a processor, of a task of which two fit on a
+  // worker.
   static constexpr int32_t kHalfMilli = 29400;
   static constexpr int32_t kWorkMs = 6200;
 
--- a/testing/support/zone_harness.h
+++ b/testing/support/zone_harness.h
@@ -63,7 +63,7 @@
   explicit ZoneHarness(Options options);
 
   void RunFor(absl::Duration time);
-  // Runs until `done` returns true. Returns false if `most` has passed first.
+  // Runs until `done` returns true. Returns false if `timeout` passes first.
   bool RunUntil(const std::function<bool()>& done, absl::Duration timeout);
 
   // Returns the scheduler that leads, or -1 if there is none.
--- a/testing/support/zone_test_cluster.h
+++ b/testing/support/zone_test_cluster.h
@@ -22,8 +22,8 @@
 
 namespace keelbridge::testing {
 
-// Polls until `done` returns true. Returns false after 60 s, long enough that
-// only a fault exceeds it.
+// Polls until `done` returns true. Returns false after 60 s, a time that is
+// only exceeded if the software under test has a fault.
 bool Eventually(const std::function<bool()>& done);
 
 class ZoneTestCluster {
@@ -53,7 +53,8 @@
   bool Confirm(const std::vector<Intent>& intents) const;
   HttpOutcome Send(int host, const HttpRequest& request,
                    absl::Duration timeout = absl::Seconds(10)) const;
-  // Returns the journal entries of this kind, as their runners recorded them.
+  // Returns the entries of this kind in the platform's journal: "request",
+  // "refused" or "run".
   std::vector<Json::Value> JournalEntries(
       const std::string& kind = "request") const;
   int CountRequests(const std::string& key, const std::string& value) const;
--- a/testing/workload/workload.h
+++ b/testing/workload/workload.h
@@ -22,7 +22,8 @@
   // Average offered load relative to all processors. Services don't scale with
   // it.
   double load = 1.0;
-  // Upper limit of actual to estimated duration. Values below 1.2 count as 1.2.
+  // Upper limit of the ratio of actual to estimated duration. Values below 1.2
+  // count as 1.2.
   double max_duration_factor = 1;
 };
 
--- a/testing/workload/workload_run.cc
+++ b/testing/workload/workload_run.cc
@@ -11,7 +11,8 @@
 namespace keelbridge::testing {
 namespace {
 
-// Time from a stop order to the end of the run, without and with a checkpoint.
+// Time from a stop order to the end of the run, without a checkpoint and with
+// one.
 constexpr int64_t kStopDelayMs = 100;
 constexpr int64_t kCheckpointDelayMs = 1000;
 constexpr int kDecisionBudget = 100000;
