--- a/testing/fakes/fakes_main.cc
+++ b/testing/fakes/fakes_main.cc
@@ -1,9 +1,8 @@
 // Runs fakes of the platform and of the workers and targets of a
 // configuration.
 //
-//   keelbridge-fakes \
-//       --configuration=examples/picture-desk/configuration.json \
-//       --out=run/configuration.json
+//   CONFIG=examples/picture-desk/configuration.json
+//   keelbridge-fakes --configuration=$CONFIG --out=run/configuration.json
 //
 // Picks a free port unless --port is set, writes a copy of the configuration
 // with the addresses that it serves to --out, and writes its port to
