--- a/keelbridge/coordination/job_scheduler_gangs_test.cc
+++ b/keelbridge/coordination/job_scheduler_gangs_test.cc
@@ -12,13 +12,13 @@
 namespace keelbridge::testing {
 namespace {
 
-constexpr int32_t kHalfMilli = WideSite::kHalfMilli;
+constexpr int32_t kHalfWorkerMilli = WideSite::kHalfWorkerMilli;
 
 // 180 tasks need 90 eligible workers, so the leader has to ask about 360
 // workers. With consecutive calls it never had enough valid tickets at a time.
 TEST_CASE("job scheduler: a gang that needs several advice calls starts") {
   WideSite site;
-  site.Submit(1, "restore", 180, kHalfMilli, true);
+  site.Submit(1, "restore", 180, kHalfWorkerMilli, true);
   site.RunUntil(absl::Seconds(6));
   CHECK(site.Started(1) == 180);
 }
@@ -27,7 +27,7 @@
     "job scheduler: a gang that needs more workers than one call may name "
     "starts") {
   WideSite site;
-  site.Submit(1, "restore", 240, kHalfMilli, true);
+  site.Submit(1, "restore", 240, kHalfWorkerMilli, true);
   site.RunUntil(absl::Seconds(6));
   CHECK(site.Started(1) == 240);
 }
@@ -38,7 +38,7 @@
 TEST_CASE("job scheduler: wide gangs that wait together all start") {
   WideSite site;
   for (JobId job = 1; job <= 20; ++job)
-    site.Submit(job, "restore", 91, kHalfMilli, true);
+    site.Submit(job, "restore", 91, kHalfWorkerMilli, true);
   site.RunUntil(absl::Seconds(15));
   CHECK(site.JobsStarted(1, 20) == 20);
 }
@@ -50,12 +50,12 @@
   WideSite site;
   JobId next_job = 100;
   for (int i = 0; i < 22; ++i)
-    site.Submit(next_job++, "plain", 100, kHalfMilli, false);
+    site.Submit(next_job++, "plain", 100, kHalfWorkerMilli, false);
   site.RunUntil(absl::Seconds(2));
   REQUIRE(site.JobsStarted(100, 121) == 22);
-  site.Submit(1, "restore", 91, kHalfMilli, true);
+  site.Submit(1, "restore", 91, kHalfWorkerMilli, true);
   for (int i = 0; i < 200; ++i) {
-    site.Submit(next_job++, "plain", 40, kHalfMilli, false);
+    site.Submit(next_job++, "plain", 40, kHalfWorkerMilli, false);
     site.RunUntil(absl::Seconds(2) + absl::Milliseconds(i * 100));
   }
   MESSAGE("started after ",
@@ -68,7 +68,7 @@
   WideSite site;
   size_t max_calls = 0;
   for (JobId job = 1; job <= 60; ++job)
-    site.Submit(job, "restore", 180, kHalfMilli, true);
+    site.Submit(job, "restore", 180, kHalfWorkerMilli, true);
   for (int i = 2; i <= 40; ++i) {
     const size_t before = site.driver().advice_calls.size();
     site.RunUntil(absl::Milliseconds(i * 500));
@@ -83,7 +83,7 @@
 TEST_CASE("job scheduler: small tasks start while wide gangs wait") {
   WideSite site;
   for (JobId job = 1; job <= 30; ++job)
-    site.Submit(job, "restore", 180, kHalfMilli, true);
+    site.Submit(job, "restore", 180, kHalfWorkerMilli, true);
   site.RunUntil(absl::Seconds(2));
   absl::Duration longest;
   for (JobId job = 100; job < 180; ++job) {
@@ -107,11 +107,12 @@
 int64_t WorkersTriedInOneSecond(absl::Duration advised_for) {
   WideSite site;
   for (JobId job = 100; job < 122; ++job)
-    site.Submit(job, "plain", {100, {kHalfMilli, 1, 0}, false, 60000, 60000});
+    site.Submit(job, "plain",
+                {100, {kHalfWorkerMilli, 1, 0}, false, 60000, 60000});
   site.RunUntil(absl::Seconds(2));
   if (advised_for == absl::ZeroDuration()) site.driver().UseAdvisers(0);
   for (JobId job = 1; job <= 60; ++job)
-    site.Submit(job, "restore", 40, kHalfMilli, true);
+    site.Submit(job, "restore", 40, kHalfWorkerMilli, true);
   site.RunUntil(absl::Seconds(2) + advised_for);
   site.driver().UseAdvisers(0);
   site.RunUntil(absl::Seconds(4) + advised_for);  // All tickets have expired.
--- a/keelbridge/coordination/site_election.cc
+++ b/keelbridge/coordination/site_election.cc
@@ -32,7 +32,7 @@
   Json::Value value(Json::objectValue);
   value["epoch"] = Json::Int64(leader.epoch);
   value["node"] = leader.node;
-  value["boot"] = Json::UInt64(leader.boot);
+  value["boot"] = Json::UInt64(leader.incarnation);
   value["address"] = leader.address;
   value["claimed_ms"] = Json::Int64(leader.claimed_ms);
   for (const EarlierLeader& earlier : leader.earlier) {
@@ -61,7 +61,7 @@
   LeaderRecord leader;
   leader.epoch = value["epoch"].asInt64();
   leader.node = value["node"].asString();
-  leader.boot = value["boot"].asUInt64();
+  leader.incarnation = value["boot"].asUInt64();
   leader.address = value["address"].asString();
   leader.claimed_ms = value["claimed_ms"].asInt64();
   for (const Json::Value& entry : earlier)
@@ -83,10 +83,10 @@
   return records;
 }
 
-SiteElection::SiteElection(std::string node, uint64_t boot, std::string address,
-                           Options options)
+SiteElection::SiteElection(std::string node, uint64_t incarnation,
+                           std::string address, Options options)
     : node_(std::move(node)),
-      boot_(boot),
+      incarnation_(incarnation),
       address_(std::move(address)),
       options_(options),
       suspect_after_(options.suspect_after) {}
@@ -94,7 +94,7 @@
 void SiteElection::Follow(const LeaderRecord& leader, absl::Time now) {
   if (leader.epoch <= leader_.epoch) return;
   leader_ = leader;
-  leads_ = leader.boot == boot_;
+  leads_ = leader.incarnation == incarnation_;
   leader_gone_ = false;
   last_contact_ = now;  // A new leader has the full timeout to make contact.
   // The record was written by an earlier process of this node, so no process
@@ -113,7 +113,7 @@
     // If the leader has reaffirmed its record since this node last read the
     // stream, it was running after that read.
     const bool confirmed = control_end_ > 0 && end > control_end_ &&
-                           leader->boot == leader_.boot &&
+                           leader->incarnation == leader_.incarnation &&
                            leader->epoch == leader_.epoch;
     if (confirmed) last_contact_ = std::max(last_contact_, now);
     Follow(*leader, now);
@@ -242,8 +242,8 @@
 }
 
 AppendOrder SiteElection::Claim(int64_t wall_ms) {
-  pending_claim_ =
-      LeaderRecord{leader_.epoch + 1, node_, boot_, address_, wall_ms, {}};
+  pending_claim_ = LeaderRecord{leader_.epoch + 1, node_,   incarnation_,
+                                address_,          wall_ms, {}};
   for (const EarlierLeader& earlier : leader_.earlier) {
     const bool expired = wall_ms - leader_.claimed_ms > kEarlierLeaderExpiryMs;
     if (!expired && earlier.address != address_)
--- a/keelbridge/coordination/site_election.h
+++ b/keelbridge/coordination/site_election.h
@@ -8,7 +8,7 @@
 //
 // SiteElection performs no I/O and reads no clock.
 //
-//   SiteElection election("node-a", boot, address, options);
+//   SiteElection election("node-a", incarnation, address, options);
 //   election.OnControlRead(records, end, now);
 //   if (election.Decide(now) == ElectionStep::kClaim) {
 //     Append(election.Claim(wall_ms));
@@ -39,7 +39,7 @@
 struct LeaderRecord {
   int64_t epoch = 0;  // 0 if no node has ever led.
   std::string node;
-  uint64_t boot = 0;  // Identifies the process that made the claim.
+  uint64_t incarnation = 0;  // Identifies the process that made the claim.
   std::string address;
   int64_t claimed_ms = 0;
   // Earlier leaders that were not known to have stopped when this claim was
@@ -83,7 +83,7 @@
     double capacity = 1;
   };
 
-  SiteElection(std::string node, uint64_t boot, std::string address,
+  SiteElection(std::string node, uint64_t incarnation, std::string address,
                Options options);
 
   // Records a read of the control stream: its newest records and its end
@@ -150,7 +150,7 @@
   void Follow(const LeaderRecord& leader, absl::Time now);
 
   const std::string node_;
-  const uint64_t boot_;
+  const uint64_t incarnation_;
   const std::string address_;
   const Options options_;
   absl::Duration suspect_after_;
--- a/keelbridge/coordination/site_election_test.cc
+++ b/keelbridge/coordination/site_election_test.cc
@@ -7,15 +7,16 @@
 
 const absl::Time kBegin = absl::UnixEpoch() + absl::Hours(1);
 
-SiteElection MakeElection(const std::string& node, uint64_t boot) {
-  return {node, boot, node + ":1", SiteElection::Options()};
+SiteElection MakeElection(const std::string& node, uint64_t incarnation) {
+  return {node, incarnation, node + ":1", SiteElection::Options()};
 }
 
-LeaderRecord Leader(int64_t epoch, const std::string& node, uint64_t boot) {
+LeaderRecord Leader(int64_t epoch, const std::string& node,
+                    uint64_t incarnation) {
   LeaderRecord leader;
   leader.epoch = epoch;
   leader.node = node;
-  leader.boot = boot;
+  leader.incarnation = incarnation;
   leader.address = node + ":1";
   leader.claimed_ms = 1000;
   return leader;
--- a/keelbridge/daemon/configuration_follower.cc
+++ b/keelbridge/daemon/configuration_follower.cc
@@ -20,9 +20,9 @@
     log_answers_ = batch.has_value();
     if (!batch) return changed;
     const int64_t previous_version = state_.current().version;
-    const int64_t previous_carried_at = state_.newest_record_offset();
+    const int64_t previous_record_offset = state_.newest_record_offset();
     state_.OnBatch(batch.value());
-    if (state_.newest_record_offset() != previous_carried_at)
+    if (state_.newest_record_offset() != previous_record_offset)
       last_carried_time_ = SystemNow().mono;
     changed = changed || state_.current().version != previous_version;
     if (state_.CaughtUp() || batch.value().records.empty()) return changed;
--- a/keelbridge/daemon/site_node_peers.cc
+++ b/keelbridge/daemon/site_node_peers.cc
@@ -337,7 +337,7 @@
   // The rest of the answer is about the process that was asked, which the
   // leader named in the answer may have replaced.
   if (election_.leader().epoch != to.epoch) return;
-  if (in["boot"].asUInt64() != to.boot) {
+  if (in["boot"].asUInt64() != to.incarnation) {
     election_.OnLeaderGone(now);
     return;
   }
--- a/keelbridge/daemon/store_failover.cc
+++ b/keelbridge/daemon/store_failover.cc
@@ -83,8 +83,8 @@
                              const Address& store, EventRpcClient& rpc)
     : store_(loop, store, ClientOptions(kStoreConnections)), rpc_(rpc) {}
 
-void StoreFailover::Carry(const HttpRequest& request, absl::Duration timeout,
-                          std::function<void(HttpOutcome)> done) {
+void StoreFailover::Send(const HttpRequest& request, absl::Duration timeout,
+                         std::function<void(HttpOutcome)> done) {
   const bool read = request.method == "GET";
   const bool small = read && timeout <= kSmallReadTimeout;
   if (small) probe_request_ = request;
@@ -228,8 +228,8 @@
                                const Address& store)
     : store_(loop, store, ClientOptions(kLongPollConnections)) {}
 
-void StoreLongPolls::Carry(const HttpRequest& request, absl::Duration timeout,
-                           std::function<void(HttpOutcome)> done) {
+void StoreLongPolls::Send(const HttpRequest& request, absl::Duration timeout,
+                          std::function<void(HttpOutcome)> done) {
   store_.Send(request, timeout, std::move(done));
 }
 
--- a/keelbridge/daemon/store_failover.h
+++ b/keelbridge/daemon/store_failover.h
@@ -13,7 +13,7 @@
 //
 //   StoreFailover failover(loop, store_address, rpc);
 //   failover.SetPeers({"10.0.0.2:7720"});
-//   failover.Carry(request, absl::Seconds(1), done);
+//   failover.Send(request, absl::Seconds(1), done);
 
 #ifndef KEELBRIDGE_DAEMON_STORE_FAILOVER_H_
 #define KEELBRIDGE_DAEMON_STORE_FAILOVER_H_
@@ -34,8 +34,8 @@
   StoreFailover(boost::asio::io_context& loop, const Address& store,
                 EventRpcClient& rpc);
 
-  void Carry(const HttpRequest& request, absl::Duration timeout,
-             std::function<void(HttpOutcome)> done) override;
+  void Send(const HttpRequest& request, absl::Duration timeout,
+            std::function<void(HttpOutcome)> done) override;
 
   // Sets the addresses of the peers that reached the store recently.
   void SetPeers(std::vector<std::string> peers) { peers_ = std::move(peers); }
@@ -84,8 +84,8 @@
 class StoreLongPolls : public StoreTransport {
  public:
   StoreLongPolls(boost::asio::io_context& loop, const Address& store);
-  void Carry(const HttpRequest& request, absl::Duration timeout,
-             std::function<void(HttpOutcome)> done) override;
+  void Send(const HttpRequest& request, absl::Duration timeout,
+            std::function<void(HttpOutcome)> done) override;
 
  private:
   EventHttpClient store_;
--- a/keelbridge/daemon/store_failover_test.cc
+++ b/keelbridge/daemon/store_failover_test.cc
@@ -21,8 +21,8 @@
   request.method = "POST";
   request.path = "/append";
   std::optional<HttpOutcome> result;
-  failover.Carry(request, absl::Seconds(2),
-                 [&](HttpOutcome outcome) { result = std::move(outcome); });
+  failover.Send(request, absl::Seconds(2),
+                [&](HttpOutcome outcome) { result = std::move(outcome); });
   for (int i = 0; i < 100 && !result; ++i) {
     loop.run_for(std::chrono::milliseconds(20));
     loop.restart();
@@ -142,8 +142,8 @@
   request.method = "POST";
   request.path = "/append";
   std::optional<HttpOutcome> result;
-  failover.Carry(request, absl::Milliseconds(300),
-                 [&](HttpOutcome outcome) { result = std::move(outcome); });
+  failover.Send(request, absl::Milliseconds(300),
+                [&](HttpOutcome outcome) { result = std::move(outcome); });
   loop.run_for(std::chrono::seconds(1));
   REQUIRE(result);
   CHECK(!result->response);
@@ -176,8 +176,8 @@
     request.method = method;
     request.path = "/log";
     std::optional<HttpOutcome> result;
-    failover.Carry(request, absl::Milliseconds(300),
-                   [&](HttpOutcome outcome) { result = std::move(outcome); });
+    failover.Send(request, absl::Milliseconds(300),
+                  [&](HttpOutcome outcome) { result = std::move(outcome); });
     for (int i = 0; i < 100 && !result; ++i) {
       loop.run_for(std::chrono::milliseconds(10));
       loop.restart();
@@ -224,7 +224,7 @@
   request.progress_timeout = absl::Milliseconds(100);
   // The first call goes to the store, the second to the peer.
   for (int i = 0; i < 2; ++i) {
-    failover.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
+    failover.Send(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
     loop.run_for(std::chrono::milliseconds(300));
     loop.restart();
   }
@@ -238,7 +238,7 @@
   CHECK(answered);
   // Without such a limit the field is left out.
   request.progress_timeout = absl::InfiniteDuration();
-  failover.Carry(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
+  failover.Send(request, absl::Milliseconds(800), [](const HttpOutcome&) {});
   loop.restart();
   loop.run_for(std::chrono::milliseconds(100));
   CHECK_FALSE(peer.last_params.isMember("silence_ms"));
@@ -276,8 +276,8 @@
   append.method = "POST";
   append.path = "/append";
   bool finished = false;
-  failover.Carry(append, absl::Milliseconds(200),
-                 [&](const HttpOutcome&) { finished = true; });
+  failover.Send(append, absl::Milliseconds(200),
+                [&](const HttpOutcome&) { finished = true; });
   loop.run_for(std::chrono::milliseconds(500));
   REQUIRE(finished);
   REQUIRE_FALSE(failover.direct());
@@ -285,11 +285,10 @@
   read.path = "/read";
   std::string body;
   int answers = 0;
-  failover.Carry(read, absl::Milliseconds(600),
-                 [&](const HttpOutcome& outcome) {
-                   ++answers;
-                   if (outcome.response) body = outcome.response->body;
-                 });
+  failover.Send(read, absl::Milliseconds(600), [&](const HttpOutcome& outcome) {
+    ++answers;
+    if (outcome.response) body = outcome.response->body;
+  });
   loop.restart();
   loop.run_for(std::chrono::milliseconds(300));
   CHECK(body == "of the store");
@@ -319,10 +318,10 @@
   read.path = "/read";
   int answered = 0;
   const auto send = [&] {
-    failover.Carry(read, absl::Milliseconds(400),
-                   [&](const HttpOutcome& outcome) {
-                     answered += outcome.response.has_value() ? 1 : 0;
-                   });
+    failover.Send(read, absl::Milliseconds(400),
+                  [&](const HttpOutcome& outcome) {
+                    answered += outcome.response.has_value() ? 1 : 0;
+                  });
     loop.restart();
     loop.run_for(std::chrono::milliseconds(200));
   };
@@ -358,7 +357,7 @@
   int answers = 0;
   int calls = 0;
   const auto read = [&](absl::Duration timeout) {
-    failover.Carry(request, timeout, [&](const HttpOutcome& outcome) {
+    failover.Send(request, timeout, [&](const HttpOutcome& outcome) {
       ++calls;
       answers += outcome.response ? 1 : 0;
     });
@@ -411,7 +410,7 @@
     HttpRequest request;
     request.method = method;
     request.path = path;
-    failover.Carry(request, timeout, [](const HttpOutcome&) {});
+    failover.Send(request, timeout, [](const HttpOutcome&) {});
     loop.restart();
     loop.run_for(std::chrono::milliseconds(300));
   };
--- a/keelbridge/protocol/record_store.h
+++ b/keelbridge/protocol/record_store.h
@@ -138,8 +138,8 @@
 class StoreTransport {
  public:
   virtual ~StoreTransport() = default;
-  virtual void Carry(const HttpRequest& request, absl::Duration timeout,
-                     std::function<void(HttpOutcome)> done) = 0;
+  virtual void Send(const HttpRequest& request, absl::Duration timeout,
+                    std::function<void(HttpOutcome)> done) = 0;
 };
 
 }  // namespace keelbridge
--- a/testing/fakes/site_fakes_main.cc
+++ b/testing/fakes/site_fakes_main.cc
@@ -42,8 +42,9 @@
   boost::asio::signal_set stop(loop, SIGTERM, SIGINT);
   stop.async_wait([&loop](boost::system::error_code, int) { loop.stop(); });
   loop.run();
-  std::cout << platform.runs().size() << " runs, " << platform.faults().size()
-            << " violated guarantees\n";
-  for (const std::string& fault : platform.faults()) std::cout << fault << "\n";
-  return platform.faults().empty() ? 0 : 1;
+  std::cout << platform.runs().size() << " runs, "
+            << platform.violations().size() << " violated guarantees\n";
+  for (const std::string& violation : platform.violations())
+    std::cout << violation << "\n";
+  return platform.violations().empty() ? 0 : 1;
 }
--- a/testing/fakes/site_platform.cc
+++ b/testing/fakes/site_platform.cc
@@ -201,15 +201,15 @@
       if (other.worker == run.worker) used += other.need;
       const bool same_task = key.first == run.task;
       if (same_task && (other.worker != run.worker || key.second != run.run))
-        faults_.push_back(
+        violations_.push_back(
             absl::StrCat("TWICE: ", name, " beside ", other.worker));
     }
   }
   if (!used.FitsIn(FindSlot(run.worker)->capacity_limit))
-    faults_.push_back(absl::StrCat("LIMIT: ", name));
+    violations_.push_back(absl::StrCat("LIMIT: ", name));
   if (completed_on_.count(run.task) > 0)
-    faults_.push_back(absl::StrCat("TWICE: ", name, " after it was done on ",
-                                   completed_on_[run.task]));
+    violations_.push_back(absl::StrCat(
+        "TWICE: ", name, " after it was done on ", completed_on_[run.task]));
   runs_.push_back(run);
   if (crash_counts_.count(run.task) > 0) ScheduleCrash(run);
 }
@@ -226,9 +226,9 @@
   CrashCount& crashes = crash_counts_[run.task];
   if (crashes.workers >= kExcusedCrashes &&
       ++crashes.starts_after_excused >= kEndlessRepeatStarts)
-    faults_.push_back(absl::StrCat("BUDGET: ", TaskIdText(run.task), " run ",
-                                   run.run, " after ", crashes.workers,
-                                   " crashes"));
+    violations_.push_back(absl::StrCat("BUDGET: ", TaskIdText(run.task),
+                                       " run ", run.run, " after ",
+                                       crashes.workers, " crashes"));
   RunAfter(kCrashDelay, [this, run] {
     Slot* slot = FindSlot(run.worker);
     if (slot == nullptr || !slot->incarnation->alive() ||
--- a/testing/fakes/site_platform.h
+++ b/testing/fakes/site_platform.h
@@ -92,7 +92,7 @@
 
   const std::vector<SiteRun>& runs() const { return runs_; }
   // Descriptions of the violated guarantees that the workers observed.
-  const std::vector<std::string>& faults() const { return faults_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
   struct Slot {
@@ -168,7 +168,7 @@
     int starts_after_excused = 0;
   };
   std::map<TaskId, CrashCount> crash_counts_;
-  std::vector<std::string> faults_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace keelbridge::testing
--- a/testing/site_entries_test.cc
+++ b/testing/site_entries_test.cc
@@ -62,7 +62,7 @@
   ReplaceLeader(cluster);
   CheckJobsComplete(cluster, 9, 12);
   CHECK(CountForeignEntryCalls(cluster) == 0);
-  CHECK(cluster.Faults().empty());
+  CHECK(cluster.Violations().empty());
 }
 
 TEST_CASE("site entries: unreadable job records do not stop a load") {
@@ -91,7 +91,7 @@
   const HttpOutcome unreadable = cluster.Call(0, "GET", 0xab);
   REQUIRE(unreadable.response);
   CHECK(unreadable.response->status == 503);
-  CHECK(cluster.Faults().empty());
+  CHECK(cluster.Violations().empty());
 }
 
 TEST_CASE("site entries: an invalid configuration changes nothing") {
@@ -114,7 +114,7 @@
       [](SitePlatform& platform) { platform.PublishConfiguration(60); });
   for (int node = 0; node < kNodes; ++node)
     CHECK(Eventually([&] { return cluster.ConfigurationVersion(node) == 60; }));
-  CHECK(cluster.Faults().empty());
+  CHECK(cluster.Violations().empty());
 }
 
 }  // namespace
--- a/testing/site_process_test.cc
+++ b/testing/site_process_test.cc
@@ -19,7 +19,7 @@
 namespace {
 
 void CheckNoViolations(SiteTestCluster& cluster) {
-  const std::vector<std::string> violations = cluster.Faults();
+  const std::vector<std::string> violations = cluster.Violations();
   CAPTURE(absl::StrJoin(violations, "\n"));
   CHECK(violations.empty());
 }
--- a/testing/site_restart_test.cc
+++ b/testing/site_restart_test.cc
@@ -31,7 +31,7 @@
 }
 
 void CheckNoViolations(SiteTestCluster& cluster) {
-  const std::vector<std::string> violations = cluster.Faults();
+  const std::vector<std::string> violations = cluster.Violations();
   CAPTURE(absl::StrJoin(violations, "\n"));
   CHECK(violations.empty());
 }
--- a/testing/site_silence_test.cc
+++ b/testing/site_silence_test.cc
@@ -148,7 +148,7 @@
   CHECK(CountClaims(cluster) - claims <= 1);
   // No lease expired: each task ran once.
   CHECK(cluster.RunCount() == jobs.count());
-  CHECK(cluster.Faults().empty());
+  CHECK(cluster.Violations().empty());
   // Each node logs the connections that timed out, in a small number of lines.
   for (int node = 0; node < kNodes; ++node) {
     const int lines = CountLogLines(cluster, node, "connection_silent");
--- a/testing/site_soak_test.cc
+++ b/testing/site_soak_test.cc
@@ -23,8 +23,8 @@
   const SoakReport report = RunSiteSoak(options);
   CAPTURE(seed);
   CAPTURE(absl::StrJoin(report.events, "\n"));
-  CAPTURE(absl::StrJoin(report.faults, "\n"));
-  CHECK(report.faults.empty());
+  CAPTURE(absl::StrJoin(report.violations, "\n"));
+  CHECK(report.violations.empty());
   CHECK(report.accepted > 0);
 }
 
--- a/testing/soak_main.cc
+++ b/testing/soak_main.cc
@@ -51,20 +51,21 @@
     options.max_faults = absl::GetFlag(FLAGS_faults);
     options.kinds = ParseFaultSet(absl::GetFlag(FLAGS_kinds));
     const auto report = keelbridge::testing::RunSiteSoak(options);
-    std::cout << "seed " << seed << ": " << report.faults.size() << " faults, "
-              << report.accepted << " accepted, " << report.refused
-              << " refused, " << report.unknown << " unknown, " << report.runs
-              << " runs, " << report.events.size() << " events, "
-              << report.read_calls << " read calls, slowest change "
+    std::cout << "seed " << seed << ": " << report.violations.size()
+              << " faults, " << report.accepted << " accepted, "
+              << report.refused << " refused, " << report.unknown
+              << " unknown, " << report.runs << " runs, "
+              << report.events.size() << " events, " << report.read_calls
+              << " read calls, slowest change "
               << absl::ToInt64Milliseconds(report.max_change_delay) << " ms"
               << std::endl;
-    if (!report.faults.empty()) ++failed;
-    if (report.faults.empty() && !absl::GetFlag(FLAGS_notes)) continue;
+    if (!report.violations.empty()) ++failed;
+    if (report.violations.empty() && !absl::GetFlag(FLAGS_notes)) continue;
     std::cout << "  logs: " << report.logs << "\n";
     for (const std::string& what : report.events)
       std::cout << "  " << what << "\n";
-    for (const std::string& fault : report.faults)
-      std::cout << "  " << fault << "\n";
+    for (const std::string& violation : report.violations)
+      std::cout << "  " << violation << "\n";
   }
   std::cout << failed << " of " << last - first << " seeds failed\n";
   return failed == 0 ? 0 : 1;
--- a/testing/support/scheduler_driver.h
+++ b/testing/support/scheduler_driver.h
@@ -172,7 +172,7 @@
   std::map<std::string, std::string> next_incarnations;
   // If set, decides instead of `good` whether the worker may run the step that
   // the first task of the step identifies.
-  std::function<bool(const TaskId&, const std::string&)> is_good;
+  std::function<bool(const TaskId&, const std::string&)> is_eligible;
   // Advice calls are answered only by `AnswerHeldAdvice`.
   bool hold_advice = false;
   // Each advice call takes as long as its terms say, and each adviser handles
@@ -223,9 +223,10 @@
     AdviceReply reply;
     reply.answered = true;
     for (const std::string& worker : ask.request.workers) {
-      const bool is_good_here = is_good ? is_good(ask.request.step, worker)
+      const bool is_eligible_here = is_eligible
+                                        ? is_eligible(ask.request.step, worker)
                                         : eligible.count(worker) > 0;
-      if (is_good_here) reply.eligible.push_back({worker, "t"});
+      if (is_eligible_here) reply.eligible.push_back({worker, "t"});
     }
     scheduler_.OnAdvice(ask, reply, now());
   }
--- a/testing/support/site_simulation.cc
+++ b/testing/support/site_simulation.cc
@@ -438,13 +438,14 @@
     std::function<Reply(SiteWorker*)> other_incarnation) {
   const bool late = Draw() < options_.late_orders;
   const bool answer_lost = late || Draw() < options_.lost_answers;
-  const absl::Duration there = late ? absl::Seconds(2 + 10 * Draw()) : Delay();
+  const absl::Duration arrival_delay =
+      late ? absl::Seconds(2 + 10 * Draw()) : Delay();
   if (answer_lost)
     After(kOrderTimeout, [this, leader, done, lost] {
       RunOnLeader(leader, [done, lost] { done(lost); });
     });
-  After(there, [this, leader, worker, order, handle, done, lost,
-                other_incarnation, late, answer_lost] {
+  After(arrival_delay, [this, leader, worker, order, handle, done, lost,
+                        other_incarnation, late, answer_lost] {
     bool cut = false;
     SiteWorker* found = FindReachableWorker(worker, &cut);
     const bool down = found != nullptr && !found->alive();
@@ -728,10 +729,10 @@
     bool runs = false;
     bool cut = true;
     const SiteWorker* last = FindWorker(down_time.worker, &cut);
-    const bool there =
+    const bool is_reachable =
         last != nullptr && last->alive() && !cut && !last->record().draining;
-    down_time.worker_stayed_up =
-        down_time.worker_stayed_up && (there || down_time.worker.empty());
+    down_time.worker_stayed_up = down_time.worker_stayed_up &&
+                                 (is_reachable || down_time.worker.empty());
     for (const WorkerSlot& slot : workers_) {
       const auto& running = slot.incarnation->running();
       runs = runs || std::any_of(running.begin(), running.end(),
--- a/testing/support/site_soak.cc
+++ b/testing/support/site_soak.cc
@@ -163,11 +163,11 @@
 
   SoakReport Finish() {
     std::set<uint64_t> ran;
-    report_.faults = record_.faults();
+    report_.violations = record_.violations();
     report_.events = record_.events();
     cluster_.WithPlatform([&](SitePlatform& platform) {
-      for (const std::string& fault : platform.faults())
-        report_.faults.push_back(fault);
+      for (const std::string& violation : platform.violations())
+        report_.violations.push_back(violation);
       for (const SiteRun& run : platform.runs()) ran.insert(run.task.job);
       report_.runs = platform.runs().size();
     });
@@ -179,7 +179,7 @@
       report_.unknown += known.unknown ? 1 : 0;
       // No job may run that was refused and never accepted.
       if (only_refused && ran.count(job) > 0)
-        report_.faults.push_back(
+        report_.violations.push_back(
             absl::StrCat("REFUSED: job ", JobIdText(job), " ran"));
     }
     report_.max_change_delay = configurations_.max_delay();
--- a/testing/support/site_soak.h
+++ b/testing/support/site_soak.h
@@ -5,7 +5,7 @@
 // replies that clients and workers receive (soak_monitor.h).
 //
 //   SoakReport report = RunSiteSoak({.seed = 7, .length = absl::Seconds(20)});
-//   CHECK(report.faults.empty());
+//   CHECK(report.violations.empty());
 
 #ifndef KEELBRIDGE_TESTING_SUPPORT_SITE_SOAK_H_
 #define KEELBRIDGE_TESTING_SUPPORT_SITE_SOAK_H_
@@ -44,8 +44,8 @@
 };
 
 struct SoakReport {
-  std::vector<std::string> faults;  // Descriptions of violations.
-  std::vector<std::string> events;  // Injected faults, with times.
+  std::vector<std::string> violations;  // Descriptions of violations.
+  std::vector<std::string> events;      // Injected faults, with times.
   size_t accepted = 0;
   size_t refused = 0;
   size_t unknown = 0;  // Jobs with a call whose outcome is not known.
--- a/testing/support/site_test_cluster.cc
+++ b/testing/support/site_test_cluster.cc
@@ -354,7 +354,7 @@
   done.get_future().wait();
 }
 
-std::vector<std::string> SiteTestCluster::Faults() {
+std::vector<std::string> SiteTestCluster::Violations() {
   std::vector<std::string> out;
   WithPlatform([&](SitePlatform& platform) { out = platform.faults(); });
   return out;
--- a/testing/support/site_test_cluster.h
+++ b/testing/support/site_test_cluster.h
@@ -95,7 +95,7 @@
 
   // Runs `step` on the platform's thread and waits until it is done.
   void WithPlatform(const std::function<void(SitePlatform&)>& step);
-  std::vector<std::string> Faults();
+  std::vector<std::string> Violations();
   size_t RunCount();
   const std::string& directory() const { return directory_; }
 
--- a/testing/support/soak_record.cc
+++ b/testing/support/soak_record.cc
@@ -23,7 +23,7 @@
                                  const std::string& what) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!keys_.insert(key).second) return;
-  faults_.push_back(WithTime(what));
+  violations_.push_back(WithTime(what));
 }
 
 std::vector<std::string> SoakRecord::events() const {
@@ -31,9 +31,9 @@
   return events_;
 }
 
-std::vector<std::string> SoakRecord::faults() const {
+std::vector<std::string> SoakRecord::violations() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return faults_;
+  return violations_;
 }
 
 }  // namespace keelbridge::testing
--- a/testing/support/soak_record.h
+++ b/testing/support/soak_record.h
@@ -31,7 +31,7 @@
   void RecordViolation(const std::string& key, const std::string& what);
 
   std::vector<std::string> events() const;
-  std::vector<std::string> faults() const;
+  std::vector<std::string> violations() const;
 
  private:
   std::string WithTime(const std::string& what) const;
@@ -39,7 +39,7 @@
   absl::Time begin_ = absl::Now();
   mutable std::mutex mutex_;
   std::vector<std::string> events_;
-  std::vector<std::string> faults_;
+  std::vector<std::string> violations_;
   std::set<std::string> keys_;
 };
 
--- a/testing/support/wide_site.h
+++ b/testing/support/wide_site.h
@@ -2,7 +2,7 @@
 // take as long as their terms say, and runs end by themselves.
 //
 //   WideSite site;
-//   site.Submit(1, "restore", 180, WideSite::kHalfMilli, true);
+//   site.Submit(1, "restore", 180, WideSite::kHalfWorkerMilli, true);
 //   site.RunUntil(absl::Seconds(6));
 //   CHECK(site.Started(1) == 180);
 
@@ -30,7 +30,7 @@
   static constexpr int32_t kWorkerMib = 256000;
   // CPU need, in thousandths of a processor, of a task of which two fit on a
   // worker.
-  static constexpr int32_t kHalfMilli = 29400;
+  static constexpr int32_t kHalfWorkerMilli = 29400;
   static constexpr int32_t kWorkMs = 6200;
 
   // A step of identical tasks.
@@ -46,7 +46,7 @@
     driver_.UseAdvice({true, 600, 8.6, 1500});
     driver_.UseAdvisers(advisers);
     driver_.timed_advice = true;
-    driver_.is_good = IsGood;
+    driver_.is_eligible = IsEligible;
     for (int i = 0; i < workers; ++i) {
       WorkerRecord record =
           SchedulerDriver::RecordOf(absl::StrCat("w", 1000 + i), kWorkerMilli);
@@ -59,7 +59,7 @@
   }
 
   // Returns whether a worker may run a step. A quarter of the workers may.
-  static bool IsGood(const TaskId& step, const std::string& worker) {
+  static bool IsEligible(const TaskId& step, const std::string& worker) {
     // FNV-1a, whose result is the same on each machine.
     uint32_t hash = 2166136261U;
     for (const char c : absl::StrCat(worker, "/", step.job))
@@ -128,7 +128,7 @@
     const Resources need = work_by_job_.at(job).need;
     int64_t fits = 0;
     for (const auto& [worker, list] : driver_.reports) {
-      if (!IsGood(TaskId{job, 0, 0, 0}, worker)) continue;
+      if (!IsEligible(TaskId{job, 0, 0, 0}, worker)) continue;
       Resources free{kWorkerMilli, kWorkerMib, 0};
       const auto used = used_.find(worker);
       if (used != used_.end()) free = free - used->second;
