--- a/testing/support/site_test_cluster.cc
+++ b/testing/support/site_test_cluster.cc
@@ -356,7 +356,7 @@
 
 std::vector<std::string> SiteTestCluster::Violations() {
   std::vector<std::string> out;
-  WithPlatform([&](SitePlatform& platform) { out = platform.faults(); });
+  WithPlatform([&](SitePlatform& platform) { out = platform.violations(); });
   return out;
 }
 
--- a/testing/support/soak_state_test.cc
+++ b/testing/support/soak_state_test.cc
@@ -54,7 +54,7 @@
   record.RecordViolation("key", "first");
   record.RecordViolation("key", "second");
   record.RecordViolation("other", "third");
-  CHECK(record.faults().size() == 2);
+  CHECK(record.violations().size() == 2);
 }
 
 }  // namespace
