--- a/keelbridge/coordination/order_routing.cc
+++ b/keelbridge/coordination/order_routing.cc
@@ -65,7 +65,7 @@
   absl::Time& until =
       avoided_until_.try_emplace(node, absl::InfinitePast()).first->second;
   const bool newly_avoided = until <= now;
-  until = now + options_.avoid;
+  until = now + options_.avoid_duration;
   return newly_avoided;
 }
 
--- a/keelbridge/coordination/order_routing.h
+++ b/keelbridge/coordination/order_routing.h
@@ -42,7 +42,7 @@
     // A relay that did not answer carries no orders for this duration while its
     // zone has other relays. If the leader sent these orders directly instead,
     // a leader that overloads its link would overload it further.
-    absl::Duration avoid = absl::Seconds(2);
+    absl::Duration avoid_duration = absl::Seconds(2);
   };
   struct Node {
     std::string name;
@@ -63,8 +63,8 @@
   // node in that zone. The pointer is valid until the next call of SetNodes().
   const Node* RouteOf(const std::string& worker, const std::string& zone,
                       absl::Time now) const;
-  // Avoids `node` for Options::avoid because it did not answer. Returns true if
-  // the node was not being avoided before.
+  // Avoids `node` for Options::avoid_duration because it did not answer.
+  // Returns true if the node was not being avoided before.
   bool OnRelayFailure(const std::string& node, absl::Time now);
   // Returns true if there are too many workers to send orders to directly.
   bool UsesRelays() const;
