--- a/keelbridge/coordination/scheduler_policy.h
+++ b/keelbridge/coordination/scheduler_policy.h
@@ -3,9 +3,13 @@
 // production.
 //
 //   SchedulerPolicy policy;
-//   for (const PolicySwitch& policy_switch : PolicySwitches())
-//     reader.OptionalBoolean(policy_switch.name,
-//                            &(policy.*policy_switch.enabled));
+//   std::vector<std::string> names;
+//   if (reader.Has("switched_off")) reader.StringList("switched_off", &names);
+//   for (const std::string& name : names) {
+//     for (const PolicySwitch& policy_switch : PolicySwitches()) {
+//       if (name == policy_switch.name) policy.*policy_switch.enabled = false;
+//     }
+//   }
 
 #ifndef KEELBRIDGE_COORDINATION_SCHEDULER_POLICY_H_
 #define KEELBRIDGE_COORDINATION_SCHEDULER_POLICY_H_
--- a/keelbridge/protocol/site_worker.h
+++ b/keelbridge/protocol/site_worker.h
@@ -93,7 +93,8 @@
 };
 
 // How a run ended. `kLapsed`: the worker's lease expired. `kBroken`: another
-// member of the run's gang was missing or ended otherwise.
+// member of the run's gang ended. `kAlone`: the run waited for the other
+// members of its gang until the gang timeout.
 enum class RunEnd { kDone, kFailed, kStopped, kLapsed, kBroken, kAlone };
 const char* RunEndName(RunEnd end);
 
